--- a/brackengate/pilot/follow.py
+++ b/brackengate/pilot/follow.py
@@ -70,7 +70,10 @@
         self.good = False
         self._asked, self._request = NOTHING, 0  # the piece of a copy that comes next
         host = parse_address(addr)[0]
-        self._dialer = Dialer((host, follow.port), self._line, self._opened, self._ended, tries=1)
+        address = host, follow.port
+        self._dialer = Dialer(
+            address, self._line, self._opened, self._ended, tries=1, on_part=self._heard_something
+        )
 
     def send(self, word: Line) -> None:
         self._dialer.send(word)
@@ -92,8 +95,11 @@
         """The position that this piece follows; None where it answers no open request."""
         return self._asked if piece.id in (0, self._request) else None
 
-    def _line(self, word: Line) -> None:
+    def _heard_something(self) -> None:
         self.heard = self._follow.now()
+
+    def _line(self, word: Line) -> None:
+        self._heard_something()
         self._follow.line(self, word)
 
     def _ended(self) -> None:
--- a/brackengate/signals/lines.py
+++ b/brackengate/signals/lines.py
@@ -1,4 +1,8 @@
-"""Lines of JSON over TCP: the connections between the system's own processes."""
+"""Lines of JSON over TCP: the connections between the system's own processes.
+
+Long lines go compressed and in parts (`parts.py`).  The messages of a stream (`ORDERED`) and all long ones
+keep their order; every other short one passes what still waits, so that liveness never waits behind bulk.
+"""
 
 from __future__ import annotations
 
@@ -11,11 +15,12 @@
 import msgspec
 
 from brackengate.net.sockets import Address
-from brackengate.signals.words import Line
+from brackengate.signals.parts import MOST_BYTES, EncodedMessage, Incoming, Outgoing, Unreadable, packed
+from brackengate.signals.words import Append, Changes, CopyPiece, Line, Part, PartReceived
 
 log = logging.getLogger("brackengate.lines")
 
-MOST = 32 << 20  # bytes of one line, and of what may wait to be sent
+ORDERED = (Append, Changes, CopyPiece)
 SILENT_MS = 1_200  # a connection whose bytes nobody takes for so long is given up: a cut says nothing
 DIAL_S = 0.6
 AGAIN_S, AGAIN_MOST_S = 0.05, 0.4
@@ -32,11 +37,15 @@
         on_line: Callable[[Lines, Line], None],
         on_open: Callable[[Lines], None],
         on_lost: Callable[[Lines], None],
+        on_part: Callable[[], None] = lambda: None,
     ) -> None:
-        self._on_line, self._on_open, self._on_lost = on_line, on_open, on_lost
+        """`on_part`: a part of a long message has come: the other side is slow, but not silent."""
+        self._on_line, self._on_open, self._on_lost, self._on_part = on_line, on_open, on_lost, on_part
+        self._loop = asyncio.get_running_loop()
         self._transport: asyncio.Transport | None = None
         self._rest: list[bytes] = []  # of a line that is not whole yet
         self._waits = 0  # bytes of it
+        self._incoming, self._outgoing = Incoming(), Outgoing()
         self.peer = ""  # who speaks, by its first line
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
@@ -52,17 +61,30 @@
         if not end:
             self._rest.append(data)
             self._waits += len(data)
-            return self.close() if self._waits > MOST else None
+            return self.close() if self._waits > MOST_BYTES else None
         whole = b"".join((*self._rest, whole))
         self._rest, self._waits = [rest], len(rest)
         for one in whole.split(b"\n"):
+            if self._transport is None:
+                return
             try:
-                word = _decode(one)
-            except (msgspec.DecodeError, UnicodeDecodeError) as error:
+                self._read(one)
+            except (msgspec.DecodeError, UnicodeDecodeError, Unreadable) as error:
                 log.warning("lines: unreadable from %s: %s", self.peer or "a stranger", error)
                 return self.close()
-            if self._transport is None:
-                return
+
+    def _read(self, line: bytes) -> None:
+        word = _decode(line)
+        if isinstance(word, PartReceived):
+            self._outgoing.window.acknowledged(self._loop.time())
+            self._send_waiting()
+        elif isinstance(word, Part):
+            self.send(PartReceived())
+            self._on_part()
+            whole = self._incoming.take(word)
+            if whole is not None:
+                self._on_line(self, _decode(whole))
+        else:
             self._on_line(self, word)
 
     def connection_lost(self, exc: Exception | None) -> None:
@@ -70,24 +92,42 @@
         self._on_lost(self)
 
     def send(self, word: Line) -> None:
-        self.send_raw(_encode(word) + b"\n")
+        self._send(encoded(word), isinstance(word, ORDERED))
 
-    def send_raw(self, data: bytes) -> None:
+    def send_raw(self, message: EncodedMessage) -> None:
+        """One of a stream, encoded for several connections."""
+        self._send(message, ordered=True)
+
+    def _send(self, message: EncodedMessage, ordered: bool) -> None:
         transport = self._transport
         if transport is None or transport.is_closing():
             return
-        if transport.get_write_buffer_size() > MOST:
+        waiting = transport.get_write_buffer_size() + self._outgoing.waiting_bytes
+        if waiting > MOST_BYTES:
             return self.close()
-        transport.write(data)
+        if message.size or (ordered and not self._outgoing.idle):
+            self._outgoing.add(message)
+            self._send_waiting()
+        else:
+            transport.write(message.data)
+
+    def _send_waiting(self) -> None:
+        """All of it that the window lets through."""
+        while self._transport is not None:
+            following = self._outgoing.next(self._loop.time())
+            if following is None:
+                return
+            line = following if isinstance(following, bytes) else _encode(following) + b"\n"
+            self._transport.write(line)
 
     def close(self) -> None:
         if self._transport is not None:
             self._transport.abort()
 
 
-def encoded(word: Line) -> bytes:
-    """A line for several connections."""
-    return _encode(word) + b"\n"
+def encoded(word: Line) -> EncodedMessage:
+    """For any number of connections."""
+    return packed(_encode(word) + b"\n")
 
 
 class Dialer:
@@ -101,11 +141,13 @@
         on_lost: Callable[[], None] = lambda: None,
         on_refused: Callable[[], None] = lambda: None,
         tries: int = 0,
+        on_part: Callable[[], None] = lambda: None,
     ) -> None:
-        """`tries`: given up after so many failures in a row; 0: never.  `on_lost` is called then too."""
+        """`tries`: given up after so many failures in a row; 0: never.  `on_lost` is called then too.
+        `on_part`: as of `Lines`."""
         self.address = address
         self._line, self._opened, self._lost, self._refused = on_line, on_open, on_lost, on_refused
-        self._tries = tries
+        self._tries, self._on_part = tries, on_part
         self._lines: Lines | None = None
         self._gone = asyncio.Event()
         self._task = asyncio.get_running_loop().create_task(self._work())
@@ -153,7 +195,7 @@
             pause = min(AGAIN_MOST_S, pause * 2)
 
     def _new(self) -> Lines:
-        return Lines(lambda _, word: self._line(word), self._made, self._ended)
+        return Lines(lambda _, word: self._line(word), self._made, self._ended, self._on_part)
 
     def _made(self, lines: Lines) -> None:
         self._lines = lines
--- a/brackengate/signals/words.py
+++ b/brackengate/signals/words.py
@@ -166,6 +166,20 @@
 CommandResult = CommandDone | HeldBy | InvalidOrder | ConflictingOrder | UndecidedOrder | Configuration
 
 
+# --- on every connection
+
+
+class Part(Word, frozen=True, tag="part"):
+    """A part of a long message, see `parts.py`.  `size`: with the last one, of the line when unpacked."""
+
+    data: bytes
+    size: int = 0
+
+
+class PartReceived(Word, frozen=True, tag="got"):
+    """The oldest part that was not acknowledged yet has come."""
+
+
 # --- among lighthouses
 
 
@@ -394,7 +408,9 @@
 
 
 Line = (
-    Hello
+    Part
+    | PartReceived
+    | Hello
     | Ping
     | Pong
     | WantView
