--- a/benchmarks/scale/units.py
+++ b/benchmarks/scale/units.py
@@ -13,6 +13,7 @@
 
 from benchmarks.scale.orders import CHANGED_ROUTE, HOST
 from benchmarks.scale.site import Size, first_configuration, proxy_ip, route, zone
+from brackengate.lighthouse.item_index import ItemIndex
 from brackengate.lighthouse.orders import History, decide
 from brackengate.lighthouse.recent import RecentEntries
 from brackengate.lighthouse.rows import CommittedRows
@@ -106,7 +107,7 @@
 
     hosts = [{"Host": HOST, "Paths": [route(CHANGED_ROUTE, "s0", 2)]}]
     order = json.dumps({"Apply": {"Hosts": hosts}}).encode()
-    items = dict(read_call(first_configuration(size)))
+    items = ItemIndex(read_call(first_configuration(size)))
     machines = table.pilots()
     return Units(
         proxies=proxies,
--- a/brackengate/emulator/calls/machine.py
+++ b/brackengate/emulator/calls/machine.py
@@ -142,7 +142,8 @@
     def _start(self, table: Table) -> None:
         for server in self.servers:
             server.start()
-        self.way.changed(table.snapshot(1, rows()))
+        table.snapshot(1, rows())
+        self.way.changed()
 
     def _looks_on(self, end: End) -> None:
         end.wrote = lambda end, data: self.said.__setitem__(end, data)
--- a/brackengate/lighthouse/chain.py
+++ b/brackengate/lighthouse/chain.py
@@ -33,6 +33,7 @@
     RefusedOrders,
     decide,
 )
+from brackengate.lighthouse.item_index import ItemIndex
 from brackengate.lighthouse.learning import Learner, keep_committed, take_piece
 from brackengate.lighthouse.log import ReplicaLog
 from brackengate.lighthouse.rows import KEY, LatestRows, State
@@ -132,7 +133,7 @@
         return self.held.rows
 
     @property
-    def items(self) -> dict[Name, Item]:
+    def items(self) -> ItemIndex:
         """The operator's, as in `rows`."""
         return self.held.items
 
--- a/brackengate/lighthouse/commands.py
+++ b/brackengate/lighthouse/commands.py
@@ -16,8 +16,9 @@
 
 from brackengate.lighthouse import orders
 from brackengate.lighthouse.actions import Answer
+from brackengate.lighthouse.item_index import ItemIndex
 from brackengate.lighthouse.rows import KEY
-from brackengate.signals.items import Invalid, Item, Name, read_call
+from brackengate.signals.items import Invalid, Name, read_call
 from brackengate.signals.words import (
     Amend,
     Claim,
@@ -164,7 +165,7 @@
     result: CommandResult | None = DONE
 
 
-def decide(what: Command, rows: Rows, items: Mapping[Name, Item]) -> Decision:
+def decide(what: Command, rows: Rows, items: ItemIndex) -> Decision:
     """At the head.  `rows`, `items`: all that it holds, agreed or not yet."""
     match what:
         case Amend(body):
@@ -189,7 +190,7 @@
     return held[1] if held is not None else None
 
 
-def _decide_order(body: str, rows: Rows, items: Mapping[Name, Item]) -> Decision:
+def _decide_order(body: str, rows: Rows, items: ItemIndex) -> Decision:
     try:
         order = read_call(body.encode())
     except Invalid as why:
--- a/brackengate/lighthouse/log.py
+++ b/brackengate/lighthouse/log.py
@@ -14,6 +14,7 @@
 import msgspec
 
 from brackengate.lighthouse.actions import Store
+from brackengate.lighthouse.item_index import ItemIndex
 from brackengate.lighthouse.recent import RecentEntries
 from brackengate.lighthouse.rows import LatestRows, Name, State, state_of
 from brackengate.signals.items import Item
@@ -41,7 +42,7 @@
     index: int
     generation: int = 0  # another one begins where some of what is held is dropped
     state: State = field(default_factory=State)
-    items: dict[Name, Item] = field(default_factory=dict)  # the operator's, as in `rows`
+    items: ItemIndex = field(default_factory=ItemIndex)  # the operator's, as in `rows`
     uncommitted: deque[Entry] = field(default_factory=deque)
     overlay: dict[Name, tuple[int, Any]] = field(default_factory=dict)  # the rows of these
     recent: RecentEntries = field(default_factory=_recent)
@@ -176,4 +177,4 @@
 
     def _take_item(self, kind: str, name: str, value: Any) -> None:
         if kind in ITEMS:
-            self.items[kind, name] = msgspec.convert(value, Item)
+            self.items.put((kind, name), msgspec.convert(value, Item))
--- a/brackengate/lighthouse/orders.py
+++ b/brackengate/lighthouse/orders.py
@@ -16,8 +16,9 @@
 
 import msgspec
 
+from brackengate.lighthouse.item_index import ItemIndex, Place, place_of, services_of
 from brackengate.signals.contents import digest
-from brackengate.signals.items import Invalid, Item, Name, NamedItem, Order, route
+from brackengate.signals.items import Invalid, Item, Name, NamedItem, Order, Route, route
 from brackengate.signals.words import (
     CommandDone,
     ConflictingOrder,
@@ -88,7 +89,7 @@
     histories: Mapping[Name, History]
 
 
-def decide(order: Order, held: Mapping[Name, Item], history_of: HistoryOf) -> OrderDecision:
+def decide(order: Order, held: ItemIndex, history_of: HistoryOf) -> OrderDecision:
     """Taken whole, with its records, or refused whole.
 
     An order that was taken has a record, or forgotten versions, for each of its items ever after.  So what
@@ -101,7 +102,7 @@
     fresh = [one for one in judged if one.verdict in NEVER_TAKEN]
     items = _effective(fresh)
     try:
-        _check_outcome(fresh, {**held, **items})
+        _check_outcome(fresh, items, held)
     except Invalid as why:
         return OrderDecision(InvalidOrder(str(why)), {}, {})
     return OrderDecision(CommandDone(), items, _records(fresh, items, held, history_of))
@@ -146,38 +147,54 @@
     return found
 
 
-def _check_outcome(fresh: list[Judged], after: Mapping[Name, Item]) -> None:
+def _check_outcome(fresh: list[Judged], items: Mapping[Name, Item], held: ItemIndex) -> None:
     """`Invalid` where the outcome holds two routes at one place, or a route's service is not known in it.
 
     The service is asked of every item that was never acknowledged, also of an overtaken one: an order that
     names an unknown service is invalid whatever its version.  Nothing is asked of what was acknowledged.
+    What stood before was sound, so only what the order changes is looked at.
     """
-    if not fresh:
-        return
-    services = {name for (kind, name), item in after.items() if kind == "plant" and item.body is not None}
-    standing = [item for (kind, _), item in after.items() if kind == "route" and item.body is not None]
-    coming = [one.item for one in fresh if one.name[0] == "route" and one.item.body is not None]
-    places: dict[tuple[str, str], str] = {}
-    for it in map(route, standing):
-        if places.setdefault((it.host, it.prefix), it.name) != it.name:
+    standing = [route(item) for (kind, _), item in items.items() if kind == "route" and item.body is not None]
+    _check_places(standing, items, held)
+    removed = [name for (kind, name), item in items.items() if kind == "plant" and item.body is None]
+    for service in removed:
+        for name in sorted(held.users(service)):
+            if ("route", name) not in items:
+                raise _unknown_service(name, service)
+    for one in fresh:
+        if one.name[0] == "route" and one.item.body is not None:
+            for service in services_of(route(one.item)):
+                if not _stands(("plant", service), items, held):
+                    raise _unknown_service(one.name[1], service)
+
+
+def _check_places(coming: Iterable[Route], items: Mapping[Name, Item], held: ItemIndex) -> None:
+    places: dict[Place, str] = {}
+    for it in coming:
+        place = place_of(it)
+        others = {name for name in held.at_place(place) if ("route", name) not in items}
+        if others or places.setdefault(place, it.name) != it.name:
             raise Invalid(f"two routes at {it.host}{it.prefix}")
-    for it in map(route, [*standing, *coming]):
-        for part in it.parts:
-            if part.plant not in services:
-                raise Invalid(
-                    f"route {it.name[:40]!r} names the service {part.plant[:40]!r}, which is not known"
-                )
+
+
+def _stands(name: Name, items: Mapping[Name, Item], held: ItemIndex) -> bool:
+    item = items[name] if name in items else held.get(name)
+    return item is not None and item.body is not None
+
+
+def _unknown_service(name: str, service: str) -> Invalid:
+    return Invalid(f"route {name[:40]!r} names the service {service[:40]!r}, which is not known")
 
 
 def _records(
-    fresh: Iterable[Judged], items: Mapping[Name, Item], held: Mapping[Name, Item], history_of: HistoryOf
+    fresh: Iterable[Judged], items: Mapping[Name, Item], held: ItemIndex, history_of: HistoryOf
 ) -> dict[Name, History]:
     """What of the order is overtaken already, and what it overtakes."""
     added: dict[Name, list[NamedItem]] = {}
     for one in fresh:
         if items.get(one.name) is not one.item:
             added.setdefault(one.name, []).append((one.name, one.item))
-    for name in items.keys() & held.keys():
+    for name in filter(held.__contains__, items):
         added.setdefault(name, []).append((name, held[name]))
     return {
         name: history_of(name).with_versions({item.version: digest(name[0], item) for _, item in found})
--- a/brackengate/pilot/role.py
+++ b/brackengate/pilot/role.py
@@ -263,7 +263,7 @@
         if known is not None and known.plant == self.settings.plant and not self._adopted:
             self.gate.adopt(known, self.clock.now())
         self._adopted = True
-        self.way.changed(kinds)
+        self.way.changed()
         if kinds & {"inst", "silent"}:
             doubted = {machine for machines in self.table.noticed.values() for machine in machines}
             self.watcher.know(self.table.pilots(), doubted)
--- a/brackengate/pilot/table.py
+++ b/brackengate/pilot/table.py
@@ -1,9 +1,13 @@
-"""What a pilot follows: routes, services and upstreams, as rows with versions.  Pure."""
+"""What a pilot follows: routes, services and upstreams, as rows with versions.  Pure.
+
+All that is looked up is kept up with each row, so that a change costs its own size.
+"""
 
 from __future__ import annotations
 
 import bisect
-from collections.abc import Iterable
+from collections.abc import Iterable, Mapping
+from dataclasses import dataclass, field
 
 import msgspec
 
@@ -11,6 +15,14 @@
 from brackengate.signals.words import ITEMS, Instance, Row
 
 
+@dataclass(slots=True)
+class Touched:
+    """What has changed since this was last asked."""
+
+    routes: set[str] = field(default_factory=set)  # by name
+    services: set[str] = field(default_factory=set)  # those whose upstreams did
+
+
 class Table:
     """Never goes from a newer version of an item to an older one, whichever lighthouse says what."""
 
@@ -22,6 +34,8 @@
         self.noticed: dict[str, tuple[str, ...]] = {}  # by watcher, the machines that it does not hear
         self._routes: dict[str, Route] = {}
         self._hosts: dict[str, dict[str, Route]] = {}  # by host and prefix
+        self._upstreams: dict[str, dict[str, Instance]] = {}  # those that are not gone, by service
+        self._touched = Touched()
 
     @property
     def known(self) -> bool:
@@ -50,22 +64,44 @@
                     changed.add(kind)
             elif kind == "inst":
                 changed.add(kind)
-                if value is None:
-                    self.instances.pop(name, None)
-                else:
-                    self.instances[name] = msgspec.convert(value, Instance)
+                self._instance(name, msgspec.convert(value, Instance) if value is not None else None)
             elif kind == "silent":
                 changed.add(kind)
                 if value:
                     self.noticed[name] = tuple(value)
                 else:
                     self.noticed.pop(name, None)
-        if "route" in changed:
-            self._hosts = {}
-            for one in self._routes.values():
-                self._hosts.setdefault(one.host, {})[one.prefix] = one
         return changed
 
+    def take_touched(self) -> Touched:
+        touched, self._touched = self._touched, Touched()
+        return touched
+
+    def _instance(self, machine: str, now: Instance | None) -> None:
+        before = self.instances.pop(machine, None)
+        if before is not None:
+            self._touched.services.add(before.plant)
+            self._upstreams.get(before.plant, {}).pop(machine, None)
+        if now is None:
+            return
+        self.instances[machine] = now
+        self._touched.services.add(now.plant)
+        if now.state != "gone":
+            self._upstreams.setdefault(now.plant, {})[machine] = now
+
+    def _set_route(self, name: str, now: Route | None) -> None:
+        before = self._routes.pop(name, None)
+        self._touched.routes.add(name)
+        if before is not None:
+            prefixes = self._hosts[before.host]
+            if prefixes.get(before.prefix) is before:  # another one may have come to its place
+                del prefixes[before.prefix]
+                if not prefixes:
+                    del self._hosts[before.host]
+        if now is not None:
+            self._routes[name] = now
+            self._hosts.setdefault(now.host, {})[now.prefix] = now
+
     def _item(self, kind: str, name: str, item: Item) -> bool:
         held = self._items.get((kind, name))
         if held is not None and held.version >= item.version:
@@ -73,9 +109,9 @@
         self._items[kind, name] = item
         try:
             if kind == "route":
-                self._routes.pop(name, None)
+                self._set_route(name, None)
                 if item.body is not None:
-                    self._routes[name] = route(item)
+                    self._set_route(name, route(item))
             elif kind == "plant":
                 self.plants.pop(name, None)
                 if item.body is not None:
@@ -86,7 +122,14 @@
 
     def pilots(self) -> list[str]:
         """The machines whose pilot has an upstream beside it."""
-        return [machine for machine, instance in self.instances.items() if instance.state != "gone"]
+        return [machine for upstreams in self._upstreams.values() for machine in upstreams]
+
+    def upstreams_of(self, service: str) -> Mapping[str, Instance]:
+        """Those that are not gone, by machine."""
+        return self._upstreams.get(service, {})
+
+    def route(self, name: str) -> Route | None:
+        return self._routes.get(name)
 
     def routes(self) -> Iterable[Route]:
         return self._routes.values()
--- a/brackengate/pilot/way.py
+++ b/brackengate/pilot/way.py
@@ -141,6 +141,8 @@
         )
         self.module = Balancer(settings, seed)
         self.node = Node(loop, clock, settings, self.module, self.pool, MeshWords())
+        self.classes: dict[str, RequestClass] = {}  # by route
+        self.node.classes = self.classes
         self._started: dict[str, int] = {}  # when an upstream became known here, less what it had been up
         self._pilots: dict[str, str] = {}  # by upstream, the life of the pilot beside it
 
@@ -174,9 +176,9 @@
         for id_ in [id_ for id_, at in self.pool.wanted.items() if at == address]:
             self.node.told(Standing(id_, up))
 
-    def classes(self, classes: dict[str, RequestClass]) -> None:
-        self.node.classes = classes
-        self.node.told(Classes(tuple(classes.values())))
+    def tell_classes(self) -> None:
+        """After a change of `classes`."""
+        self.node.told(Classes(tuple(self.classes.values())))
 
 
 class WayOut:
@@ -206,33 +208,54 @@
         self._loop, self._clock, self._budget, self._table = loop, clock, budget, table
         self._plant, self._address_of, self._rng, self._bytes = plant.encode(), address_of, rng, bytes_
         self.services: dict[str, Service] = {}
+        self._goes_to: dict[str, set[str]] = {}  # services, by route
+        self._pilots = 0  # of which the services know
         self._count = 0
 
     # --- what the table says
 
-    def changed(self, kinds: set[str]) -> None:
-        table = self._table
-        if "route" in kinds or "plant" in kinds:
-            classes: dict[str, dict[str, RequestClass]] = {}
-            for route in table.routes():
-                for part in route.parts:
-                    classes.setdefault(part.plant, {})[route.name] = _class_of(route)
-            for name in classes:
-                if name not in self.services:
-                    seed = self._rng.getrandbits(64)
-                    self.services[name] = Service(
-                        name, self._loop, self._clock, self._budget, seed, self._bytes, self._wire
-                    )
-                    self.services[name].node.observer = self._wake
-            for name, service in self.services.items():
-                service.classes(classes.get(name, {}))
-        rows: dict[str, list[tuple[str, Instance, Address]]] = {}
-        for machine, instance in table.instances.items():
-            if instance.state != "gone":
-                rows.setdefault(instance.plant, []).append((machine, instance, self._address_of(machine)))
+    def changed(self) -> None:
+        """Bring the services to what the table says, as far as that has changed."""
+        touched = self._table.take_touched()
+        begun = self._routes_changed(touched.routes)
+        for name in sorted((touched.services | begun) & self.services.keys()):
+            upstreams = self._table.upstreams_of(name)
+            self.services[name].listed(
+                [(machine, one, self._address_of(machine)) for machine, one in upstreams.items()]
+            )
+        pilots = len(self._table.pilots()) if touched.services else self._pilots
         for name, service in self.services.items():
-            service.listed(rows.get(name, []))
-            service.node.told(ration(*self._tries, len(table.pilots())))
+            if pilots != self._pilots or name in begun:
+                service.node.told(ration(*self._tries, pilots))
+        self._pilots = pilots
+
+    def _routes_changed(self, names: set[str]) -> set[str]:
+        """The services that are new by it."""
+        changed, begun = set[str](), set[str]()
+        for name in sorted(names):
+            route = self._table.route(name)
+            now = {part.plant for part in route.parts} if route is not None else set()
+            for service in self._goes_to.pop(name, set()) - now:
+                self.services[service].classes.pop(name, None)
+                changed.add(service)
+            if route is None:
+                continue
+            self._goes_to[name] = now
+            for service in sorted(now):
+                if service not in self.services:
+                    self.services[service] = self._begin(service)
+                    begun.add(service)
+                self.services[service].classes[name] = _class_of(route)
+            changed |= now
+        for service in sorted(changed):
+            self.services[service].tell_classes()
+        return begun
+
+    def _begin(self, name: str) -> Service:
+        seed = self._rng.getrandbits(64)
+        service = Service(name, self._loop, self._clock, self._budget, seed, self._bytes, self._wire)
+        service.node.observer = self._wake
+        return service
 
     def standing(self, machine: str, up: bool) -> None:
         for service in self.services.values():
--- a/tests/bridge/test_bridge_pure.py
+++ b/tests/bridge/test_bridge_pure.py
@@ -12,6 +12,7 @@
 from brackengate.bridge import archive, figures, hops
 from brackengate.bridge.changes import as_call, compare, items_of, sound
 from brackengate.interface import Outcome, Request
+from brackengate.lighthouse.item_index import ItemIndex
 from brackengate.lighthouse.orders import History, decide
 from brackengate.pilot.hop import Said
 from brackengate.pilot.wake import MOST_OPEN, Wake
@@ -94,10 +95,10 @@
 class Backups(TestCase):
     def test_an_empty_mesh_gets_all_of_it_and_a_newer_one_keeps_its_own(self) -> None:
         body = archive.call_of(archive.unpack(archive.pack(ITEMS, "now")))
-        first = decide(read_call(body), {}, lambda _: History())
+        first = decide(read_call(body), ItemIndex(), lambda _: History())
         self.assertThat((first.result, first.items), Equals((CommandDone(), items_of(HELD))))
         newer = items_of([*HELD[:1], HeldItem("route", "a", 9, 8), *HELD[2:]])
-        again = decide(read_call(body), newer, lambda _: History())
+        again = decide(read_call(body), ItemIndex(newer.items()), lambda _: History())
         self.assertThat((again.result, again.items), Equals((CommandDone(), {})))
 
     def test_a_damaged_or_newer_file_is_turned_down(self) -> None:
--- a/tests/lighthouse/test_orders.py
+++ b/tests/lighthouse/test_orders.py
@@ -11,6 +11,7 @@
 from testtools.matchers import Equals
 
 from brackengate.lighthouse.commands import DONE, HISTORY, decide
+from brackengate.lighthouse.item_index import ItemIndex
 from brackengate.lighthouse.orders import REMEMBERED, History
 from brackengate.signals.items import Item, Name
 from brackengate.signals.words import ITEMS, Amend, ConflictingOrder, InvalidOrder, Row, UndecidedOrder
@@ -24,7 +25,7 @@
 
     def __init__(self, *bodies: str) -> None:
         self.rows: Kept = {}
-        self.items: dict[Name, Item] = {}
+        self.items = ItemIndex()
         for body in bodies:
             assert self.send(body) == "done", body
 
@@ -43,7 +44,7 @@
         for kind, name, value in rows:
             self.rows[kind, name] = (len(self.rows), value)
             if kind in ITEMS:
-                self.items[kind, name] = msgspec.convert(value, Item)
+                self.items.put((kind, name), msgspec.convert(value, Item))
 
     def __getitem__(self, name: str) -> str:
         """Version and time-out of a route that stands."""
--- a/tests/pilot/pilots.py
+++ b/tests/pilot/pilots.py
@@ -131,7 +131,8 @@
             for name, kind in (("read", "idempotent"), ("buy", "effectful"), ("bid", "keyed"))
         ]
         instance = {"id": "i-1", "plant": "p", "zone": "z", "state": "ready", "capacity": 100}
-        self.way.changed(table.snapshot(1, [*rows, ("inst", LOCAL, instance)]))
+        table.snapshot(1, [*rows, ("inst", LOCAL, instance)])
+        self.way.changed()
 
     def _address_of(self, machine: str) -> tuple[str, int]:
         return LOCAL, self.holder.inbound if self.holder and machine == "other" else self.inbound
