--- a/brackengate/lighthouse/actions.py
+++ b/brackengate/lighthouse/actions.py
@@ -5,6 +5,7 @@
 from dataclasses import dataclass, field
 from typing import Any
 
+from brackengate.lighthouse.staging import StagedOrder
 from brackengate.signals.words import Entry, Line, Row
 
 
@@ -47,10 +48,18 @@
 
 @dataclass(slots=True)
 class Publish:
-    """These rows are agreed: followers may have them."""
+    """These rows are agreed: followers may have them.  `staged`: orders by which some were delivered."""
 
     index: int
     rows: tuple[Row, ...]
+    staged: tuple[str, ...] = ()
+
+
+@dataclass(slots=True)
+class Deliver:
+    """Followers may fetch this order; say `delivered` when all in touch hold it."""
+
+    order: StagedOrder
 
 
 @dataclass(slots=True)
@@ -58,4 +67,4 @@
     """What was published is no longer a prefix of what is held: followers take a snapshot."""
 
 
-Action = Tell | Store | Answer | Publish | Restart
+Action = Tell | Store | Answer | Publish | Deliver | Restart
--- a/brackengate/lighthouse/chain.py
+++ b/brackengate/lighthouse/chain.py
@@ -22,7 +22,7 @@
 
 import msgspec
 
-from brackengate.lighthouse.actions import Action, Publish, Restart, Tell
+from brackengate.lighthouse.actions import Action, Deliver, Publish, Restart, Tell
 from brackengate.lighthouse.ages import KeyAges
 from brackengate.lighthouse.commands import (
     GIVE_UP_AFTER,
@@ -35,13 +35,22 @@
 )
 from brackengate.lighthouse.item_index import ItemIndex
 from brackengate.lighthouse.learning import Learner, keep_committed, take_piece
-from brackengate.lighthouse.log import ReplicaLog
+from brackengate.lighthouse.log import PublicChanges, ReplicaLog, public_changes
 from brackengate.lighthouse.rows import KEY, LatestRows, State
+from brackengate.lighthouse.staging import (
+    PER_ROW,
+    Deliveries,
+    Delivery,
+    StagedOrder,
+    StagedOrders,
+    staged_order,
+)
 from brackengate.lighthouse.transfer import COMPLETE, next_piece
 from brackengate.lighthouse.view import LogStatus
 from brackengate.signals.items import Item, Name, layout
 from brackengate.signals.words import (
     ITEMS,
+    PUBLIC,
     Ack,
     Amend,
     Append,
@@ -50,17 +59,21 @@
     CopyPiece,
     CopyPosition,
     CopyRequest,
+    Delivered,
     Entry,
     Line,
     Position,
     Result,
     Row,
+    Stage,
     Submit,
+    Underway,
     View,
 )
 
 HAVE = 200_000  # a member that has not met the one before it says again what it has
 PRUNE_AT_ONCE = 500
+DELIVER_WITHIN = 1_200_000  # a large order waits so long for its followers at the most, and `PER_ROW`
 PRUNE, PRUNE_ON = 1_000_000, 100_000  # between two looks for old keys, and while there are more
 
 
@@ -90,6 +103,9 @@
         self._pruned_to = 0  # the last entry that frees old keys
         self._commands = PendingCommands(now)
         self._refused = RefusedOrders()
+        self.deliver_within = DELIVER_WITHIN
+        self.staged = StagedOrders()
+        self._deliveries = Deliveries()
         self._pending_replies: deque[PendingReply] = deque()
 
     def load(
@@ -183,6 +199,8 @@
         self._next_from = self._owed = None
         self._fed = False
         self._pending_replies.clear()  # whoever asked asks again
+        self._deliveries = Deliveries()
+        self.staged.forget_open()
         out: list[Action] = []
         if not self.has_snapshot:
             out += self._drop_entries()
@@ -208,6 +226,7 @@
         out += self._give_up(now)
         for command_id in self._commands.due(now):
             out += self._submit(command_id, now)
+        out += self._enter_delivered(now)
         self.ages.mark(now, self.state.index)
         if now - self._pruned > (PRUNE_ON if self.ages.looking else PRUNE):
             self._pruned = now
@@ -266,11 +285,69 @@
         fit = self._chain_position() == 0 and self.has_snapshot and not self.epoch_closed
         if not fit or len(self.view.members) < self.min_replicas or word.epoch != self.view.epoch:
             return []  # submitted again once its replica knows the view
-        decision = decide(word.what, self.rows, self.items)
-        if isinstance(word.what, Amend) and not self._answers_order(word.what.body, decision, now):
+        if isinstance(word.what, Amend):
+            return self._execute_order(addr, word.id, word.what, now)
+        return self._enter(addr, word.id, decide(word.what, self.rows, self.items), now)
+
+    def _execute_order(self, addr: str, id_: int, what: Amend, now: int) -> list[Action]:
+        """A large one is delivered first."""
+        delivery = self._deliveries.by_body.get(what.body)
+        if delivery is not None:
+            delivery.joined(addr, id_, now)
+            return self._say_underway(addr, id_)
+        decision = decide(what, self.rows, self.items)
+        if not self._answers_order(what.body, decision, now):
+            return []
+        order = staged_order([row for row in decision.rows if row[0] in PUBLIC])
+        if order is None:
+            return self._enter(addr, id_, decision, now)
+        until = now + self.deliver_within + PER_ROW * len(decision.rows)
+        members = [member.addr for member in self.view.members]
+        delivery = self._deliveries.begin(what.body, order, members, until)
+        delivery.joined(addr, id_, now)
+        stage = Stage(self.view.epoch, order.id, order.pieces)
+        out: list[Action] = [Tell(member, stage) for member in members if member != self.me]
+        return [*out, *self._deliver(order), *self._say_underway(addr, id_)]
+
+    def _say_underway(self, addr: str, id_: int) -> list[Action]:
+        if addr == self.me:
+            self._commands.underway(id_, self._now)
+            return []
+        return [Tell(addr, Underway(id_))]
+
+    def _deliver(self, order: StagedOrder) -> list[Action]:
+        self.staged.add(order)
+        return [Deliver(order)]
+
+    def delivered(self, id_: str, now: int) -> list[Action]:
+        """All followers of this member that are in touch hold that order."""
+        self._now = now
+        if self.head != self.me:
+            return [Tell(self.head, Delivered(self.view.epoch, id_))] if self.head else []
+        self._deliveries.delivered(id_, self.me)
+        return self._enter_delivered(now)
+
+    def _enter_delivered(self, now: int) -> list[Action]:
+        """Orders are decided now, whatever was decided when their delivery began."""
+        if self._chain_position() != 0 or not self.has_snapshot or self.epoch_closed:
             return []
-        out = self._append(list(decision.rows), now)
-        self._pending_replies.append(PendingReply(self.index, addr, word.id, decision.result))
+        return [
+            action for delivery in self._deliveries.take_over(now) for action in self._decide(delivery, now)
+        ]
+
+    def _decide(self, delivery: Delivery, now: int) -> list[Action]:
+        out: list[Action] = []
+        for one in delivery.submissions:
+            decision = decide(Amend(delivery.body), self.rows, self.items)
+            if self._answers_order(delivery.body, decision, now):
+                out += self._enter(one.addr, one.id, decision, now, delivery.order.id)
+        return out
+
+    def _enter(self, addr: str, id_: int, decision: Decision, now: int, staged: str = "") -> list[Action]:
+        """`staged`: the order by which its rows were delivered."""
+        entry = Entry(self.index + 1, decision.rows, staged if decision.rows else "")
+        out = self._take((entry,), now)
+        self._pending_replies.append(PendingReply(self.index, addr, id_, decision.result))
         return out
 
     def _answers_order(self, body: str, decision: Decision, now: int) -> bool:
@@ -315,6 +392,15 @@
         match word:
             case Submit():
                 return self._execute(addr, word, now)
+            case Underway():
+                self._commands.underway(word.id, now)
+            case Stage():
+                if word.epoch == self.view.epoch and addr == self.head:
+                    return self._deliver(StagedOrder(word.id, word.pieces))
+            case Delivered():
+                if word.epoch == self.view.epoch:
+                    self._deliveries.delivered(word.id, addr)
+                    return self._enter_delivered(now)
             case Result():
                 return self._resolved(word)
             case Position():
@@ -438,12 +524,12 @@
             return out
         was_ready = self.ready
         self.commit_index = index
-        rows = self.held.commit(index)
+        changes = self.held.commit(index)
         if self.ready and not was_ready:
             self.held.recent_public.begin(index)
             out.append(Restart())
-        elif self.ready and rows:
-            out.append(Publish(index, tuple(rows)))
+        elif self.ready and changes.rows:
+            out.append(Publish(index, changes.rows, changes.staged))
         while self._pending_replies and self._pending_replies[0].index <= index:
             out += self._reply(self._pending_replies.popleft())
         return out
@@ -486,6 +572,11 @@
 
     # --- what followers get
 
+    @property
+    def public_index(self) -> int:
+        """Of the last committed row that followers may have."""
+        return self.state.public_index
+
     @property
     def published(self) -> Mapping[Name, tuple[int, Any]]:
         """All that is agreed of what followers may have, with the place of each."""
@@ -497,14 +588,12 @@
         )
         return Configuration(layout(held))
 
-    def changes_since(self, index: int) -> tuple[int, tuple[Row, ...]] | None:
-        """The index that they lead to, and the rows; None where a follower has to take a copy."""
+    def changes_since(self, index: int) -> PublicChanges | None:
+        """None where a follower has to take a copy."""
         if index > self.commit_index:
-            return index, ()  # it has seen more than this member: nothing until there is news for it
+            return PublicChanges(index, ())  # it has seen more than this member: nothing until there is news
         entries = self.held.recent_public.all_after(index)
-        if entries is None:
-            return None
-        return self.commit_index, tuple(row for entry in entries for row in entry.rows)
+        return public_changes(self.commit_index, entries) if entries is not None else None
 
     def public_piece(self, request: CopyRequest) -> CopyPiece | None:
         """Of a follower's copy."""
--- a/brackengate/lighthouse/commands.py
+++ b/brackengate/lighthouse/commands.py
@@ -39,8 +39,10 @@
 )
 
 RESUBMIT_AFTER = 400_000  # a command without a result is submitted again, microseconds
+UNDERWAY = 1_600_000  # that much later, while the head is at work on it
 GIVE_UP_AFTER = 12_000_000  # and forgotten
 OPERATOR_PATIENCE = 2_000_000  # an operator goes elsewhere after a second: no longer is its call pursued
+PATIENCE_PER_BYTE = 20  # and longer with a large order, which is delivered first: 4 ms for each route
 HOLD_REFUSED = 4_000_000  # longer than that, and than its last submission can be under way
 MOST_REFUSED = 1_000  # orders whose refusal a head remembers
 HISTORY = "history"  # rows of what was acknowledged of an item, see `orders.py`
@@ -99,6 +101,12 @@
         self.command_of[self.last_id] = command_id
         return Submit(self.last_id, pending.what, epoch)
 
+    def underway(self, number: int, now: int) -> None:
+        """The head has it, and is at work on it."""
+        command_id = self.command_of.get(number)
+        if command_id is not None:
+            self.by_id[command_id].sent = now + UNDERWAY
+
     def resolved(self, word: Result) -> Answer | None:
         """None: nobody waits for it, or it may still come to another end."""
         command_id = self.command_of.get(word.id)
--- a/brackengate/lighthouse/contact.py
+++ b/brackengate/lighthouse/contact.py
@@ -51,7 +51,7 @@
         self._pinged = self._ticked = now
         self._adopted = now  # when it learned of this view
         self._open_until = NEVER  # it had promised nothing in this epoch by then
-        self._lease_from = NEVER  # at this time, what was in force here was in force for all
+        self.lease_from = NEVER  # at this time, what was in force here was in force for all
         self._apart: dict[tuple[str, str], int] = {}  # pairs that do not hear each other, since when
 
     # --- what is known
@@ -80,7 +80,7 @@
         ahead = any(
             peer.said is not None and peer.said.epoch > self.view.epoch for peer in self.peers.values()
         )
-        return self.is_member and not ahead and now - self._lease_from < LEASE
+        return self.is_member and not ahead and now - self.lease_from < LEASE
 
     def _renew_lease(self, now: int) -> None:
         """A next view needs the promises of a majority: a majority that had promised nothing by then, this
@@ -89,7 +89,7 @@
         others = [self.peers[member.addr] for member in self._other_members() if self._same(member)]
         open_since = [peer.open_since for peer in others if peer.open_epoch == self.view.epoch]
         since = min(self._open_until, majority_since(open_since, self.view.majority - 1, now))
-        self._lease_from = max(self._lease_from, since)
+        self.lease_from = max(self.lease_from, since)
 
     def _closes(self, now: int) -> None:
         """To be called before a promise."""
--- a/brackengate/lighthouse/control.py
+++ b/brackengate/lighthouse/control.py
@@ -9,7 +9,8 @@
 import msgspec
 
 from brackengate.http.message import Arrival, Bad
-from brackengate.lighthouse.commands import OPERATOR_PATIENCE
+from brackengate.lighthouse.commands import OPERATOR_PATIENCE, PATIENCE_PER_BYTE
+from brackengate.lighthouse.staging import STAGED_BYTES
 from brackengate.net.http import CallerConnection
 from brackengate.signals.door import MOST_BODY, collect, rpc
 from brackengate.signals.words import (
@@ -58,13 +59,14 @@
         except UnicodeDecodeError:
             connection.respond(400, _error("not UTF-8"), JSON)
             return
-        self._ask(Amend(text), connection, "config.amend")
+        patience = OPERATOR_PATIENCE + PATIENCE_PER_BYTE * max(0, len(body) - STAGED_BYTES)
+        self._ask(Amend(text), connection, "config.amend", patience)
 
-    def _ask(self, what: Command, connection: CallerConnection, call: str) -> None:
+    def _ask(
+        self, what: Command, connection: CallerConnection, call: str, patience: int = OPERATOR_PATIENCE
+    ) -> None:
         """A caller that goes may be refused elsewhere: its call is not pursued any more."""
-        number = self._asks.ask(
-            what, lambda result: self._answer(connection, call, result), OPERATOR_PATIENCE
-        )
+        number = self._asks.ask(what, lambda result: self._answer(connection, call, result), patience)
         connection.hold(lambda: self._asks.withdraw(number))
 
     def _answer(self, connection: CallerConnection, call: str, result: CommandResult | None) -> None:
--- a/brackengate/lighthouse/log.py
+++ b/brackengate/lighthouse/log.py
@@ -34,6 +34,21 @@
     return RecentEntries(RECENT_PUBLIC, RECENT_PUBLIC_BYTES)
 
 
+@dataclass(frozen=True, slots=True)
+class PublicChanges:
+    """What followers may have of some entries.  `staged`: the orders that some of it was delivered by."""
+
+    index: int  # that it leads to
+    rows: tuple[Row, ...]
+    staged: tuple[str, ...] = ()
+
+
+def public_changes(index: int, entries: Iterable[Entry]) -> PublicChanges:
+    entries = tuple(entries)
+    rows = tuple(row for entry in entries for row in entry.rows)
+    return PublicChanges(index, rows, tuple(entry.staged for entry in entries if entry.staged))
+
+
 @dataclass
 class ReplicaLog:
     """`index`: of the last entry.  `firm`: whether all rows of `state` are known to be committed; those of a
@@ -82,15 +97,16 @@
             self.overlay[kind, name] = (entry.index, value)
             self._take_item(kind, name, value)
 
-    def commit(self, index: int) -> list[Row]:
-        """All up to there is committed; the rows of it that followers may have."""
+    def commit(self, index: int) -> PublicChanges:
+        """All up to there is committed."""
         self.firm = self.firm or index >= self.firm_from
-        public: list[Row] = []
+        entries: list[Entry] = []
         while self.uncommitted and self.uncommitted[0].index <= index:
-            public += self._commit_entry(self.uncommitted.popleft())
-        return public
+            entries.append(self._commit_entry(self.uncommitted.popleft()))
+        return public_changes(index, entries)
 
-    def _commit_entry(self, entry: Entry) -> list[Row]:
+    def _commit_entry(self, entry: Entry) -> Entry:
+        """What of it followers may have."""
         for row in entry.rows:
             self.state.set(entry.index, row)
             self.folded.append((entry.index, row))
@@ -98,9 +114,9 @@
                 del self.overlay[row[0], row[1]]
         self.state.index = entry.index
         self.recent.add(entry)
-        public = [row for row in entry.rows if row[0] in PUBLIC]
-        if public:
-            self.recent_public.add(Entry(entry.index, tuple(public)))
+        public = Entry(entry.index, tuple(row for row in entry.rows if row[0] in PUBLIC), entry.staged)
+        if public.rows:
+            self.recent_public.add(public)
         return public
 
     def drop_uncommitted(self) -> None:
--- a/brackengate/lighthouse/replica.py
+++ b/brackengate/lighthouse/replica.py
@@ -18,15 +18,21 @@
     Command,
     CopyPiece,
     CopyRequest,
+    Delivered,
     Entry,
     Line,
     Member,
     Position,
     Result,
+    Stage,
     Submit,
+    Underway,
     View,
 )
 
+OF_THE_LOG = (
+    Submit, Underway, Stage, Delivered, Result, Position, Append, CopyRequest, CopyPiece, Ack,
+)  # fmt: skip
 FIRST = "first"  # the life of a disk at the system's very first start
 
 
@@ -90,7 +96,7 @@
         return out + self.chain.tick(now)
 
     def heard(self, addr: str, word: Line, now: int) -> list[Action]:
-        if isinstance(word, Submit | Result | Position | Append | CopyRequest | CopyPiece | Ack):
+        if isinstance(word, OF_THE_LOG):
             return self.chain.heard(addr, word, now)
         return self._settle(self.agreement.heard(addr, word, now, self.chain.log()), now)
 
@@ -112,6 +118,9 @@
     def withdraw(self, local: int) -> None:
         self.chain.withdraw(local)
 
+    def delivered(self, id_: str, now: int) -> list[Action]:
+        return self.chain.delivered(id_, now)
+
     def set_disk_healthy(self, disk_healthy: bool) -> None:
         """Whether the disk takes what it is given, in time."""
         self.agreement.disk_healthy = disk_healthy
@@ -123,6 +132,10 @@
     def rejoin(self) -> None:
         self.agreement.rejoin()
 
+    def current_as_of(self) -> int:
+        """Where it serves: everything that was acknowledged by then is committed here."""
+        return self.agreement.lease_from
+
     def serves(self, now: int) -> bool:
         """Whether followers may rely on it."""
         return self.chain.ready and self.agreement.holds_lease(now)
--- a/brackengate/lighthouse/role.py
+++ b/brackengate/lighthouse/role.py
@@ -9,13 +9,15 @@
 import signal
 import sqlite3
 from collections.abc import Callable
-from dataclasses import dataclass
+from dataclasses import dataclass, field
 from typing import Any
 
-from brackengate.lighthouse.actions import Action, Answer, Publish, Restart, Store, Tell
+from brackengate.lighthouse.actions import Action, Answer, Deliver, Publish, Restart, Store, Tell
 from brackengate.lighthouse.commands import GIVE_UP_AFTER
 from brackengate.lighthouse.control import Control
+from brackengate.lighthouse.log import PublicChanges
 from brackengate.lighthouse.replica import FIRST, Replica, StoredState
+from brackengate.lighthouse.staging import FollowerProgress, StagedOrder, by_reference
 from brackengate.lighthouse.store import Damaged, Drive, Waits, damaged
 from brackengate.lighthouse.watchroom import Watchroom
 from brackengate.net.ground import Ground
@@ -23,11 +25,13 @@
 from brackengate.net.sockets import Address
 from brackengate.signals.door import listener
 from brackengate.signals.lines import Dialer, Lines, encoded
+from brackengate.signals.parts import EncodedMessage
 from brackengate.signals.settings import Settings, plain
 from brackengate.signals.words import (
     Away,
     Beat,
     Changes,
+    ClockRequest,
     Command,
     CopyPosition,
     CopyRequest,
@@ -39,6 +43,10 @@
     Line,
     Result,
     Seen,
+    StagedPosition,
+    StageOffer,
+    StagePiece,
+    StageRequest,
 )
 
 log = logging.getLogger("brackengate.lighthouse")
@@ -47,6 +55,7 @@
 BEAT = 150_000  # a follower hears something at least so often, give or take a tick
 SLOW = 400_000  # a disk that takes longer over a write is not healthy
 NO_COPY = CopyPosition()
+DELIVER_PART = 30  # hundredths of `Ack` that a large order may wait for its followers
 RETRY_S = 0.3  # a write that failed is tried again
 
 
@@ -55,8 +64,9 @@
     lines: Lines
     index: int = -1
     follows: bool = False
-    said: int = 0
+    beat_at: int = 0  # when it got a heartbeat last
     tells: bool = False
+    progress: FollowerProgress = field(default_factory=FollowerProgress)
     copying: bool = False  # it asks for one piece of a copy after the other; changes come after the last one
 
 
@@ -79,6 +89,7 @@
         self._writing_since = 0
         self._failed = False
         self._followers: dict[Lines, Follower] = {}
+        self._stage_pieces: dict[tuple[str, int], EncodedMessage] = {}  # made once for all followers
         self._pending: dict[int, Callable[[Any], None]] = {}
         self._last_ask = 0
         self._core: Core | None = None
@@ -97,6 +108,7 @@
         seeds = [f"{host}:{port}" for host, port in settings.seeds]
         window = settings.bounds.dedupe_window
         self.replica = Replica(self.me, settings.zone, kept, seeds, first, settings.min_replicas, window, now)
+        self.replica.chain.deliver_within = settings.bounds.ack * DELIVER_PART // 100
         self._watchroom = Watchroom(self.replica, self._followers, self.ask, self.now)
         self._inner = await self._loop.create_server(
             lambda: Lines(self._on_line, self._on_open, self._on_lost), settings.ip, self._port
@@ -146,6 +158,7 @@
         self.replica.set_disk_healthy(not self._failed and not slow)
         self._carry_out(self.replica.tick(now))
         self._keep_followers(now)
+        self._look_at_deliveries()
         view = self.replica.agreement.view
         if view.epoch != self._logged:
             self._logged = view.epoch
@@ -167,6 +180,11 @@
             elif isinstance(action, Publish):
                 self._part_unless_current()
                 self._publish(action)
+            elif isinstance(action, Deliver):
+                for follower in self._followers.values():
+                    if follower.follows:
+                        self._offer(follower, action.order)
+                self._look_at_deliveries()
             elif isinstance(action, Restart):
                 self._part_unless_current()
                 for follower in self._followers.values():
@@ -260,9 +278,16 @@
             follower.copying = False
             if self.replica.serves(self.now()):
                 self._say(follower, self._core_line())
+                self._say_beat(follower, word.sent)
+                self._take_positions(follower, word.staged)
                 self._catch_up(follower, word.copy, even_none=True)
             else:
                 self._send_away(follower)
+        elif isinstance(word, ClockRequest):
+            if follower.follows and self.replica.serves(self.now()):
+                self._say_beat(follower, word.sent)
+        elif isinstance(word, StageRequest):
+            self._send_stage_piece(follower, word)
         elif isinstance(word, CopyRequest):
             if follower.follows:
                 self._send_piece(follower, word)
@@ -295,9 +320,15 @@
         return Core(tuple(self.replica.agreement.zones().items()))
 
     def _say(self, follower: Follower, word: Line) -> None:
-        follower.said = self.now()
         follower.lines.send(word)
 
+    def _say_beat(self, follower: Follower, echo: int = 0) -> None:
+        """Changes are none: with them alone a follower would not know that it is current."""
+        now = self.now()
+        follower.beat_at = now
+        index, age = self.replica.chain.public_index, now - self.replica.current_as_of()
+        follower.lines.send(Beat(index, now, age, echo))
+
     def _catch_up(self, follower: Follower, copy: CopyPosition = NO_COPY, even_none: bool = False) -> None:
         """`copy`: how far a copy is that it has begun."""
         news = self.replica.chain.changes_since(follower.index)
@@ -306,10 +337,9 @@
                 self._send_piece(follower, CopyRequest(0, copy))
             return
         follower.copying = False
-        index, rows = news
-        if rows or even_none:
-            self._say(follower, Changes(index, rows))
-        follower.index = max(follower.index, index)
+        if news.rows or even_none:
+            self._say(follower, self._changes(news, self._held_of(follower, news.staged)))
+        follower.index = max(follower.index, news.index)
 
     def _send_piece(self, follower: Follower, request: CopyRequest) -> None:
         piece = self.replica.chain.public_piece(request) if self.replica.serves(self.now()) else None
@@ -323,11 +353,65 @@
         self._say(follower, piece)
 
     def _publish(self, news: Publish) -> None:
-        data, now = encoded(Changes(news.index, news.rows)), self.now()
+        changes = PublicChanges(news.index, news.rows, news.staged)
+        messages: dict[tuple[str, ...], EncodedMessage] = {}  # by the staged orders that a follower holds
         for follower in self._followers.values():
             if follower.follows and not follower.copying and follower.index < news.index:
-                follower.index, follower.said = news.index, now
-                follower.lines.send_raw(data)
+                held = self._held_of(follower, news.staged)
+                if held not in messages:
+                    messages[held] = encoded(self._changes(changes, held))
+                follower.index = news.index
+                follower.lines.send_raw(messages[held])
+
+    # --- staged orders
+
+    def _changes(self, news: PublicChanges, held: tuple[str, ...]) -> Changes:
+        """`held`: the staged orders that its receiver holds: it gets references to those."""
+        staged = self.replica.chain.staged
+        rows, references = by_reference(news.rows, [staged.orders[id_] for id_ in held])
+        return Changes(news.index, rows, references)
+
+    def _held_of(self, follower: Follower, staged: tuple[str, ...]) -> tuple[str, ...]:
+        held = self.replica.chain.staged.holds
+        return tuple(id_ for id_ in staged if held(follower.progress, id_))
+
+    def _offer(self, follower: Follower, order: StagedOrder) -> None:
+        follower.progress.keep(self.replica.chain.staged.orders)
+        follower.progress.asked_at[order.id] = self.now()
+        self._say(follower, StageOffer(order.id, len(order.pieces)))
+
+    def _take_positions(self, follower: Follower, positions: tuple[StagedPosition, ...]) -> None:
+        """What a follower brings along that was delivered elsewhere, and what it lacks of what is open."""
+        staged = self.replica.chain.staged
+        for one in positions:
+            follower.progress.pieces[one.id] = one.pieces
+        for id_ in sorted(staged.open):
+            self._offer(follower, staged.orders[id_])
+
+    def _send_stage_piece(self, follower: Follower, word: StageRequest) -> None:
+        order = self.replica.chain.staged.orders.get(word.id)
+        if order is None:
+            return
+        follower.progress.pieces[word.id] = word.piece
+        follower.progress.asked_at[word.id] = self.now()
+        if not 0 <= word.piece < len(order.pieces):
+            self._look_at_deliveries()
+            return
+        place = word.id, word.piece
+        message = self._stage_pieces.get(place)
+        if message is None:
+            message = encoded(StagePiece(word.id, word.piece, order.pieces[word.piece]))
+            self._stage_pieces[place] = message
+        follower.lines.send_raw(message)
+
+    def _look_at_deliveries(self) -> None:
+        staged = self.replica.chain.staged
+        if not staged.open:
+            self._stage_pieces.clear()
+            return
+        followers = [one.progress for one in self._followers.values() if one.follows]
+        for id_ in staged.take_delivered(followers, self.now()):
+            self._carry_out(self.replica.delivered(id_, self.now()))
 
     def _send_away(self, follower: Follower) -> None:
         """It may know of nobody but this side of a cut: it is told whom else to try."""
@@ -352,8 +436,8 @@
                 continue
             if core != self._core:
                 self._say(follower, core)
-            elif now - follower.said >= BEAT:
-                self._say(follower, Beat())
+            if now - follower.beat_at >= BEAT:
+                self._say_beat(follower)
         self._core = core
 
 
--- a/brackengate/lighthouse/rows.py
+++ b/brackengate/lighthouse/rows.py
@@ -143,6 +143,7 @@
     public: CommittedRows = field(default_factory=CommittedRows)
     published: dict[Name, tuple[int, Any]] = field(default_factory=dict)  # the public rows, decoded
     keys: int = 0
+    public_index: int = -1  # of the last public row
 
     def set(self, index: int, row: Row) -> None:
         kind, name, value = row
@@ -152,10 +153,15 @@
             self.keys += self.rows.count - before
         elif kind in PUBLIC:
             self.public.set(kind, name, index, value)
-            self.published[kind, name] = (index, value)
+            self._publish(kind, name, index, value)
+
+    def _publish(self, kind: str, name: str, index: int, value: Any) -> None:
+        self.published[kind, name] = (index, value)
+        self.public_index = max(self.public_index, index)
 
     def clear(self) -> None:
         self.index = self.keys = 0
+        self.public_index = -1
         self.rows.clear()
         self.public.clear()
         self.published.clear()
@@ -171,7 +177,7 @@
         state = State(index, CommittedRows.of(held), keys=sum(row[0] == KEY for row in held))
     for kind, name, at, value in public:
         state.public.set(kind, name, at, value)
-        state.published[kind, name] = (at, value)
+        state._publish(kind, name, at, value)
     return state
 
 
--- a/brackengate/lighthouse/standing.py
+++ b/brackengate/lighthouse/standing.py
@@ -35,7 +35,7 @@
         chain.index,
         chain.stored_index,
         chain.commit_index,
-        max((index for index, _ in public.values()), default=-1),
+        chain.public_index,
         agreement.is_member,
         chain.has_snapshot,
         replica.serves(now),
--- a/brackengate/pilot/follow.py
+++ b/brackengate/pilot/follow.py
@@ -10,6 +10,7 @@
 import asyncio
 import hashlib
 import logging
+from collections import deque
 from collections.abc import Callable, Iterable
 from dataclasses import dataclass
 from typing import Any
@@ -17,11 +18,15 @@
 from brackengate.lighthouse.transfer import NOTHING, Differs
 from brackengate.net.sockets import parse_address
 from brackengate.pilot.copy import PublicCopy
+from brackengate.pilot.currency import ClockOffset, Currency
+from brackengate.pilot.staged import NotHeld, StagedStore
 from brackengate.pilot.table import Table
 from brackengate.signals.lines import Dialer
 from brackengate.signals.words import (
     Away,
+    Beat,
     Changes,
+    ClockRequest,
     Command,
     CopyPiece,
     CopyPosition,
@@ -33,7 +38,11 @@
     Line,
     Look,
     Result,
+    Row,
     Seen,
+    StageOffer,
+    StagePiece,
+    StageRequest,
 )
 
 log = logging.getLogger("brackengate.follow")
@@ -41,6 +50,8 @@
 SILENT = 600_000  # a member beats every 0.15 to 0.2 s
 LOOK_S = 0.15  # between two looks whether it has gone silent
 PAUSE_S = 0.1
+CLOCK_S = 4.0  # between two exchanges of times with the member that is followed
+SLICE = 400  # rows that are put in force in one step of the loop
 HOME_S = 4.0  # between two looks whether a nearer member is there again
 
 
@@ -68,6 +79,7 @@
         self.addr, self._follow = addr, follow
         self.heard = follow.now()
         self.good = False
+        self.clock = ClockOffset()
         self._asked, self._request = NOTHING, 0  # the piece of a copy that comes next
         host = parse_address(addr)[0]
         address = host, follow.port
@@ -85,7 +97,15 @@
         self.heard = self._follow.now()
         dialer.send(Hello(self._follow.me, pilot=True))
         self._asked, self._request = self._follow.copy.position, 0
-        dialer.send(Follow(self._follow.table.index, tells=True, copy=self._asked))
+        dialer.send(
+            Follow(
+                self._follow.table.index,
+                tells=True,
+                copy=self._asked,
+                sent=self.heard,
+                staged=self._follow.staged.positions(),
+            )
+        )
 
     def ask_for_piece(self, position: CopyPosition) -> None:
         self._asked, self._request = position, self._request + 1
@@ -122,6 +142,9 @@
         have changed, once the table has them.  `wake`: what was decided of an attempt, for an operator."""
         self._wake = wake
         self.copy = PublicCopy()
+        self.staged, self.currency = StagedStore(), Currency()
+        self.on_current: Callable[[], None] = lambda: None  # what is in force, or how current it is, changed
+        self._coming: deque[Changes] = deque()  # the first one is being put in force
         self.me, self.zone, self.port, self.table, self.now = me, zone, port, table, now
         self._seeds, self._changed = seeds, changed
         self._members: dict[str, str] = {}
@@ -137,6 +160,7 @@
         self._next()
         self._watch()
         self._loop.call_later(HOME_S, self._look_home)
+        self._exchange_times()
 
     def close(self) -> None:
         self._closed = True
@@ -164,6 +188,28 @@
         if question is not None:
             question.done(None)
 
+    # --- how current it is
+
+    def is_current(self, within: int) -> bool:
+        """Whether all that was acknowledged `within` microseconds ago is in force here."""
+        return self.currency.current(self.now(), within)
+
+    def _exchange_times(self) -> None:
+        if self._closed:
+            return
+        self._loop.call_later(CLOCK_S, self._exchange_times)
+        if self._link is not None and self._link.good:
+            self._link.send(ClockRequest(self.now()))
+
+    def _heartbeat(self, link: Link, beat: Beat) -> None:
+        now = self.now()
+        if not beat.now:
+            return
+        if beat.echo:
+            link.clock.exchanged(beat.echo, beat.now, now)
+        self.currency.heartbeat(beat.index, link.clock.to_ours(beat.now - beat.age, now))
+        self.on_current()
+
     # --- following
 
     def _next(self) -> None:
@@ -222,10 +268,18 @@
             if question is not None:
                 question.timer.cancel()
                 question.done(word.result)
+        elif isinstance(word, Beat):
+            self._heartbeat(link, word)
         elif isinstance(word, Changes):
             self._followed(link)
             self.copy.begin_anew()
-            self._told(self.table.changes(word.index, word.rows))
+            self._take_changes(link, word)
+        elif isinstance(word, StageOffer):
+            link.send(StageRequest(word.id, self.staged.offered(word.id, word.pieces)))
+        elif isinstance(word, StagePiece):
+            wanted = self.staged.take(word)
+            if wanted is not None:
+                link.send(StageRequest(word.id, wanted))
         elif isinstance(word, CopyPiece):
             self._followed(link)
             self._piece(link, word)
@@ -241,13 +295,42 @@
             self.lost(link, "its copy differs")
             return
         if whole:
+            self._coming.clear()  # older than the copy
             self._told(self.table.snapshot(*self.copy.whole()))
         else:
             link.ask_for_piece(self.copy.position)
 
+    def _take_changes(self, link: Link, news: Changes) -> None:
+        """In the order in which they come; staged rows are put before those that come with them."""
+        rows: list[Row] = []
+        try:
+            for reference in news.staged:
+                rows += self.staged.put_in_force(reference)
+        except NotHeld as why:
+            log.error("follow: step staged, from %s: %s is not here", link.addr, why)
+            self.lost(link, "it refers to what is not here")
+            return
+        self._coming.append(Changes(news.index, (*rows, *news.rows)))
+        if len(self._coming) == 1:
+            self._put_in_force()
+
+    def _put_in_force(self) -> None:
+        """Long ones in slices, so that requests pass between them.  Only the last slice ends in its index."""
+        while self._coming:
+            first = self._coming[0]
+            if len(first.rows) > SLICE:
+                self._coming[0] = Changes(first.index, first.rows[SLICE:])
+                self._told(self.table.apply(first.rows[:SLICE]))
+                self._loop.call_soon(self._put_in_force)
+                return
+            self._coming.popleft()
+            self._told(self.table.changes(first.index, first.rows))
+
     def _told(self, changed: set[str]) -> None:
+        self.currency.reached(self.table.index)
         if changed:
             self._changed(changed)
+        self.on_current()
 
     def _followed(self, link: Link) -> None:
         """It is in touch: what was asked is asked again there."""
--- a/brackengate/pilot/role.py
+++ b/brackengate/pilot/role.py
@@ -102,6 +102,7 @@
             clock.now,
             wake.about,
         )
+        current_within = settings.bounds.apply_time // 2
         me = settings.ip, settings.internal_ports[0]
         self.watcher = Watcher(me, clock.now, self.following.ask, self._standing, self._given_up)
         self.way = WayOut(
@@ -116,7 +117,9 @@
             wake,
             bytes_,
             wire,
+            lambda: self.following.is_current(current_within),
         )
+        self.following.on_current = self.way.unrouted.look
         self.entry = Entry(
             loop,
             clock,
--- a/brackengate/pilot/table.py
+++ b/brackengate/pilot/table.py
@@ -6,8 +6,9 @@
 from __future__ import annotations
 
 import bisect
-from collections.abc import Iterable, Mapping
+from collections.abc import Callable, Iterable, Mapping
 from dataclasses import dataclass, field
+from typing import Any
 
 import msgspec
 
@@ -15,6 +16,27 @@
 from brackengate.signals.words import ITEMS, Instance, Row
 
 
+@dataclass(frozen=True, slots=True)
+class Prepared:
+    """An operator's item, read.  `read` None: dropped, or not to be followed."""
+
+    item: Item
+    read: Route | Plant | None = None
+
+
+def prepared(kind: str, value: Any) -> Prepared:
+    item = msgspec.convert(value, Item)
+    if item.body is None or kind not in _READERS:
+        return Prepared(item)
+    try:
+        return Prepared(item, _READERS[kind](item))
+    except Invalid:  # the lighthouses check; one that a newer program let in is not followed
+        return Prepared(item)
+
+
+_READERS: dict[str, Callable[[Item], Route | Plant]] = {"route": route, "plant": plant}
+
+
 @dataclass(slots=True)
 class Touched:
     """What has changed since this was last asked."""
@@ -58,9 +80,17 @@
         if index <= self.index and self.index >= 0:
             return changed
         self.index = index
+        return self.apply(rows)
+
+    def apply(self, rows: Iterable[Row]) -> set[str]:
+        """Rows of changes that are in force; the kinds of what they changed.
+
+        Of items, a part may be taken at a time: the versions keep their order.
+        """
+        changed: set[str] = set()
         for kind, name, value in rows:
             if kind in ITEMS:
-                if self._item(kind, name, msgspec.convert(value, Item)):
+                if self._item(kind, name, value if isinstance(value, Prepared) else prepared(kind, value)):
                     changed.add(kind)
             elif kind == "inst":
                 changed.add(kind)
@@ -102,22 +132,17 @@
             self._routes[name] = now
             self._hosts.setdefault(now.host, {})[now.prefix] = now
 
-    def _item(self, kind: str, name: str, item: Item) -> bool:
+    def _item(self, kind: str, name: str, one: Prepared) -> bool:
         held = self._items.get((kind, name))
-        if held is not None and held.version >= item.version:
+        if held is not None and held.version >= one.item.version:
             return False
-        self._items[kind, name] = item
-        try:
-            if kind == "route":
-                self._set_route(name, None)
-                if item.body is not None:
-                    self._set_route(name, route(item))
-            elif kind == "plant":
-                self.plants.pop(name, None)
-                if item.body is not None:
-                    self.plants[name] = plant(item)
-        except Invalid:  # the lighthouses check; one that a newer program let in is not followed
-            pass
+        self._items[kind, name] = one.item
+        if kind == "route":
+            self._set_route(name, one.read if isinstance(one.read, Route) else None)
+        elif isinstance(one.read, Plant):
+            self.plants[name] = one.read
+        else:
+            self.plants.pop(name, None)
         return True
 
     def pilots(self) -> list[str]:
--- a/brackengate/pilot/way.py
+++ b/brackengate/pilot/way.py
@@ -34,6 +34,7 @@
 from brackengate.pilot.budget import ration
 from brackengate.pilot.hop import CALLER, DEADLINE, HOP, KEY, Said, Step, forwarded, hop_of, passed_on
 from brackengate.pilot.table import Table, choose, host_of
+from brackengate.pilot.unrouted import NOT_FOUND, Unrouted
 from brackengate.pilot.verdict import judge
 from brackengate.pilot.wake import ID, Wake
 from brackengate.policy.state import MOST_TRIES
@@ -199,16 +200,19 @@
         wake: Wake,
         bytes_: ByteBudget | None = None,
         wire: Wire | None = None,
+        is_current: Callable[[], bool] = lambda: True,
     ) -> None:
         """`plant`: the service beside this pilot.  `address_of`: where the pilot of a machine is reached.
         `budget_of_tries`: the ratio and the slack that all pilots share.  `bytes_`: the process's bound on
-        bodies.  `wire`: as of a pool."""
+        bodies.  `wire`: as of a pool.  `is_current`: whether the table may say that there is no route."""
         self._wake, self._wire = wake, wire
         self._tries = budget_of_tries
         self._loop, self._clock, self._budget, self._table = loop, clock, budget, table
         self._plant, self._address_of, self._rng, self._bytes = plant.encode(), address_of, rng, bytes_
         self.services: dict[str, Service] = {}
         self._goes_to: dict[str, set[str]] = {}  # services, by route
+        self.unrouted = Unrouted(loop, is_current, self._begin_held)
+        self._is_current = is_current
         self._pilots = 0  # of which the services know
         self._count = 0
 
@@ -275,12 +279,29 @@
         if not self._table.known:
             self._wake.turned_away(attempt, arrival.at, 503, "no configuration yet")
             raise Bad(503, "no configuration yet", b"Retry-After: 0.3\r\n")
+        route = self._route_of(arrival)
+        if route is not None:
+            self._send_on(route, arrival, connection)
+        elif self._is_current():
+            self._wake.turned_away(attempt, arrival.at, NOT_FOUND, "no route")
+            raise Bad(NOT_FOUND, "no route")
+        else:
+            self._wake.turned_away(attempt, arrival.at, REFUSED, "no route, and it may be behind")
+            self.unrouted.hold(arrival, connection)
+
+    def _route_of(self, arrival: Arrival) -> Route | None:
         host = host_of(arrival.fields.get(b"host", b""))
         path = arrival.target.partition(b"?")[0].decode("latin-1")
-        route = self._table.find(host, path)
-        if route is None:
-            self._wake.turned_away(attempt, arrival.at, 404, "no route")
-            raise Bad(404, "no route")
+        return self._table.find(host, path)
+
+    def _begin_held(self, arrival: Arrival, connection: CallerConnection) -> bool:
+        route = self._route_of(arrival)
+        if route is not None:
+            self._send_on(route, arrival, connection)
+        return route is not None
+
+    def _send_on(self, route: Route, arrival: Arrival, connection: CallerConnection) -> None:
+        attempt = arrival.fields.get(ID, b"")
         service = self.services[self._choose(route, arrival)]
         left = arrival.fields.get(DEADLINE.lower(), b"")
         limit = min(int(left) * 1000, route.cutoff) if left.isdigit() and len(left) < 10 else route.cutoff
@@ -307,7 +328,7 @@
         return choose(route.parts, at)
 
     def held(self) -> int:
-        return sum(service.node.out() for service in self.services.values())
+        return self.unrouted.count() + sum(service.node.out() for service in self.services.values())
 
 
 def _awaited(connection: CallerConnection) -> bool:
--- a/brackengate/signals/lines.py
+++ b/brackengate/signals/lines.py
@@ -16,11 +16,20 @@
 
 from brackengate.net.sockets import Address
 from brackengate.signals.parts import MOST_BYTES, EncodedMessage, Incoming, Outgoing, Unreadable, packed
-from brackengate.signals.words import Append, Changes, CopyPiece, Line, Part, PartReceived
+from brackengate.signals.words import (
+    Append,
+    Changes,
+    CopyPiece,
+    Line,
+    Part,
+    PartReceived,
+    Stage,
+    StagePiece,
+)
 
 log = logging.getLogger("brackengate.lines")
 
-ORDERED = (Append, Changes, CopyPiece)
+ORDERED = (Append, Changes, CopyPiece, Stage, StagePiece)
 SILENT_MS = 1_200  # a connection whose bytes nobody takes for so long is given up: a cut says nothing
 DIAL_S = 0.6
 AGAIN_S, AGAIN_MOST_S = 0.05, 0.4
--- a/brackengate/signals/words.py
+++ b/brackengate/signals/words.py
@@ -42,10 +42,14 @@
 
 
 class Entry(msgspec.Struct, frozen=True, array_like=True):
-    """One step of the log: rows that come into being together."""
+    """One step of the log: rows that come into being together.
+
+    `staged`: the order whose rows were delivered to followers before, by its id; empty: none.
+    """
 
     index: int
     rows: tuple[Row, ...]
+    staged: str = ""
 
 
 class CommittedRow(msgspec.Struct, frozen=True, array_like=True):
@@ -288,6 +292,27 @@
     epoch: int = 0
 
 
+class Underway(Word, frozen=True, tag="way"):
+    """From the head: the command of that submission is being delivered; no need to submit it again yet."""
+
+    id: int
+
+
+class Stage(Word, frozen=True, tag="stage"):
+    """From the head: deliver this order to your followers, ahead of its decision."""
+
+    epoch: int
+    id: str
+    pieces: tuple[tuple[Row, ...], ...]
+
+
+class Delivered(Word, frozen=True, tag="dlvd"):
+    """To the head: all followers of the sender that are in touch hold this order."""
+
+    epoch: int
+    id: str
+
+
 class Result(Word, frozen=True, tag="done"):
     """`result` None: it is not known what becomes of the command."""
 
@@ -323,12 +348,56 @@
 # --- between a pilot and a lighthouse
 
 
+class StagedPosition(msgspec.Struct, frozen=True, array_like=True):
+    """How many pieces of a staged order a follower holds."""
+
+    id: str
+    pieces: int
+
+
 class Follow(Word, frozen=True, tag="follow"):
     """Send the changes from this index on; a copy of the public rows first where they are not at hand."""
 
     index: int
     tells: bool = False  # it answers `Look`
     copy: CopyPosition = CopyPosition()  # of a copy that was cut off
+    sent: int = 0  # the follower's steady clock; the next heartbeat brings it back
+    staged: tuple[StagedPosition, ...] = ()
+
+
+class ClockRequest(Word, frozen=True, tag="clk"):
+    """Send a heartbeat that brings this time back.  `sent`: the follower's steady clock."""
+
+    sent: int
+
+
+class StageOffer(Word, frozen=True, tag="stg"):
+    """An order of so many pieces may come into force soon."""
+
+    id: str
+    pieces: int
+
+
+class StageRequest(Word, frozen=True, tag="stg?"):
+    """Send that piece of an order.  The number of its pieces: all are here."""
+
+    id: str
+    piece: int
+
+
+class StagePiece(Word, frozen=True, tag="stgp"):
+    """Rows of an order that is not in force."""
+
+    id: str
+    piece: int
+    rows: tuple[Row, ...]
+
+
+class StagedRows(msgspec.Struct, frozen=True, array_like=True):
+    """The rows of a staged order, but for those at some places among them."""
+
+    id: str
+    without: tuple[int, ...] = ()
 
 
 class FollowerCommand(Word, frozen=True, tag="ask"):
@@ -339,6 +408,7 @@
 class Changes(Word, frozen=True, tag="chg"):
     index: int
     rows: tuple[Row, ...] = ()
+    staged: tuple[StagedRows, ...] = ()  # in force with these rows
 
 
 class Core(Word, frozen=True, tag="core"):
@@ -349,7 +419,16 @@
 
 
 class Beat(Word, frozen=True, tag="b"):
-    """Nothing new."""
+    """A heartbeat to a follower, with what makes it current.
+
+    Everything that was acknowledged by `now` less `age` is in force at `index`.  Times are the sender's
+    steady clock.
+    """
+
+    index: int = msgspec.field(name="i", default=-1)
+    now: int = msgspec.field(name="n", default=0)
+    age: int = msgspec.field(name="a", default=0)
+    echo: int = msgspec.field(name="e", default=0)  # the `sent` that this answers; 0: of none
 
 
 class Away(Word, frozen=True, tag="away"):
@@ -426,8 +505,15 @@
     | CopyPiece
     | Ack
     | Submit
+    | Underway
+    | Stage
+    | Delivered
     | Result
     | Follow
+    | ClockRequest
+    | StageOffer
+    | StageRequest
+    | StagePiece
     | FollowerCommand
     | Changes
     | Core
--- a/brackengate/soundings/vessel.py
+++ b/brackengate/soundings/vessel.py
@@ -170,7 +170,7 @@
     agreement._pinged = agreement._ticked = 0
     if not clock:
         agreement._adopted = 0
-        agreement._open_until = agreement._lease_from = NEVER
+        agreement._open_until = agreement.lease_from = NEVER
     agreement._trouble = None
     agreement._apart.clear()
     for peer in agreement.peers.values():
--- a/tests/lighthouse/test_ages.py
+++ b/tests/lighthouse/test_ages.py
@@ -3,7 +3,7 @@
 from __future__ import annotations
 
 from brackengate.lighthouse.ages import MARKS, KeyAges
-from brackengate.lighthouse.log import RECENT, RECENT_PUBLIC, ReplicaLog
+from brackengate.lighthouse.log import RECENT, RECENT_PUBLIC, PublicChanges, ReplicaLog
 from brackengate.lighthouse.replica import FIRST, Replica, StoredState
 from brackengate.lighthouse.rows import KEY, CommittedRows, State
 from brackengate.signals.words import Claim, Entry, Report
@@ -73,12 +73,12 @@
     for n in range(3 * RECENT_PUBLIC):
         replica.ask(Claim(f"k{n}", "g", "1"), n, 0)
         replica.stored(replica.chain.index, replica.chain.generation)
-    assert replica.chain.changes_since(seen) == (3 * RECENT_PUBLIC + 1, ())
+    assert replica.chain.changes_since(seen) == PublicChanges(3 * RECENT_PUBLIC + 1, ())
     for n in range(RECENT_PUBLIC):
         replica.ask(Report("10.0.0.1", {"id": f"i{n}"}), n, 0)
         replica.stored(replica.chain.index, replica.chain.generation)
     changes = replica.chain.changes_since(seen)
-    assert changes is not None and len(changes[1]) == RECENT_PUBLIC
+    assert changes is not None and len(changes.rows) == RECENT_PUBLIC
     replica.ask(Report("10.0.0.1", {"id": "last"}), 1, 0)
     replica.stored(replica.chain.index, replica.chain.generation)
     assert replica.chain.changes_since(seen) is None  # it takes a copy
--- a/tests/pilot/pilots.py
+++ b/tests/pilot/pilots.py
@@ -118,22 +118,36 @@
             self._address_of,
             "life",
         )
-        table = Table()
+        table = self.table = Table()
+        self.current = True  # whether the proxy beside the caller can show that it is
         rng, tries = random.Random(1), (0.2, 50.0)
         self.way = WayOut(
-            loop, self.clock, sockets, table, "p", self._address_of, rng, tries, Wake(), self.out
+            loop,
+            self.clock,
+            sockets,
+            table,
+            "p",
+            self._address_of,
+            rng,
+            tries,
+            Wake(),
+            self.out,
+            is_current=lambda: self.current,
         )
         doors = ((self.entry, self.inside), (self.way, self.out))
         self.servers = [listener(loop, self.clock, [bind((LOCAL, 0))], one, sockets, b) for one, b in doors]
         self.inbound, self.port = (server.start()[0] for server in self.servers)
-        rows: list[tuple[str, str, Any]] = [
-            ("route", name, [1, "h", {**_ROUTE, "Name": name, "PathPrefix": f"/{name}/", "SignalKind": kind}])
-            for name, kind in (("read", "idempotent"), ("buy", "effectful"), ("bid", "keyed"))
-        ]
+        kinds = (("read", "idempotent"), ("buy", "effectful"), ("bid", "keyed"))
+        rows = [_route(name, kind) for name, kind in kinds]
         instance = {"id": "i-1", "plant": "p", "zone": "z", "state": "ready", "capacity": 100}
         table.snapshot(1, [*rows, ("inst", LOCAL, instance)])
         self.way.changed()
 
+    def add_route(self, name: str) -> None:
+        self.table.changes(self.table.index + 1, [_route(name, "idempotent")])
+        self.way.changed()
+        self.way.unrouted.look()
+
     def _address_of(self, machine: str) -> tuple[str, int]:
         return LOCAL, self.holder.inbound if self.holder and machine == "other" else self.inbound
 
@@ -151,6 +165,11 @@
 _ROUTE = {"Cutoff": "20s", "Setpoint": "10s", "Plant": "p", "MaxAttempts": 2, "Revision": "r1"}
 
 
+def _route(name: str, kind: str) -> tuple[str, str, Any]:
+    body = {**_ROUTE, "Name": name, "PathPrefix": f"/{name}/", "SignalKind": kind}
+    return "route", name, [1, "h", body]
+
+
 def ask(route: str, framing: bytes = b"Content-Length: 0\r\n", key: str = "", attempt: str = "t1") -> bytes:
     """A request's head."""
     lines = f"POST /{route}/x HTTP/1.1\r\nHost: h\r\nX-Brackengate-Attempt-Id: {attempt}\r\n"
--- /dev/null
+++ b/tests/pilot/test_currency.py
@@ -0,0 +1,92 @@
+"""What a proxy may say of the configuration in force: only as far back as it can show that it is current."""
+
+from __future__ import annotations
+
+import asyncio
+import random
+
+import pytest
+from peers import run
+from pilots import Mesh, Upstream, answers, ask
+
+from brackengate.pilot.currency import NEVER, ClockOffset, Currency
+from brackengate.pilot.unrouted import HOLD_S
+
+MS, S = 1_000, 1_000_000
+
+
+def test_a_time_of_the_replica_is_never_taken_for_later_than_it_was() -> None:
+    rng = random.Random(1)
+    for _ in range(300):
+        ahead, clock = rng.randrange(-(10**12), 10**12), ClockOffset()  # of the replica's clock
+        now = rng.randrange(10**9)
+        for _ in range(20):
+            sent, there = now, now + rng.randrange(400 * MS)
+            now = there + rng.randrange(400 * MS)
+            clock.exchanged(sent, there + ahead, now)
+            as_of = now - rng.randrange(2 * S)
+            now += rng.randrange(3 * S)
+            assert as_of - 800 * MS - 10 * MS <= clock.to_ours(as_of + ahead, now) <= as_of
+
+
+def test_a_heartbeat_that_lay_in_a_queue_renews_nothing() -> None:
+    clock, currency = ClockOffset(), Currency()
+    clock.exchanged(0, 5 * S, 2 * MS)
+    currency.reached(7)
+    currency.heartbeat(7, clock.to_ours(5 * S, 3 * S))  # it comes 3 s later
+    assert currency.current(S, S + 10 * MS) and not currency.current(3 * S, S + 10 * MS)
+
+
+def test_without_an_exchange_of_times_nothing_is_known() -> None:
+    currency = Currency()
+    currency.reached(7)
+    currency.heartbeat(7, ClockOffset().to_ours(5 * S, 0))
+    assert currency.as_of <= NEVER
+
+
+def test_a_heartbeat_ahead_of_the_news_counts_once_the_news_is_in_force() -> None:
+    currency = Currency()
+    currency.reached(7)
+    currency.heartbeat(9, 5 * S)
+    assert not currency.current(5 * S, S)
+    currency.reached(8)
+    assert not currency.current(5 * S, S)
+    currency.reached(9)
+    assert currency.current(5 * S, S)
+
+
+@pytest.mark.parametrize("current", [True, False])
+def test_only_a_current_proxy_says_that_there_is_no_route(current: bool) -> None:
+    async def play() -> None:
+        mesh = Mesh(await Upstream(answers(1)).start())
+        mesh.current = current
+        caller, loop = await mesh.caller(), asyncio.get_running_loop()
+        since = loop.time()
+        caller.writer.write(ask("unheard"))
+        status, headers, _ = await caller.read()
+        assert status == (404 if current else 503)
+        assert current or loop.time() - since >= HOLD_S
+        assert current or "retry-after" in headers
+
+    run(play())
+
+
+@pytest.mark.parametrize("news", ["route", "current"])
+def test_what_is_held_goes_on_when_the_news_comes(news: str) -> None:
+    async def play() -> None:
+        upstream = await Upstream(answers(1)).start()
+        mesh = Mesh(upstream)
+        mesh.current = False
+        caller = await mesh.caller()
+        caller.writer.write(ask("unheard"))
+        while not mesh.way.held():
+            await asyncio.sleep(0)
+        if news == "route":
+            mesh.add_route("unheard")
+        else:
+            mesh.current = True
+            mesh.way.unrouted.look()
+        assert (await caller.read())[0] == (200 if news == "route" else 404)
+        assert len(upstream.ran) == (news == "route")
+
+    run(play())
--- a/tests/signals/test_items.py
+++ b/tests/signals/test_items.py
@@ -10,6 +10,7 @@
 from testtools import ExpectedException, TestCase
 from testtools.matchers import Equals
 
+from brackengate.lighthouse.item_index import ItemIndex
 from brackengate.lighthouse.orders import History, decide
 from brackengate.signals.items import Invalid, Item, Name, Order, layout, read_call
 from brackengate.signals.words import CommandDone
@@ -29,7 +30,7 @@
 
 def effect(order: Order, held: Mapping[Name, Item]) -> Mapping[Name, Item]:
     """What comes into force, where nothing was overtaken before; `Invalid` where it is refused."""
-    decision = decide(order, held, lambda _: History())
+    decision = decide(order, ItemIndex(held.items()), lambda _: History())
     if not isinstance(decision.result, CommandDone):
         assert not decision.items and not decision.histories
         raise Invalid(decision.result.reason)
