--- a/brackengate/emulator/mesh/checks.py
+++ b/brackengate/emulator/mesh/checks.py
@@ -18,7 +18,7 @@
 PROMISES = (408, 421, 429, 503)
 PLANNED = ("term", "left")
 ONE = 1_000_000
-ACK = 4_000_000
+ACK, ACK_FOR_A_ROUTE = 4_000_000, 3_000
 
 
 @dataclass(slots=True)
@@ -460,7 +460,7 @@
     broken = Broken("ACKS")
     for call, items in seen.calls.items():
         first = items[0]
-        until = first.offered + ACK
+        until = first.offered + ACK + ACK_FOR_A_ROUTE * len(items)
         if (
             not first.sound
             or call in seen.may_be_refused
--- a/brackengate/emulator/mesh/faults.py
+++ b/brackengate/emulator/mesh/faults.py
@@ -97,6 +97,9 @@
             troubles.again_and_again(count, troubles.resend)
         case "overtaken_order":
             troubles.again_and_again(count, troubles.overtaken)
+        case "big_order":
+            order = partial(troubles.big_order, int(fault.routes), fault.content)
+            troubles.again_and_again(count, order)
 
 
 def _synced(world: World, fault: Fault, machine: Machine, stores: list[Store]) -> None:
--- a/brackengate/emulator/mesh/ground.py
+++ b/brackengate/emulator/mesh/ground.py
@@ -18,9 +18,26 @@
 
 NEVER = 1 << 60
 LOST = 0.01  # of datagrams
+HEADERS = 60  # bytes on a link with each piece that is sent
 LATE, LATEST = 150, 4 * MS  # of timers: on average, and at the most
 
 
+class Link:
+    """A machine's link: bytes leave and come one after the other, each way on its own."""
+
+    def __init__(self, mbps: float) -> None:
+        self._us_a_byte = 8 / mbps
+        self._out = self._in = 0.0  # until when it is busy
+
+    def leaves(self, at: int, size: int) -> int:
+        self._out = max(self._out, at) + (size + HEADERS) * self._us_a_byte
+        return int(self._out)
+
+    def comes(self, at: int, size: int) -> int:
+        self._in = max(self._in, at) + (size + HEADERS) * self._us_a_byte
+        return int(self._in)
+
+
 class Ways(Network):
     """Places are machines, by address.  One without power says nothing, and nothing reaches it."""
 
@@ -28,6 +45,7 @@
         super().__init__(loop, rng, same, cross, jitter)
         self.zones: dict[str, str] = {}  # of places
         self.hear: dict[Address, Callable[[bytes, Address], None]] = {}  # who takes datagrams
+        self._links: dict[str, Link] = {}
         self._lots = random.Random(rng.getrandbits(64))
         self._off: dict[str, int] = {}  # places without power, since when
         self._since: dict[tuple[str, str], int] = {}  # cuts, since when
@@ -43,6 +61,20 @@
     def cut(self, one: str, other: str) -> bool:
         return (bool(self._off) and (one in self._off or other in self._off)) or super().cut(one, other)
 
+    def bandwidth(self, place: str, mbps: float) -> None:
+        """Of a machine's link, each way; 0: without bound."""
+        if mbps:
+            self._links[place] = Link(mbps)
+
+    def _queues(self, one: str, other: str, size: int) -> int:
+        """How much longer bytes take by what waits at both links before them."""
+        if one == other or not self._links:
+            return 0
+        now = self.loop.now
+        out, in_ = self._links.get(one), self._links.get(other)
+        at = out.leaves(now, size) if out is not None else now
+        return (in_.comes(at, size) if in_ is not None else at) - now
+
     def datagram(self, sender: Address, to: Address, data: bytes) -> None:
         """It comes or it does not; nobody is told."""
         if self.cut(sender[0], to[0]) or self._lots.random() < LOST:
@@ -82,7 +114,7 @@
         there, back = (end.zone, end.other.zone), (end.other.zone, end.zone)
         if end.patience and kind == DATA and (self.cut(*there) or self.cut(*back)):
             self.loop.after(end.patience, partial(self._unacknowledged, end, self.loop.now))
-        super().carry(end, kind, data, more)
+        super().carry(end, kind, data, more + self._queues(*there, len(data)))
 
     def _unacknowledged(self, end: End, sent: int) -> None:
         """Guards against a cut, as TCP_USER_TIMEOUT does: it says nothing."""
--- a/brackengate/emulator/mesh/order_troubles.py
+++ b/brackengate/emulator/mesh/order_troubles.py
@@ -16,6 +16,8 @@
 PAUSE = S  # between two troublesome orders of one fault
 BRIEF_SERVICE = "brief"  # it is added, one route goes to it, the route moves on, and it is removed
 BRIEF_ROUTE = "y0"
+BIG_ORDER_PROBES = 60  # requests that ask for a large order's routes once it must be in force
+PROBED_FOR = 3 * S  # the time over which they come
 RACED_ROUTES = ("x0", "x1", "x2")  # the routes that the operators add and drop
 
 
@@ -24,6 +26,7 @@
 
     def __init__(self, operators: Operators, rng: random.Random) -> None:
         self._operators, self._rng = operators, rng
+        self._many: list[str] = []  # routes of large orders
 
     def again_and_again(self, count: int, do: Callable[[], None]) -> None:
         for number in range(count):
@@ -71,6 +74,26 @@
 
         operators.send([(BRIEF_ROUTE, (BRIEF_SERVICE,))], plants=[plant], done=moves)
 
+    def big_order(self, routes: int, content: str) -> None:
+        """An order of many routes; when it must be in force, some of them are asked for."""
+        if content == "removed":
+            names, self._many = self._many, []
+            items = [(name, ()) for name in names]
+            self._operators.send(items, done=self._probe_later)
+            return
+        begun = len(self._many)
+        names = [f"z{number}" for number in range(begun, begun + routes)]
+        self._many += names
+        service = self._rng.choice(self._operators.services)
+        digits = 200 if content == "random" else 0
+        self._operators.send([(name, (service,)) for name in names], done=self._probe_later, digits=digits)
+
+    def _probe_later(self, change: Change) -> None:
+        names = [name for name, _, _ in change.items]
+        for number in range(BIG_ORDER_PROBES):
+            wait = self._operators.apply_time + PROBED_FOR * number // BIG_ORDER_PROBES
+            self._operators.loop.after(wait, partial(self._operators.probe, self._rng.choice(names)))
+
     # --- orders that must not take effect
 
     def _same_version(self) -> None:
--- a/brackengate/emulator/mesh/people.py
+++ b/brackengate/emulator/mesh/people.py
@@ -35,6 +35,9 @@
     def sides(self) -> Sequence[Side]:
         """The machines with pilots that there are."""
 
+    def probe(self, route: str) -> None:
+        """A request that shows which configuration is in force at some machine."""
+
     def controls(self, late: int) -> list[Address]:
         """The lighthouses, as the operators' list has them, which is so late."""
 
@@ -130,20 +133,20 @@
         )  # fmt: skip
         self._try(asked)
 
+    def probe(self, route: str) -> None:
+        sides = [side for side in self._around.sides() if side.offered]
+        if sides and self._loop.now < self.until:
+            self._numbers += 1
+            now, side = self._loop.now, self._rng.choice(sides)
+            self._try(Asked(self._numbers, route, "probe", 10 * MS, 300 * MS, side, now, now + 500 * MS))
+
     def _probe(self) -> None:
         """On routes that the operators add and drop, and on one that never was."""
 
         def comes() -> None:
             if self._loop.now < self.until:
                 self._probe()
-                sides = [side for side in self._around.sides() if side.offered]
-                if sides:
-                    self._numbers += 1
-                    name, now = f"x{self._rng.randrange(4)}", self._loop.now
-                    side = self._rng.choice(sides)
-                    self._try(
-                        Asked(self._numbers, name, "probe", 10 * MS, 300 * MS, side, now, now + 500 * MS)
-                    )
+                self.probe(f"x{self._rng.randrange(4)}")
 
         self._loop.after(int(self._rng.expovariate(self._around.told.operators.probes) * 1e6), comes)
 
@@ -249,6 +252,7 @@
     def __init__(self, around: Around, seed: int) -> None:
         self._around, self.loop = around, around.loop
         self.trace, self.services = around.trace, around.services
+        self.probe, self.apply_time = around.probe, int(around.told.limits.apply_time)
         self._rng = random.Random(f"{seed}/operators")
         around.net.zones["operators"] = around.told.zones[0]
         self._process = Process(around.loop, around.net, "operators", "operators")
@@ -316,9 +320,11 @@
         removed_plants: Sequence[tuple[str, int]] = (),
         avoid: Address | None = None,
         done: Callable[[Change], None] | None = None,
+        digits: int = 0,
     ) -> Change:
         """`version`: of all its routes, in place of the next one of each; `avoid`: a machine that the first
-        try does not go to; `done`: called once it is acknowledged."""
+        try does not go to; `done`: called once it is acknowledged; `digits`: that come with each route and
+        can't be compressed."""
         paths: list[dict[str, object]] = []
         removed: list[dict[str, object]] = []
         items: list[tuple[str, int, tuple[str, ...]]] = []
@@ -346,6 +352,8 @@
                 path["Plant"] = services[0]
             else:
                 path["Split"] = [{"Plant": one, "Gain": 1} for one in services]
+            if digits:
+                path["Note"] = f"{self._lots.getrandbits(4 * digits):x}"
             paths.append(path)
         call: dict[str, object] = {"Hosts": [{"Host": HOST, "Paths": paths}]} if paths else {}
         if plants is not None:
--- a/brackengate/emulator/mesh/scenario.py
+++ b/brackengate/emulator/mesh/scenario.py
@@ -16,6 +16,7 @@
     "kill", "term", "power", "wipe", "freeze", "cut", "stall", "full", "clock", "seeds",
     "replace", "crash", "reuse", "close", "reset", "loss",
     "replace_core", "ack_lost", "reset_conns", "bad_order", "config_race", "resend", "overtaken_order",
+    "big_order",
 ]  # fmt: skip
 OrderKinds = Literal["same_version", "old_version", "unknown_service", "stale_match"]
 LASTING = (  # `lasts` is needed
@@ -46,8 +47,10 @@
     "config_race": "",
     "resend": "",
     "overtaken_order": "",
+    "big_order": "",
 }
-ORDERS = ("ack_lost", "bad_order", "config_race", "resend", "overtaken_order")  # what strikes orders
+# what strikes orders
+ORDERS = ("ack_lost", "bad_order", "config_race", "resend", "overtaken_order", "big_order")
 MACHINE = re.compile(r"(?:[lp][0-9]{1,4}|head|middle|tail|core|pilots|acker|lot)")
 ALLOWED = "l0, p0, head, middle, tail, core, pilots, acker, lot"
 
@@ -125,6 +128,9 @@
     # machines that are not cut off; those that are cut off and then the other core machines
     order: OrderKinds = "same_version"  # of `bad_order`
     count: Annotated[int, Bounds(1, 100)] = 1  # of orders, pairs of orders, or orders sent again
+    routes: Annotated[int, Bounds(1, 20_000)] = 1500  # of `big_order`
+    content: Literal["plain", "random", "removed"] = "plain"  # of `big_order`: as operators write them; with
+    # 200 digits each that can't be compressed; or the routes of earlier ones are dropped
     how: Literal["power", "kill", "wipe"] = "power"  # of `close`
     every: Annotated[Duration, Bounds(0, 24 * 3600 * S)] = Duration(0)  # again and again, to the end
 
@@ -136,6 +142,8 @@
     zones: tuple[Name, ...] = ("a", "b", "c")
     network: Network = Network()
     core: Core = Core()
+    link: Annotated[float, Bounds(0.0, 1e6)] = 0.0  # Mbit/s of a pilot's machine, each way; 0: without bound
+    core_link: Annotated[float, Bounds(0.0, 1e6)] = 0.0
     service: dict[str, Service]
     route: dict[str, Route]
     operators: Operators = Operators()
--- a/brackengate/emulator/mesh/world.py
+++ b/brackengate/emulator/mesh/world.py
@@ -49,6 +49,7 @@
         self.process = RoleProcess(world.loop, world.net, ip, name, self.rng)
         self.process.alive = False
         world.net.zones[ip] = zone
+        world.net.bandwidth(ip, world.told.core_link if self.core else world.told.link)
         sync = int(world.told.core.sync)
         self.disk = EmulatedDisk(world.loop, random.Random(f"{world.seed}/{name}/disk"), sync)
 
@@ -190,6 +191,9 @@
     def trace(self, what: str, *of: object) -> None:
         self.records.append((self.loop.now, what, of))
 
+    def probe(self, route: str) -> None:
+        self.callers.probe(route)
+
     def new_id(self) -> str:
         self._ids += 1
         return f"i{self._ids}"
