--- a/brackengate/lighthouse/role.py
+++ b/brackengate/lighthouse/role.py
@@ -402,7 +402,7 @@
         if message is None:
             message = encoded(StagePiece(word.id, word.piece, order.pieces[word.piece]))
             self._stage_pieces[place] = message
-        follower.lines.send_raw(message)
+        follower.lines.send_raw(message, stream=False)
 
     def _look_at_deliveries(self) -> None:
         staged = self.replica.chain.staged
--- a/brackengate/signals/lines.py
+++ b/brackengate/signals/lines.py
@@ -1,7 +1,8 @@
 """Lines of JSON over TCP: the connections between the system's own processes.
 
-Long lines go compressed and in parts (`parts.py`).  The messages of a stream (`ORDERED`) and all long ones
-keep their order; every other short one passes what still waits, so that liveness never waits behind bulk.
+Long lines go compressed and in parts (`parts.py`).  The messages of the stream (`STREAM`) keep their order;
+other long ones go in the background, and other short ones at once: liveness never waits behind bulk, nor do
+news behind what is not in force yet.
 """
 
 from __future__ import annotations
@@ -16,20 +17,11 @@
 
 from brackengate.net.sockets import Address
 from brackengate.signals.parts import MOST_BYTES, EncodedMessage, Incoming, Outgoing, Unreadable, packed
-from brackengate.signals.words import (
-    Append,
-    Changes,
-    CopyPiece,
-    Line,
-    Part,
-    PartReceived,
-    Stage,
-    StagePiece,
-)
+from brackengate.signals.words import Append, Changes, CopyPiece, Line, Part, PartReceived
 
 log = logging.getLogger("brackengate.lines")
 
-ORDERED = (Append, Changes, CopyPiece, Stage, StagePiece)
+STREAM = (Append, Changes, CopyPiece)
 SILENT_MS = 1_200  # a connection whose bytes nobody takes for so long is given up: a cut says nothing
 DIAL_S = 0.6
 AGAIN_S, AGAIN_MOST_S = 0.05, 0.4
@@ -101,21 +93,21 @@
         self._on_lost(self)
 
     def send(self, word: Line) -> None:
-        self._send(encoded(word), isinstance(word, ORDERED))
+        self._send(encoded(word), isinstance(word, STREAM))
 
-    def send_raw(self, message: EncodedMessage) -> None:
-        """One of a stream, encoded for several connections."""
-        self._send(message, ordered=True)
+    def send_raw(self, message: EncodedMessage, stream: bool = True) -> None:
+        """One that is encoded for several connections.  `stream`: it is of the stream."""
+        self._send(message, stream)
 
-    def _send(self, message: EncodedMessage, ordered: bool) -> None:
+    def _send(self, message: EncodedMessage, stream: bool) -> None:
         transport = self._transport
         if transport is None or transport.is_closing():
             return
         waiting = transport.get_write_buffer_size() + self._outgoing.waiting_bytes
         if waiting > MOST_BYTES:
             return self.close()
-        if message.size or (ordered and not self._outgoing.idle):
-            self._outgoing.add(message)
+        if message.size or (stream and self._outgoing.stream.messages):
+            self._outgoing.add(message, background=not stream)
             self._send_waiting()
         else:
             transport.write(message.data)
--- a/brackengate/signals/parts.py
+++ b/brackengate/signals/parts.py
@@ -1,7 +1,8 @@
 """Long messages in parts, so that short ones pass between them.  Pure.
 
 A long message is compressed and sent as parts of bounded size, each of which the receiver acknowledges; only
-a window of bytes may be unacknowledged.  The window follows the time that an acknowledgement takes, so a
+a window of bytes may be unacknowledged.  A stream of messages keeps its order; what is in the background
+waits while the stream has anything to send.  The window follows the time that an acknowledgement takes, so a
 heartbeat that is sent between two parts waits behind a bounded time of the link and not behind a whole
 message.  Times are seconds of a clock that never steps, sizes are bytes.
 """
@@ -89,54 +90,71 @@
 
 
 @dataclass
-class Outgoing:
-    """The messages that wait on one connection, in order."""
-
-    waiting: deque[EncodedMessage] = field(default_factory=deque)
-    waiting_bytes: int = 0
-    window: SendWindow = field(default_factory=SendWindow)
-    _at: int = 0  # how much of the first one was sent
+class Waiting:
+    """Messages in their order, the first of them sent in part."""
 
-    @property
-    def idle(self) -> bool:
-        """Whether a message that keeps the order may be sent at once."""
-        return not self.waiting
+    background: bool
+    messages: deque[EncodedMessage] = field(default_factory=deque)
+    size: int = 0  # bytes
+    _sent: int = 0  # of the first one
 
     def add(self, message: EncodedMessage) -> None:
-        self.waiting.append(message)
-        self.waiting_bytes += len(message)
+        self.messages.append(message)
+        self.size += len(message)
 
-    def next(self, now: float) -> Part | bytes | None:
-        """What may be sent now: a part, or a short line whose turn it is."""
-        if not self.waiting or not self.window.room():
-            return None
-        message = self.waiting[0]
+    def next(self) -> Part | bytes:
+        """A part, or a short line whose turn it is."""
+        message = self.messages[0]
         if not message.size:
             self._leaves(message)
             return message.data
-        data = message.data[self._at : self._at + PART_BYTES]
-        self._at += len(data)
-        self.window.sent(len(data), now)
-        if self._at < len(message.data):
-            return Part(data)
+        data = message.data[self._sent : self._sent + PART_BYTES]
+        self._sent += len(data)
+        if self._sent < len(message.data):
+            return Part(data, 0, self.background)
         self._leaves(message)
-        return Part(data, message.size)
+        return Part(data, message.size, self.background)
 
     def _leaves(self, message: EncodedMessage) -> None:
-        self.waiting.popleft()
-        self.waiting_bytes -= len(message)
-        self._at = 0
+        self.messages.popleft()
+        self.size -= len(message)
+        self._sent = 0
 
 
 @dataclass
-class Incoming:
+class Outgoing:
+    """What waits on one connection: a stream in its order, and what it passes, in the background."""
+
+    stream: Waiting = field(default_factory=lambda: Waiting(False))
+    background: Waiting = field(default_factory=lambda: Waiting(True))
+    window: SendWindow = field(default_factory=SendWindow)
+
+    @property
+    def waiting_bytes(self) -> int:
+        return self.stream.size + self.background.size
+
+    def add(self, message: EncodedMessage, background: bool = False) -> None:
+        (self.background if background else self.stream).add(message)
+
+    def next(self, now: float) -> Part | bytes | None:
+        """What may be sent now."""
+        waiting = self.stream if self.stream.messages else self.background
+        if not waiting.messages or not self.window.room():
+            return None
+        found = waiting.next()
+        if isinstance(found, Part):
+            self.window.sent(len(found.data), now)
+        return found
+
+
+@dataclass
+class PartialMessage:
     """The parts that have come of one message."""
 
     parts: list[bytes] = field(default_factory=list)
     size: int = 0
 
     def take(self, part: Part) -> bytes | None:
-        """The line, with its last part.  `Unreadable` ends the connection."""
         self.parts.append(part.data)
         self.size += len(part.data)
         if self.size > MOST_BYTES:
@@ -145,3 +163,13 @@
             return None
         data, self.parts, self.size = b"".join(self.parts), [], 0
         return unpacked(data, part.size)
+
+
+@dataclass
+class Incoming:
+    stream: PartialMessage = field(default_factory=PartialMessage)
+    background: PartialMessage = field(default_factory=PartialMessage)
+
+    def take(self, part: Part) -> bytes | None:
+        """The line, with its last part.  `Unreadable` ends the connection."""
+        return (self.background if part.background else self.stream).take(part)
--- a/brackengate/signals/words.py
+++ b/brackengate/signals/words.py
@@ -178,6 +178,7 @@
 
     data: bytes
     size: int = 0
+    background: bool = False  # of a message that others may pass
 
 
 class PartReceived(Word, frozen=True, tag="got"):
--- a/tests/lighthouse/corekit.py
+++ b/tests/lighthouse/corekit.py
@@ -19,7 +19,7 @@
 
 import msgspec
 
-from brackengate.lighthouse.actions import Action, Answer, Publish, Restart, Store, Tell
+from brackengate.lighthouse.actions import Action, Answer, Deliver, Publish, Restart, Store, Tell
 from brackengate.lighthouse.commands import GIVE_UP_AFTER
 from brackengate.lighthouse.failure_detector import LEASE
 from brackengate.lighthouse.replica import FIRST, Replica, StoredState
@@ -73,6 +73,8 @@
         self.answers: dict[int, Any] = {}
         self.asked: dict[int, Callable[[Any], None]] = {}
         self.published: list[tuple[int, tuple[Any, ...]]] = []
+        self.followers_take: int | None = 0  # to fetch a large order; None: they never have it
+        self.staged: list[tuple[int, str]] = []  # when its delivery began, and which
         self._queue: list[Store] = []
         self._writing = False
 
@@ -164,12 +166,23 @@
                     self.published.append((index, rows))
                 case Restart():
                     self.published.append((-1, ()))
+                case Deliver(order):
+                    self.staged.append((self.core.now, order.id))
+                    if self.followers_take is not None:
+                        self.core.later(
+                            self.followers_take,
+                            lambda id_=order.id, generation=self.generation: self._delivered(id_, generation),
+                        )
         if self._queue and not self._writing:
             self._writing = True
             batch, self._queue = self._queue, []
             wait = max(self.core.now, self.stalled_until, self.frozen_until) - self.core.now + SYNC
             self.core.later(wait, lambda generation=self.generation: self._written(batch, generation))
 
+    def _delivered(self, id_: str, generation: int) -> None:
+        if generation == self.generation and self.replica is not None:
+            self.do(self.replica.delivered(id_, self.core.now))
+
     def _self(self, line: bytes, generation: int) -> None:
         if generation == self.generation:
             self.hear(self.name, line)
--- a/tests/signals/test_parts.py
+++ b/tests/signals/test_parts.py
@@ -23,7 +23,7 @@
     packed,
     unpacked,
 )
-from brackengate.signals.words import Changes, Line, Part, PartReceived, Ping
+from brackengate.signals.words import Changes, Line, Part, PartReceived, Ping, StagePiece
 
 ROUTES = 400
 _decode = msgspec.json.Decoder(Line).decode
@@ -90,6 +90,25 @@
     asyncio.run(play())
 
 
+def test_a_message_of_the_stream_passes_one_in_the_background() -> None:
+    async def play() -> None:
+        heard: list[Line] = []
+        (sender, out), (taker, back) = connection([]), connection(heard)
+        bulk, news = StagePiece("x", 0, incompressible(ROUTES).rows), Changes(2, incompressible(40).rows)
+        for word in (bulk, news, Changes(3)):
+            sender.send(word)
+        while out.written or back.written:
+            data, out.written = b"".join(out.written), []
+            if data:
+                taker.data_received(data)
+            answers, back.written = b"".join(back.written), []
+            if answers:
+                sender.data_received(answers)
+        assert heard == [news, Changes(3), bulk]
+
+    asyncio.run(play())
+
+
 def test_what_arrives_is_what_was_sent_whatever_the_pieces_it_comes_in() -> None:
     async def play() -> None:
         heard: list[Line] = []
