--- a/brackengate/lighthouse/chain.py
+++ b/brackengate/lighthouse/chain.py
@@ -32,6 +32,7 @@
     PendingReply,
     RefusedOrders,
     decide,
+    decide_order,
 )
 from brackengate.lighthouse.item_index import ItemIndex
 from brackengate.lighthouse.learning import Learner, keep_committed, take_piece
@@ -287,7 +288,7 @@
             return []  # submitted again once its replica knows the view
         if isinstance(word.what, Amend):
             return self._execute_order(addr, word.id, word.what, now)
-        return self._enter(addr, word.id, decide(word.what, self.rows, self.items), now)
+        return self._enter_and_reply(addr, word.id, decide(word.what, self.rows, self.items), now)
 
     def _execute_order(self, addr: str, id_: int, what: Amend, now: int) -> list[Action]:
         """A large one is delivered first."""
@@ -300,10 +301,10 @@
             return []
         order = staged_order([row for row in decision.rows if row[0] in PUBLIC])
         if order is None:
-            return self._enter(addr, id_, decision, now)
+            return self._enter_and_reply(addr, id_, decision, now)
         until = now + self.deliver_within + PER_ROW * len(decision.rows)
         members = [member.addr for member in self.view.members]
-        delivery = self._deliveries.begin(what.body, order, members, until)
+        delivery = self._deliveries.begin(what.body, decision.order, order, members, until)
         delivery.joined(addr, id_, now)
         stage = Stage(self.view.epoch, order.id, order.pieces)
         out: list[Action] = [Tell(member, stage) for member in members if member != self.me]
@@ -336,17 +337,22 @@
         ]
 
     def _decide(self, delivery: Delivery, now: int) -> list[Action]:
-        out: list[Action] = []
+        """All who wait for it get the one result."""
+        decision = decide_order(delivery.read, self.rows, self.items)
+        if not self._answers_order(delivery.body, decision, now):
+            return []
+        out = self._enter(decision, now, delivery.order.id)
         for one in delivery.submissions:
-            decision = decide(Amend(delivery.body), self.rows, self.items)
-            if self._answers_order(delivery.body, decision, now):
-                out += self._enter(one.addr, one.id, decision, now, delivery.order.id)
+            self._pending_replies.append(PendingReply(self.index, one.addr, one.id, decision.result))
         return out
 
-    def _enter(self, addr: str, id_: int, decision: Decision, now: int, staged: str = "") -> list[Action]:
+    def _enter(self, decision: Decision, now: int, staged: str = "") -> list[Action]:
         """`staged`: the order by which its rows were delivered."""
         entry = Entry(self.index + 1, decision.rows, staged if decision.rows else "")
-        out = self._take((entry,), now)
+        return self._take((entry,), now)
+
+    def _enter_and_reply(self, addr: str, id_: int, decision: Decision, now: int) -> list[Action]:
+        out = self._enter(decision, now)
         self._pending_replies.append(PendingReply(self.index, addr, id_, decision.result))
         return out
 
--- a/brackengate/lighthouse/commands.py
+++ b/brackengate/lighthouse/commands.py
@@ -18,7 +18,7 @@
 from brackengate.lighthouse.actions import Answer
 from brackengate.lighthouse.item_index import ItemIndex
 from brackengate.lighthouse.rows import KEY
-from brackengate.signals.items import Invalid, Name, read_call
+from brackengate.signals.items import Invalid, Name, Order, read_call
 from brackengate.signals.words import (
     Amend,
     Claim,
@@ -171,13 +171,14 @@
 
     rows: tuple[Row, ...]
     result: CommandResult | None = DONE
+    order: Order = ()  # as it was read, of an order that was taken
 
 
 def decide(what: Command, rows: Rows, items: ItemIndex) -> Decision:
     """At the head.  `rows`, `items`: all that it holds, agreed or not yet."""
     match what:
         case Amend(body):
-            return _decide_order(body, rows, items)
+            return _read_and_decide(body, rows, items)
         case Read():
             return Decision((), None)
         case Claim():
@@ -198,18 +199,22 @@
     return held[1] if held is not None else None
 
 
-def _decide_order(body: str, rows: Rows, items: ItemIndex) -> Decision:
+def _read_and_decide(body: str, rows: Rows, items: ItemIndex) -> Decision:
     try:
         order = read_call(body.encode())
     except Invalid as why:
         return Decision((), InvalidOrder(str(why)))
+    return decide_order(order, rows, items)
+
+
+def decide_order(order: Order, rows: Rows, items: ItemIndex) -> Decision:
     decision = orders.decide(order, items, partial(_history, rows))
     news: list[Row] = [
         (kind, name, msgspec.to_builtins(item)) for (kind, name), item in decision.items.items()
     ]
     for name, history in decision.histories.items():
         news.append((HISTORY, _history_name(name), msgspec.to_builtins(history)))
-    return Decision(tuple(news), decision.result)
+    return Decision(tuple(news), decision.result, order)
 
 
 def _history_name(name: Name) -> str:
--- a/brackengate/lighthouse/orders.py
+++ b/brackengate/lighthouse/orders.py
@@ -154,18 +154,17 @@
     names an unknown service is invalid whatever its version.  Nothing is asked of what was acknowledged.
     What stood before was sound, so only what the order changes is looked at.
     """
-    standing = [route(item) for (kind, _), item in items.items() if kind == "route" and item.body is not None]
-    _check_places(standing, items, held)
+    coming = [(one, route(one.item)) for one in fresh if one.name[0] == "route" and one.item.body is not None]
+    _check_places((it for one, it in coming if items.get(one.name) is one.item), items, held)
     removed = [name for (kind, name), item in items.items() if kind == "plant" and item.body is None]
     for service in removed:
         for name in sorted(held.users(service)):
             if ("route", name) not in items:
                 raise _unknown_service(name, service)
-    for one in fresh:
-        if one.name[0] == "route" and one.item.body is not None:
-            for service in services_of(route(one.item)):
-                if not _stands(("plant", service), items, held):
-                    raise _unknown_service(one.name[1], service)
+    for one, it in coming:
+        for service in services_of(it):
+            if not _stands(("plant", service), items, held):
+                raise _unknown_service(one.name[1], service)
 
 
 def _check_places(coming: Iterable[Route], items: Mapping[Name, Item], held: ItemIndex) -> None:
--- a/brackengate/lighthouse/staging.py
+++ b/brackengate/lighthouse/staging.py
@@ -18,6 +18,7 @@
 
 import msgspec
 
+from brackengate.signals.items import Order
 from brackengate.signals.words import Row, StagedRows
 
 STAGED_BYTES = 8 << 10  # of rows: a smaller order is entered at once
@@ -75,6 +76,7 @@
     """At the head: an order that is being delivered.  `undelivered`: members that have not said it is."""
 
     body: str
+    read: Order
     order: StagedOrder
     until: int
     undelivered: set[str]
@@ -95,8 +97,10 @@
 
     by_body: dict[str, Delivery] = field(default_factory=dict)
 
-    def begin(self, body: str, order: StagedOrder, members: Iterable[str], until: int) -> Delivery:
-        made = self.by_body[body] = Delivery(body, order, until, set(members), [])
+    def begin(
+        self, body: str, read: Order, order: StagedOrder, members: Iterable[str], until: int
+    ) -> Delivery:
+        made = self.by_body[body] = Delivery(body, read, order, until, set(members), [])
         return made
 
     def delivered(self, id_: str, addr: str) -> None:
--- a/brackengate/signals/items.py
+++ b/brackengate/signals/items.py
@@ -7,6 +7,7 @@
 
 import re
 from collections.abc import Iterable, Iterator
+from functools import lru_cache
 from typing import Any
 
 import msgspec
@@ -129,11 +130,10 @@
     return int(found[1])
 
 
-def _time(text: str, what: str) -> int:
-    try:
-        return int(duration(text))
-    except ValueError as error:
-        raise Invalid(f"{what}: {error}") from None
+@lru_cache(1_024)
+def _time(text: str) -> int:
+    """ValueError where it is none.  A configuration has few different ones."""
+    return int(duration(text))
 
 
 def route(item: Item) -> Route:
@@ -142,42 +142,59 @@
         it = msgspec.convert(item.body, _Route)
     except msgspec.ValidationError as error:
         raise Invalid(f"a route: {error}") from None
-    where = f"route {it.name[:40]!r}"
-    if not it.name or not item.host:
-        raise Invalid(f"{where}: its name and its host must not be empty")
+    try:
+        return _checked(it, item.host)
+    except ValueError as why:
+        raise Invalid(f"route {it.name[:40]!r}: {why}") from None
+
+
+def _checked(it: _Route, host: str) -> Route:
+    """ValueError says what is wrong with it."""
+    if not it.name or not host:
+        raise ValueError("its name and its host must not be empty")
     if not it.path_prefix.startswith("/"):
-        raise Invalid(f"{where}: PathPrefix must begin with a slash, not {it.path_prefix[:40]!r}")
+        raise ValueError(f"PathPrefix must begin with a slash, not {it.path_prefix[:40]!r}")
     if it.signal_kind not in KINDS:
-        raise Invalid(f"{where}: SignalKind is one of {', '.join(KINDS)}, not {it.signal_kind[:40]!r}")
-    cutoff = _time(it.cutoff, f"{where}: Cutoff")
-    setpoint = _time(it.setpoint, f"{where}: Setpoint") if it.setpoint is not None else cutoff
+        raise ValueError(f"SignalKind is one of {', '.join(KINDS)}, not {it.signal_kind[:40]!r}")
+    cutoff = _named_time(it.cutoff, "Cutoff")
+    setpoint = _named_time(it.setpoint, "Setpoint") if it.setpoint is not None else cutoff
     if setpoint - cutoff >= MINUTE:
-        raise Invalid(f"{where}: Setpoint is a minute or more above Cutoff")
-    if it.split:
-        parts = tuple(Part(one.plant, one.gain) for one in it.split)
-    elif it.plant:
-        parts = (Part(it.plant, 1.0),)
-    else:
-        raise Invalid(f"{where}: it names no service")
-    if any(not one.gain >= 0 for one in parts):
-        raise Invalid(f"{where}: a weight under 0")
-    if sum(one.gain for one in parts) <= 0:
-        raise Invalid(f"{where}: its weights add up to nothing")
+        raise ValueError("Setpoint is a minute or more above Cutoff")
     if it.max_attempts < 1:
-        raise Invalid(f"{where}: MaxAttempts must be 1 or more")
+        raise ValueError("MaxAttempts must be 1 or more")
     return Route(
         it.name,
-        item.host.lower(),
+        host.lower(),
         it.path_prefix,
         it.signal_kind,
         cutoff,
         setpoint,
         it.priority,
-        parts,
+        _parts(it),
         it.max_attempts,
     )
 
 
+def _named_time(text: str, name: str) -> int:
+    try:
+        return _time(text)
+    except ValueError as error:
+        raise ValueError(f"{name}: {error}") from None
+
+
+def _parts(it: _Route) -> tuple[Part, ...]:
+    if not it.split:
+        if not it.plant:
+            raise ValueError("it names no service")
+        return (Part(it.plant, 1.0),)
+    parts = tuple(Part(one.plant, one.gain) for one in it.split)
+    if any(not one.gain >= 0 for one in parts):
+        raise ValueError("a weight under 0")
+    if sum(one.gain for one in parts) <= 0:
+        raise ValueError("its weights add up to nothing")
+    return parts
+
+
 def plant(item: Item) -> Plant:
     try:
         it = msgspec.convert(item.body, _Plant)
@@ -223,7 +240,7 @@
     if not isinstance(value, dict | list):
         return False
     inner = value.values() if isinstance(value, dict) else value
-    return most == 0 or any(_depth_over(one, most - 1) for one in inner)
+    return most == 0 or any(_depth_over(one, most - 1) for one in inner if isinstance(one, dict | list))
 
 
 def _plants(call: _Call) -> Iterator[NamedItem]:
