--- /dev/null
+++ b/tests/pilot/test_staged.py
@@ -0,0 +1,166 @@
+"""Orders that a proxy holds ahead of their decision, and long changes that are put in force in slices."""
+
+from __future__ import annotations
+
+import asyncio
+from collections.abc import Coroutine
+from typing import Any
+
+import pytest
+from peers import run
+
+from brackengate.pilot import follow
+from brackengate.pilot.follow import Following
+from brackengate.pilot.staged import KEPT, NotHeld, StagedStore
+from brackengate.pilot.table import Table
+from brackengate.signals.words import (
+    Beat,
+    Changes,
+    Line,
+    Row,
+    StagedPosition,
+    StagedRows,
+    StageOffer,
+    StagePiece,
+    StageRequest,
+)
+
+ROUTES = 2_000
+PLAYED_S = 5.0
+
+
+def route(number: int, version: int = 5) -> Row:
+    body = {"Name": f"r{number}", "PathPrefix": f"/{number}/", "SignalKind": "idempotent", "Cutoff": "500ms"}
+    return "route", f"r{number}", [version, "h", {**body, "Plant": "p", "Revision": f"r{version}"}]
+
+
+def piece(number: int, each: int = 10) -> StagePiece:
+    return StagePiece("x", number, tuple(route(n) for n in range(number * each, (number + 1) * each)))
+
+
+def test_pieces_are_taken_in_order_and_go_on_at_another_replica() -> None:
+    store = StagedStore()
+    assert store.offered("x", 3) == 0
+    assert store.take(piece(1)) is None
+    assert store.take(piece(0)) == 1
+    assert store.take(piece(0)) is None
+    assert store.positions() == (StagedPosition("x", 1),)
+    assert store.offered("x", 3) == 1
+    with pytest.raises(NotHeld):
+        StagedStore().put_in_force(StagedRows("x"))
+    assert (store.take(piece(1)), store.take(piece(2))) == (2, 3)
+    rows = store.put_in_force(StagedRows("x", (0, 29)))
+    assert [name for _, name, _ in rows] == [f"r{n}" for n in range(1, 29)]
+    assert store.positions() == ()
+
+
+def test_an_order_that_lacks_a_piece_is_never_put_in_force() -> None:
+    store = StagedStore()
+    store.offered("x", 2)
+    store.take(piece(0))
+    with pytest.raises(NotHeld):
+        store.put_in_force(StagedRows("x"))
+
+
+def test_few_orders_are_held_at_a_time() -> None:
+    store = StagedStore()
+    for number in range(KEPT + 2):
+        store.offered(f"x{number}", 1)
+    assert [one.id for one in store.positions()] == [f"x{n}" for n in range(2, KEPT + 2)]
+
+
+class Replica:
+    """The end of a link, as the follower sees it."""
+
+    def __init__(self) -> None:
+        self.addr, self.good, self.closed = "10.0.0.1:80", True, False
+        self.said: list[Line] = []
+        self.clock = follow.ClockOffset()
+
+    def send(self, word: Line) -> None:
+        self.said.append(word)
+
+    def close(self) -> None:
+        self.closed = True
+
+
+class Follower:
+    def __init__(self) -> None:
+        self.table, self.told, self.now = Table(), list[int](), 0
+        self.following = Following(
+            "10.0.0.9", "z", 1, lambda: (), self.table, self._changed, lambda: self.now, lambda _: ()
+        )
+        self.replica = Replica()
+        self.following._link = self.replica  # type: ignore[assignment]
+
+    def _changed(self, kinds: set[str]) -> None:
+        self.told.append(sum(1 for _ in self.table.routes()))
+
+    def hear(self, *words: Line) -> None:
+        for word in words:
+            self.following.line(self.replica, word)  # type: ignore[arg-type]
+
+    def stage(self, pieces: int, each: int) -> None:
+        self.hear(StageOffer("x", pieces))
+        for number in range(pieces):
+            assert self.replica.said[-1] == StageRequest("x", number)
+            self.hear(piece(number, each))
+        assert self.replica.said[-1] == StageRequest("x", pieces)
+
+
+def played(coroutine: Coroutine[Any, Any, None]) -> None:
+    run(coroutine, PLAYED_S)
+
+
+def test_a_staged_order_is_in_force_with_its_reference_and_not_before() -> None:
+    async def play() -> None:
+        one = Follower()
+        one.stage(3, 10)
+        assert one.table.find("h", "/7/x") is None
+        one.hear(Changes(4, (route(99),), (StagedRows("x", (7,)),)))
+        assert one.table.find("h", "/7/x") is None and one.table.find("h", "/8/x") is not None
+        assert one.table.find("h", "/99/x") is not None and one.table.index == 4
+
+    played(play())
+
+
+def test_a_long_change_goes_in_slices_and_what_follows_waits_for_it() -> None:
+    async def play() -> None:
+        one = Follower()
+        one.stage(4, ROUTES // 4)
+        one.hear(Changes(4, (), (StagedRows("x"),)), Changes(5, (route(3, 9),)), Changes(6, (route(1, 9),)))
+        assert one.table.index == -1 and 0 < len(list(one.table.routes())) <= follow.SLICE
+        turns = 0
+        while one.table.index < 6:
+            turns += 1
+            await asyncio.sleep(0)
+        assert turns >= ROUTES // follow.SLICE - 1
+        assert all(now - before <= follow.SLICE for before, now in zip(one.told, one.told[1:], strict=False))
+        assert len(list(one.table.routes())) == ROUTES
+
+    played(play())
+
+
+def test_it_is_current_when_all_of_a_long_change_is_in_force() -> None:
+    async def play() -> None:
+        one = Follower()
+        one.now = 1_000
+        one.hear(Changes(3, (route(0, 1),)))
+        one.stage(4, ROUTES // 4)
+        one.hear(Beat(4, 5_000, 100, 900), Changes(4, (), (StagedRows("x"),)))
+        assert not one.following.is_current(1_000_000)
+        while one.table.index < 4:
+            await asyncio.sleep(0)
+        assert one.following.is_current(1_000_000)
+
+    played(play())
+
+
+def test_a_reference_to_what_is_not_here_makes_it_follow_anew() -> None:
+    async def play() -> None:
+        one = Follower()
+        one.stage(1, 10)
+        one.hear(Changes(4, (), (StagedRows("y"),)))
+        assert one.replica.closed and one.table.index == -1
+
+    played(play())
