--- a/brackengate/lighthouse/chain.py
+++ b/brackengate/lighthouse/chain.py
@@ -26,32 +26,22 @@
 from brackengate.lighthouse.ages import KeyAges
 from brackengate.lighthouse.commands import (
     GIVE_UP_AFTER,
-    REFUSALS,
     Decision,
     PendingCommands,
     PendingReply,
-    RefusedOrders,
     decide,
-    decide_order,
 )
+from brackengate.lighthouse.head_orders import EnterNow, HeadOrders, Wait
 from brackengate.lighthouse.item_index import ItemIndex
 from brackengate.lighthouse.learning import Learner, keep_committed, take_piece
 from brackengate.lighthouse.log import PublicChanges, ReplicaLog, public_changes
 from brackengate.lighthouse.rows import KEY, LatestRows, State
-from brackengate.lighthouse.staging import (
-    PER_ROW,
-    Deliveries,
-    Delivery,
-    StagedOrder,
-    StagedOrders,
-    staged_order,
-)
+from brackengate.lighthouse.staging import StagedOrder, StagedOrders
 from brackengate.lighthouse.transfer import COMPLETE, next_piece
 from brackengate.lighthouse.view import LogStatus
 from brackengate.signals.items import Item, Name, layout
 from brackengate.signals.words import (
     ITEMS,
-    PUBLIC,
     Ack,
     Amend,
     Append,
@@ -74,7 +64,6 @@
 
 HAVE = 200_000  # a member that has not met the one before it says again what it has
 PRUNE_AT_ONCE = 500
-DELIVER_WITHIN = 1_200_000  # a large order waits so long for its followers at the most, and `PER_ROW`
 PRUNE, PRUNE_ON = 1_000_000, 100_000  # between two looks for old keys, and while there are more
 
 
@@ -103,10 +92,8 @@
         self._said_have = self._pruned = 0
         self._pruned_to = 0  # the last entry that frees old keys
         self._commands = PendingCommands(now)
-        self._refused = RefusedOrders()
-        self.deliver_within = DELIVER_WITHIN
         self.staged = StagedOrders()
-        self._deliveries = Deliveries()
+        self._orders = HeadOrders()
         self._pending_replies: deque[PendingReply] = deque()
 
     def load(
@@ -154,6 +141,10 @@
         """The operator's, as in `rows`."""
         return self.held.items
 
+    def deliver_within(self, time: int) -> None:
+        """How long a large order waits for followers at the most, beside the time for its rows."""
+        self._orders.deliver_within = time
+
     @property
     def has_snapshot(self) -> bool:
         member = self.view.member(self.me)
@@ -200,7 +191,7 @@
         self._next_from = self._owed = None
         self._fed = False
         self._pending_replies.clear()  # whoever asked asks again
-        self._deliveries = Deliveries()
+        self._orders.begin_view()
         self.staged.forget_open()
         out: list[Action] = []
         if not self.has_snapshot:
@@ -292,23 +283,19 @@
 
     def _execute_order(self, addr: str, id_: int, what: Amend, now: int) -> list[Action]:
         """A large one is delivered first."""
-        delivery = self._deliveries.by_body.get(what.body)
-        if delivery is not None:
-            delivery.joined(addr, id_, now)
-            return self._say_underway(addr, id_)
-        decision = decide(what, self.rows, self.items)
-        if not self._answers_order(what.body, decision, now):
-            return []
-        order = staged_order([row for row in decision.rows if row[0] in PUBLIC])
-        if order is None:
-            return self._enter_and_reply(addr, id_, decision, now)
-        until = now + self.deliver_within + PER_ROW * len(decision.rows)
         members = [member.addr for member in self.view.members]
-        delivery = self._deliveries.begin(what.body, decision.order, order, members, until)
-        delivery.joined(addr, id_, now)
+        match self._orders.submitted(what, addr, id_, self.rows, self.items, members, now):
+            case EnterNow(decision):
+                return self._enter_and_reply(addr, id_, decision, now)
+            case Wait(delivery, begins):
+                out = self._begin_delivery(delivery.order) if begins else []
+                return out + self._say_underway(addr, id_)
+        return []
+
+    def _begin_delivery(self, order: StagedOrder) -> list[Action]:
         stage = Stage(self.view.epoch, order.id, order.pieces)
-        out: list[Action] = [Tell(member, stage) for member in members if member != self.me]
-        return [*out, *self._deliver(order), *self._say_underway(addr, id_)]
+        others = [member.addr for member in self.view.members if member.addr != self.me]
+        return [*(Tell(other, stage) for other in others), *self._deliver(order)]
 
     def _say_underway(self, addr: str, id_: int) -> list[Action]:
         if addr == self.me:
@@ -325,25 +312,18 @@
         self._now = now
         if self.head != self.me:
             return [Tell(self.head, Delivered(self.view.epoch, id_))] if self.head else []
-        self._deliveries.delivered(id_, self.me)
+        self._orders.delivered(id_, self.me)
         return self._enter_delivered(now)
 
     def _enter_delivered(self, now: int) -> list[Action]:
-        """Orders are decided now, whatever was decided when their delivery began."""
+        """All who wait for an order get its one result."""
+        out: list[Action] = []
         if self._chain_position() != 0 or not self.has_snapshot or self.epoch_closed:
-            return []
-        return [
-            action for delivery in self._deliveries.take_over(now) for action in self._decide(delivery, now)
-        ]
-
-    def _decide(self, delivery: Delivery, now: int) -> list[Action]:
-        """All who wait for it get the one result."""
-        decision = decide_order(delivery.read, self.rows, self.items)
-        if not self._answers_order(delivery.body, decision, now):
-            return []
-        out = self._enter(decision, now, delivery.order.id)
-        for one in delivery.submissions:
-            self._pending_replies.append(PendingReply(self.index, one.addr, one.id, decision.result))
+            return out
+        while (due := self._orders.take_due(self.rows, self.items, now)) is not None:
+            out += self._enter(due.decision, now, due.delivery.order.id)
+            for one in due.delivery.submissions:
+                self._pending_replies.append(PendingReply(self.index, one.addr, one.id, due.decision.result))
         return out
 
     def _enter(self, decision: Decision, now: int, staged: str = "") -> list[Action]:
@@ -356,13 +336,6 @@
         self._pending_replies.append(PendingReply(self.index, addr, id_, decision.result))
         return out
 
-    def _answers_order(self, body: str, decision: Decision, now: int) -> bool:
-        """False: it may be a late copy of an order that was refused."""
-        if isinstance(decision.result, REFUSALS):
-            self._refused.add(body, now)
-            return True
-        return not decision.rows or not self._refused.holds(body, now)
-
     def _reply(self, reply: PendingReply) -> list[Action]:
         result = reply.result if reply.result is not None else self.configuration()
         word = Result(reply.id, result)
@@ -405,7 +378,7 @@
                     return self._deliver(StagedOrder(word.id, word.pieces))
             case Delivered():
                 if word.epoch == self.view.epoch:
-                    self._deliveries.delivered(word.id, addr)
+                    self._orders.delivered(word.id, addr)
                     return self._enter_delivered(now)
             case Result():
                 return self._resolved(word)
--- a/brackengate/lighthouse/role.py
+++ b/brackengate/lighthouse/role.py
@@ -4,6 +4,7 @@
 
 import asyncio
 import contextlib
+import gc
 import logging
 import random
 import signal
@@ -56,6 +57,7 @@
 SLOW = 400_000  # a disk that takes longer over a write is not healthy
 NO_COPY = CopyPosition()
 DELIVER_PART = 30  # hundredths of `Ack` that a large order may wait for its followers
+COLLECT_AFTER = 20_000  # objects: a large order makes a hundred thousand, and few are in circles
 RETRY_S = 0.3  # a write that failed is tried again
 
 
@@ -108,7 +110,7 @@
         seeds = [f"{host}:{port}" for host, port in settings.seeds]
         window = settings.bounds.dedupe_window
         self.replica = Replica(self.me, settings.zone, kept, seeds, first, settings.min_replicas, window, now)
-        self.replica.chain.deliver_within = settings.bounds.ack * DELIVER_PART // 100
+        self.replica.chain.deliver_within(settings.bounds.ack * DELIVER_PART // 100)
         self._watchroom = Watchroom(self.replica, self._followers, self.ask, self.now)
         self._inner = await self._loop.create_server(
             lambda: Lines(self._on_line, self._on_open, self._on_lost), settings.ip, self._port
@@ -443,6 +445,8 @@
 
 async def serve(settings: Settings) -> int:
     lighthouse, loop = Lighthouse(settings), asyncio.get_running_loop()
+    gc.freeze()
+    gc.set_threshold(COLLECT_AFTER, *gc.get_threshold()[1:])
     for number in (signal.SIGTERM, signal.SIGINT):
         loop.add_signal_handler(number, lighthouse.stop)
     loop.add_signal_handler(signal.SIGHUP, lambda: None)
--- a/brackengate/lighthouse/staging.py
+++ b/brackengate/lighthouse/staging.py
@@ -108,11 +108,11 @@
             if one.order.id == id_:
                 one.undelivered.discard(addr)
 
-    def take_over(self, now: int) -> list[Delivery]:
-        """Those whose delivery has ended, the first to begin first."""
-        found = [one for one in self.by_body.values() if one.over(now)]
-        for one in found:
-            del self.by_body[one.body]
+    def take_over(self, now: int) -> Delivery | None:
+        """One whose delivery has ended, the first to begin first."""
+        found = next((one for one in self.by_body.values() if one.over(now)), None)
+        if found is not None:
+            del self.by_body[found.body]
         return found
 
 
--- a/tests/lighthouse/test_staging.py
+++ b/tests/lighthouse/test_staging.py
@@ -12,7 +12,7 @@
 from operators import Sent, order, route
 from test_order_timelines import Mesh, S
 
-from brackengate.lighthouse.chain import DELIVER_WITHIN
+from brackengate.lighthouse.head_orders import DELIVER_WITHIN
 from brackengate.lighthouse.staging import (
     PER_ROW,
     PIECE_BYTES,
