--- a/benchmarks/big_orders.py
+++ b/benchmarks/big_orders.py
@@ -170,15 +170,15 @@
     return [*found, (1_500, 10, RANDOM), (1_500, 60, RANDOM), (4_000, 10, RANDOM)]
 
 
-def run(case: tuple[int, int, str], tree: Path) -> Case:
+def run(case: tuple[int, int, str], tree: Path, limit_s: float) -> Case:
     command = [sys.executable, str(Path(__file__).resolve()), "--case", *map(str, case)]
     environment = {**os.environ, "PYTHONPATH": str(tree)}
     try:
         done = subprocess.run(
-            command, env=environment, capture_output=True, text=True, timeout=LIMIT_S, check=False
+            command, env=environment, capture_output=True, text=True, timeout=limit_s, check=False
         )
     except subprocess.TimeoutExpired:
-        return Case(*case, failed=f"not over after {LIMIT_S:.0f} s")
+        return Case(*case, failed=f"not over after {limit_s:.0f} s")
     if done.returncode:
         return Case(*case, failed=done.stderr.strip().splitlines()[-1][:120])
     return read_case(json.loads(done.stdout.splitlines()[-1]))
@@ -235,13 +235,17 @@
     parser.add_argument("--tree", type=Path, default=HERE.parent)
     parser.add_argument("--label", default="now")
     parser.add_argument("--jobs", type=int, default=2)
+    parser.add_argument("--most-routes", type=int, default=ROUTES[-1])
+    parser.add_argument("--most-proxies", type=int, default=PROXIES[-1])
+    parser.add_argument("--limit", type=float, default=LIMIT_S, help="seconds that a case may take")
     told = parser.parse_args()
     if told.case:
         routes, proxies, content = told.case
         print(json.dumps(asdict(play(int(routes), int(proxies), content))))
         return
+    chosen = [one for one in cases() if one[0] <= told.most_routes and one[1] <= told.most_proxies]
     with concurrent.futures.ThreadPoolExecutor(told.jobs) as pool:
-        found = list(pool.map(lambda case: run(case, told.tree.resolve()), cases()))
+        found = list(pool.map(lambda case: run(case, told.tree.resolve(), told.limit), chosen))
     held = RESULTS / "big_orders.json"
     labelled = json.loads(held.read_text()) if held.exists() else {}
     labelled[told.label] = [asdict(one) for one in found]
