--- a/brackengate/pilot/staged.py
+++ b/brackengate/pilot/staged.py
@@ -10,7 +10,7 @@
 from brackengate.pilot.table import Prepared, prepared
 from brackengate.signals.words import ITEMS, Row, StagedPosition, StagedRows, StagePiece
 
-KEPT = 4  # orders that are held at most; the oldest goes
+KEPT = 12  # orders that are held at most, so that several can be under way at once; the oldest goes
 
 
 @dataclass(slots=True)
