--- a/brackengate/brain.py
+++ b/brackengate/brain.py
@@ -30,6 +30,7 @@
             api.TimerFired: self._on_timer,
             api.UpstreamList: self._on_list,
             api.Classes: lambda event: self._use(event.classes),
+            api.ClassesChanged: lambda event: self._change_classes(event.changed, event.gone),
             api.Ration: self._on_ration,
             api.Standing: self._on_standing,
             api.ClientGone: lambda event: self._end(self.calls.get(event.request), None),
--- a/brackengate/interface.py
+++ b/brackengate/interface.py
@@ -227,6 +227,14 @@
     classes: tuple[RequestClass, ...]
 
 
+@dataclass(slots=True)
+class ClassesChanged:
+    """Some classes of the table are new or other than before, some are gone; the rest stay."""
+
+    changed: tuple[RequestClass, ...]
+    gone: tuple[str, ...] = ()  # by name
+
+
 @dataclass(slots=True)
 class Ration:
     """What retries may cost from here on, where a budget is shared and its part has changed."""
@@ -259,6 +267,7 @@
     | TimerFired
     | ProbeEnded
     | Classes
+    | ClassesChanged
     | Ration
     | Standing
     | PeerMessage
--- a/brackengate/pilot/follow.py
+++ b/brackengate/pilot/follow.py
@@ -51,7 +51,7 @@
 LOOK_S = 0.15  # between two looks whether it has gone silent
 PAUSE_S = 0.1
 CLOCK_S = 4.0  # between two exchanges of times with the member that is followed
-SLICE = 400  # rows that are put in force in one step of the loop
+SLICE = 200  # rows that are put in force in one step of the loop
 HOME_S = 4.0  # between two looks whether a nearer member is there again
 
 
@@ -311,7 +311,11 @@
             self.lost(link, "it refers to what is not here")
             return
         self._coming.append(Changes(news.index, (*rows, *news.rows)))
-        if len(self._coming) == 1:
+        if len(self._coming) > 1:
+            return  # it waits for the one before it
+        if rows:
+            self._loop.call_soon(self._put_in_force)
+        else:
             self._put_in_force()
 
     def _put_in_force(self) -> None:
--- a/brackengate/pilot/way.py
+++ b/brackengate/pilot/way.py
@@ -15,7 +15,7 @@
 from brackengate.http.message import Arrival, Bad
 from brackengate.http.upstream import Answered
 from brackengate.interface import (
-    Classes,
+    ClassesChanged,
     Earlier,
     Endpoint,
     Idempotency,
@@ -177,9 +177,11 @@
         for id_ in [id_ for id_, at in self.pool.wanted.items() if at == address]:
             self.node.told(Standing(id_, up))
 
-    def tell_classes(self) -> None:
-        """After a change of `classes`."""
-        self.node.told(Classes(tuple(self.classes.values())))
+    def change_classes(self, changed: dict[str, RequestClass], gone: set[str]) -> None:
+        for name in gone:
+            self.classes.pop(name, None)
+        self.classes.update(changed)
+        self.node.told(ClassesChanged(tuple(changed.values()), tuple(sorted(gone))))
 
 
 class WayOut:
@@ -235,24 +237,23 @@
 
     def _routes_changed(self, names: set[str]) -> set[str]:
         """The services that are new by it."""
-        changed, begun = set[str](), set[str]()
+        changed: dict[str, dict[str, RequestClass]] = {}
+        gone: dict[str, set[str]] = {}
         for name in sorted(names):
             route = self._table.route(name)
             now = {part.plant for part in route.parts} if route is not None else set()
             for service in self._goes_to.pop(name, set()) - now:
-                self.services[service].classes.pop(name, None)
-                changed.add(service)
-            if route is None:
-                continue
-            self._goes_to[name] = now
-            for service in sorted(now):
-                if service not in self.services:
-                    self.services[service] = self._begin(service)
-                    begun.add(service)
-                self.services[service].classes[name] = _class_of(route)
-            changed |= now
-        for service in sorted(changed):
-            self.services[service].tell_classes()
+                gone.setdefault(service, set()).add(name)
+            if route is not None:
+                self._goes_to[name] = now
+                class_ = _class_of(route)
+                for service in now:
+                    changed.setdefault(service, {})[name] = class_
+        begun = changed.keys() - self.services.keys()
+        for service in sorted(begun):
+            self.services[service] = self._begin(service)
+        for service in sorted(changed.keys() | gone.keys()):
+            self.services[service].change_classes(changed.get(service, {}), gone.get(service, set()))
         return begun
 
     def _begin(self, name: str) -> Service:
--- a/brackengate/policy/state.py
+++ b/brackengate/policy/state.py
@@ -4,6 +4,7 @@
 
 import random
 from collections import deque
+from collections.abc import Collection
 from dataclasses import dataclass, field
 
 from brackengate import interface as api
@@ -129,8 +130,27 @@
 
     def _use(self, classes: tuple[api.RequestClass, ...]) -> None:
         """Go by these classes; what was learned of those that keep their name stays."""
-        aim = min([c.aim for c in classes], default=self.settings.cold_time)
         self.classes = {c.name: c for c in classes}
+        self._scale_by(self.classes.values())
+
+    def _change_classes(self, changed: tuple[api.RequestClass, ...], gone: tuple[str, ...]) -> None:
+        """As `_use` with all of them, at the cost of the change where it takes no extreme away."""
+        names = (*gone, *(c.name for c in changed))
+        before = [held for name in names if (held := self.classes.pop(name, None)) is not None]
+        rest = bool(self.classes)
+        self.classes.update((c.name, c) for c in changed)
+        aim, worth = self.least_aim, self.top_worth
+        aim_stays = any(c.aim <= aim for c in changed) or all(c.aim > aim for c in before)
+        worth_stays = any(c.worth >= worth for c in changed) or all(c.worth < worth for c in before)
+        if rest and aim_stays and worth_stays:
+            extremes = api.RequestClass("", aim, 0, worth=worth)
+            self._scale_by([extremes, *changed])
+        else:
+            self._scale_by(self.classes.values())
+
+    def _scale_by(self, classes: Collection[api.RequestClass]) -> None:
+        """Times and worths that follow the tightest and the dearest class."""
+        self.least_aim = aim = min([c.aim for c in classes], default=self.settings.cold_time)
         self.recheck = max(self.settings.resolution, int(RECHECK * aim))
         self.top_worth = max([c.worth for c in classes], default=1.0)
         self.word_lasts, self.word_waiting = (aim, 0) if self.probe_most else (self.settings.cold_time, 1)
--- a/tests/test_mesh_policy.py
+++ b/tests/test_mesh_policy.py
@@ -1,5 +1,7 @@
 """What a mesh needs of the module: calls that are not held, unsent attempts for nothing, new classes."""
 
+import random
+
 import pytest
 from test_random import Play
 from world import ONCE, SAFE, World, endings, keyed, probes, rows, sends
@@ -259,6 +261,30 @@
     assert sends(world.ended(name, sends(actions)[0].upstream, api.Outcome.ERROR))
 
 
+def test_drawn_changes_of_classes_leave_what_the_whole_table_would():
+    rng, table = random.Random(1), {one.name: one for one in (SAFE, ONCE)}
+    changing, whole = World(rows(1)), World(rows(1))
+    for _ in range(400):
+        names = rng.sample("abcdefgh", rng.randrange(1, 5))
+        split = rng.randrange(len(names) + 1)
+        gone = names[split:]
+        changed = [
+            api.RequestClass(name, rng.choice((200_000, 300_000)), 1_000_000, worth=rng.choice((1.0, 2.0)))
+            for name in names[:split]
+        ]
+        table = {name: one for name, one in table.items() if name not in gone}
+        table.update((one.name, one) for one in changed)
+        changing.tell(api.ClassesChanged(tuple(changed), tuple(gone)))
+        whole.tell(api.Classes(tuple(table.values())))
+        one, other = changing.balancer, whole.balancer
+        assert one.classes == other.classes
+        assert (one.recheck, one.top_worth, one.word_lasts) == (
+            other.recheck,
+            other.top_worth,
+            other.word_lasts,
+        )
+
+
 def test_a_class_that_the_new_table_lacks_gets_the_most_careful_handling():
     world = World(rows(4))
     world.tell(api.Classes((ONCE,)))
