--- a/brackengate/lighthouse/commands.py
+++ b/brackengate/lighthouse/commands.py
@@ -18,6 +18,7 @@
 from brackengate.lighthouse.actions import Answer
 from brackengate.lighthouse.item_index import ItemIndex
 from brackengate.lighthouse.rows import KEY
+from brackengate.lighthouse.staging import STAGED_BYTES
 from brackengate.signals.items import Invalid, Name, Order, read_call
 from brackengate.signals.words import (
     Amend,
@@ -43,7 +44,8 @@
 GIVE_UP_AFTER = 12_000_000  # and forgotten
 OPERATOR_PATIENCE = 2_000_000  # an operator goes elsewhere after a second: no longer is its call pursued
 PATIENCE_PER_BYTE = 20  # and longer with a large order, which is delivered first: 4 ms for each route
-HOLD_REFUSED = 4_000_000  # longer than that, and than its last submission can be under way
+HOLD_REFUSED = 4_000_000  # longer than that, and than its last submission can be under way; and for each
+# byte as much longer as its call is pursued
 MOST_REFUSED = 1_000  # orders whose refusal a head remembers
 HISTORY = "history"  # rows of what was acknowledged of an item, see `orders.py`
 REFUSALS = (HeldBy, InvalidOrder, ConflictingOrder, UndecidedOrder)
@@ -141,6 +143,15 @@
         return [number for number, one in self.by_id.items() if now - one.sent > RESUBMIT_AFTER]
 
 
+def patience_for(body: str) -> int:
+    """For how long the call of an operator is pursued."""
+    return OPERATOR_PATIENCE + _more_patience(body)
+
+
+def _more_patience(body: str) -> int:
+    return PATIENCE_PER_BYTE * max(0, len(body) - STAGED_BYTES)
+
+
 @dataclass(slots=True)
 class RefusedOrders:
     """The orders that this replica refused lately as the head, by their text.
@@ -156,13 +167,13 @@
         self.refused_at.pop(body, None)
         self.refused_at[body] = now
         for old in list(self.refused_at):
-            if now - self.refused_at[old] <= HOLD_REFUSED and len(self.refused_at) <= MOST_REFUSED:
+            if self.holds(old, now) and len(self.refused_at) <= MOST_REFUSED:
                 break
             del self.refused_at[old]
 
     def holds(self, body: str, now: int) -> bool:
         refused_at = self.refused_at.get(body)
-        return refused_at is not None and now - refused_at <= HOLD_REFUSED
+        return refused_at is not None and now - refused_at <= HOLD_REFUSED + _more_patience(body)
 
 
 @dataclass(frozen=True, slots=True)
--- a/brackengate/lighthouse/control.py
+++ b/brackengate/lighthouse/control.py
@@ -9,8 +9,7 @@
 import msgspec
 
 from brackengate.http.message import Arrival, Bad
-from brackengate.lighthouse.commands import OPERATOR_PATIENCE, PATIENCE_PER_BYTE
-from brackengate.lighthouse.staging import STAGED_BYTES
+from brackengate.lighthouse.commands import OPERATOR_PATIENCE, patience_for
 from brackengate.net.http import CallerConnection
 from brackengate.signals.door import MOST_BODY, collect, rpc
 from brackengate.signals.words import (
@@ -59,8 +58,7 @@
         except UnicodeDecodeError:
             connection.respond(400, _error("not UTF-8"), JSON)
             return
-        patience = OPERATOR_PATIENCE + PATIENCE_PER_BYTE * max(0, len(body) - STAGED_BYTES)
-        self._ask(Amend(text), connection, "config.amend", patience)
+        self._ask(Amend(text), connection, "config.amend", patience_for(text))
 
     def _ask(
         self, what: Command, connection: CallerConnection, call: str, patience: int = OPERATOR_PATIENCE
--- a/tests/lighthouse/test_commands_pending.py
+++ b/tests/lighthouse/test_commands_pending.py
@@ -18,6 +18,7 @@
     RESUBMIT_AFTER,
     PendingCommands,
     RefusedOrders,
+    patience_for,
 )
 from brackengate.lighthouse.control import Control, answer_to
 from brackengate.signals.words import (
@@ -84,6 +85,10 @@
     assert (len(refused.refused_at), refused.holds("order 9", n)) == (MOST_REFUSED, False)
     assert refused.holds("order 10", 10 + HOLD_REFUSED)
     assert not refused.holds("order 10", 11 + HOLD_REFUSED)
+    large = "x" * (1 << 20)  # it may be under way for longer
+    refused.add(large, 0)
+    assert refused.holds(large, patience_for(large))
+    del refused.refused_at[large]
     refused.add("order 10", 2 * HOLD_REFUSED)
     assert list(refused.refused_at) == ["order 10"]
 
