--- a/brackengate/pilot/role.py
+++ b/brackengate/pilot/role.py
@@ -29,6 +29,7 @@
 from brackengate.pilot.entry import Entry
 from brackengate.pilot.follow import Following
 from brackengate.pilot.gate import Beat, Gate
+from brackengate.pilot.reachability import Reachability
 from brackengate.pilot.table import Table
 from brackengate.pilot.verdict import judge, own_judge
 from brackengate.pilot.wake import Wake
@@ -104,7 +105,8 @@
         )
         current_within = settings.bounds.apply_time // 2
         me = settings.ip, settings.internal_ports[0]
-        self.watcher = Watcher(me, clock.now, self.following.ask, self._standing, self._given_up)
+        self.reachability = Reachability(loop, self._address_of, self._cut_off)
+        self.watcher = Watcher(me, clock.now, self.following.ask, self._standing, self.reachability.given_up)
         self.way = WayOut(
             loop,
             clock,
@@ -217,6 +219,7 @@
         log.info("pilot: left, with %d requests held", held)
         self.following.close()
         self.watcher.close()
+        self.reachability.close()
         if not self.left.done():
             self.left.set_result(0)
 
@@ -273,10 +276,12 @@
 
     def _standing(self, machine: str, up: bool) -> None:
         """Wanted: that nothing new goes to a machine which does not answer."""
+        if up:
+            self.reachability.answers(machine)
         self.way.standing(machine, up)
 
-    def _given_up(self, machine: str) -> None:
-        """And that nothing waits for one which has not answered for long."""
+    def _cut_off(self, machine: str) -> None:
+        """And that nothing waits for one which has not answered for long, nor on a connection."""
         self.way.given_up(machine)
         self._gates.break_off(machine)
 
