--- a/benchmarks/scale/units.py
+++ b/benchmarks/scale/units.py
@@ -107,7 +107,7 @@
 
     hosts = [{"Host": HOST, "Paths": [route(CHANGED_ROUTE, "s0", 2)]}]
     order = json.dumps({"Apply": {"Hosts": hosts}}).encode()
-    items = ItemIndex(read_call(first_configuration(size)))
+    items = ItemIndex.of(read_call(first_configuration(size)))
     machines = table.pilots()
     return Units(
         proxies=proxies,
--- a/brackengate/bridge/changes.py
+++ b/brackengate/bridge/changes.py
@@ -61,7 +61,7 @@
         told = any(one.why == str(error) for one in faults)
         return faults if told else [*faults, Change("call", "", INVALID, why=str(error))]
     out: list[Change] = []
-    result = decide(read, ItemIndex(held.items()), lambda _: History()).result
+    result = decide(read, ItemIndex.of(held.items()), lambda _: History()).result
     if not isinstance(result, CommandDone):
         out.append(Change("call", "", INVALID, why=result.reason))
     highest = _highest(read)
--- a/brackengate/lighthouse/item_index.py
+++ b/brackengate/lighthouse/item_index.py
@@ -6,6 +6,7 @@
 from __future__ import annotations
 
 from collections.abc import Iterable, Iterator, Mapping, Set
+from dataclasses import dataclass, field
 from typing import TypeVar
 
 from brackengate.signals.items import Invalid, Item, Name, Route, route
@@ -15,16 +16,21 @@
 NOBODY: frozenset[str] = frozenset()
 
 
+@dataclass(eq=False)
 class ItemIndex(Mapping[Name, Item]):
     """Items by kind and name; those that were dropped too, with their versions."""
 
-    def __init__(self, items: Iterable[tuple[Name, Item]] = ()) -> None:
-        self._items: dict[Name, Item] = {}
-        self._routes: dict[str, Route] = {}  # that stand
-        self._at_place: dict[Place, set[str]] = {}  # names of routes
-        self._users: dict[str, set[str]] = {}  # names of routes, by the service that they go to
+    _items: dict[Name, Item] = field(default_factory=dict)
+    _routes: dict[str, Route] = field(default_factory=dict)  # that stand
+    _at_place: dict[Place, set[str]] = field(default_factory=dict)  # names of routes
+    _users: dict[str, set[str]] = field(default_factory=dict)  # names of routes, by the service they go to
+
+    @classmethod
+    def of(cls, items: Iterable[tuple[Name, Item]]) -> ItemIndex:
+        made = cls()
         for name, item in items:
-            self.put(name, item)
+            made.put(name, item)
+        return made
 
     def __getitem__(self, name: Name) -> Item:
         return self._items[name]
--- a/brackengate/policy/state.py
+++ b/brackengate/policy/state.py
@@ -4,7 +4,6 @@
 
 import random
 from collections import deque
-from collections.abc import Collection
 from dataclasses import dataclass, field
 
 from brackengate import interface as api
@@ -131,7 +130,7 @@
     def _use(self, classes: tuple[api.RequestClass, ...]) -> None:
         """Go by these classes; what was learned of those that keep their name stays."""
         self.classes = {c.name: c for c in classes}
-        self._scale_by(self.classes.values())
+        self._scale_by(list(self.classes.values()))
 
     def _change_classes(self, changed: tuple[api.RequestClass, ...], gone: tuple[str, ...]) -> None:
         """As `_use` with all of them, at the cost of the change where it takes no extreme away."""
@@ -146,9 +145,9 @@
             extremes = api.RequestClass("", aim, 0, worth=worth)
             self._scale_by([extremes, *changed])
         else:
-            self._scale_by(self.classes.values())
+            self._scale_by(list(self.classes.values()))
 
-    def _scale_by(self, classes: Collection[api.RequestClass]) -> None:
+    def _scale_by(self, classes: list[api.RequestClass]) -> None:
         """Times and worths that follow the tightest and the dearest class."""
         self.least_aim = aim = min([c.aim for c in classes], default=self.settings.cold_time)
         self.recheck = max(self.settings.resolution, int(RECHECK * aim))
--- a/brackengate/soundings/vessel.py
+++ b/brackengate/soundings/vessel.py
@@ -82,7 +82,7 @@
 def plain(value: Any) -> Any:
     """The same for equal states, and hashable."""
     kind = type(value)
-    if kind is str or kind is int or kind is bytes or kind is bool or value is None:
+    if kind in (str, int, float, bytes, bool) or value is None:
         return value
     if kind is tuple or kind is list or kind is deque:
         return tuple([plain(one) for one in value])
