--- a/brackengate/lighthouse/head_orders.py
+++ b/brackengate/lighthouse/head_orders.py
@@ -60,7 +60,7 @@
     ) -> Taken:
         delivery = self._deliveries.by_body.get(what.body)
         if delivery is not None:
-            delivery.joined(addr, id_, now)
+            delivery.joined(addr, id_)
             return Wait(delivery, begins=False)
         decision = decide(what, rows, items)
         if not self._answers(what.body, decision, now):
@@ -70,7 +70,7 @@
             return EnterNow(decision)
         until = now + self.deliver_within + PER_ROW * len(decision.rows)
         delivery = self._deliveries.begin(what.body, decision.order, order, members, until)
-        delivery.joined(addr, id_, now)
+        delivery.joined(addr, id_)
         return Wait(delivery, begins=True)
 
     def delivered(self, id_: str, addr: str) -> None:
--- a/brackengate/lighthouse/staging.py
+++ b/brackengate/lighthouse/staging.py
@@ -68,7 +68,6 @@
 
     addr: str
     id: int
-    heard_at: int
 
 
 @dataclass(slots=True)
@@ -82,10 +81,10 @@
     undelivered: set[str]
     submissions: list[Submission]
 
-    def joined(self, addr: str, id_: int, now: int) -> None:
+    def joined(self, addr: str, id_: int) -> None:
         """A submission of one replica takes the place of its earlier one."""
         self.submissions = [one for one in self.submissions if one.addr != addr]
-        self.submissions.append(Submission(addr, id_, now))
+        self.submissions.append(Submission(addr, id_))
 
     def over(self, now: int) -> bool:
         return not self.undelivered or now >= self.until
