--- a/brackengate/pilot/follow.py
+++ b/brackengate/pilot/follow.py
@@ -10,13 +10,13 @@
 import asyncio
 import hashlib
 import logging
-from collections import deque
 from collections.abc import Callable, Iterable
 from dataclasses import dataclass
 from typing import Any
 
 from brackengate.lighthouse.transfer import NOTHING, Differs
 from brackengate.net.sockets import parse_address
+from brackengate.pilot.apply_queue import ApplyQueue
 from brackengate.pilot.copy import PublicCopy
 from brackengate.pilot.currency import ClockOffset, Currency
 from brackengate.pilot.staged import NotHeld, StagedStore
@@ -51,7 +51,6 @@
 LOOK_S = 0.15  # between two looks whether it has gone silent
 PAUSE_S = 0.1
 CLOCK_S = 4.0  # between two exchanges of times with the member that is followed
-SLICE = 200  # rows that are put in force in one step of the loop
 HOME_S = 4.0  # between two looks whether a nearer member is there again
 
 
@@ -144,7 +143,6 @@
         self.copy = PublicCopy()
         self.staged, self.currency = StagedStore(), Currency()
         self.on_current: Callable[[], None] = lambda: None  # what is in force, or how current it is, changed
-        self._coming: deque[Changes] = deque()  # the first one is being put in force
         self.me, self.zone, self.port, self.table, self.now = me, zone, port, table, now
         self._seeds, self._changed = seeds, changed
         self._members: dict[str, str] = {}
@@ -155,6 +153,7 @@
         self._last = 0
         self._closed = False
         self._loop = asyncio.get_running_loop()
+        self._changes = ApplyQueue(table, self._loop.call_soon, self._told)
 
     def start(self) -> None:
         self._next()
@@ -295,13 +294,12 @@
             self.lost(link, "its copy differs")
             return
         if whole:
-            self._coming.clear()  # older than the copy
-            self._told(self.table.snapshot(*self.copy.whole()))
+            self._changes.add_copy(*self.copy.whole())
         else:
             link.ask_for_piece(self.copy.position)
 
     def _take_changes(self, link: Link, news: Changes) -> None:
-        """In the order in which they come; staged rows are put before those that come with them."""
+        """Staged rows are put in force before those that come with them."""
         rows: list[Row] = []
         try:
             for reference in news.staged:
@@ -310,25 +308,7 @@
             log.error("follow: step staged, from %s: %s is not here", link.addr, why)
             self.lost(link, "it refers to what is not here")
             return
-        self._coming.append(Changes(news.index, (*rows, *news.rows)))
-        if len(self._coming) > 1:
-            return  # it waits for the one before it
-        if rows:
-            self._loop.call_soon(self._put_in_force)
-        else:
-            self._put_in_force()
-
-    def _put_in_force(self) -> None:
-        """Long ones in slices, so that requests pass between them.  Only the last slice ends in its index."""
-        while self._coming:
-            first = self._coming[0]
-            if len(first.rows) > SLICE:
-                self._coming[0] = Changes(first.index, first.rows[SLICE:])
-                self._told(self.table.apply(first.rows[:SLICE]))
-                self._loop.call_soon(self._put_in_force)
-                return
-            self._coming.popleft()
-            self._told(self.table.changes(first.index, first.rows))
+        self._changes.add(news.index, (*rows, *news.rows))
 
     def _told(self, changed: set[str]) -> None:
         self.currency.reached(self.table.index)
--- a/brackengate/pilot/table.py
+++ b/brackengate/pilot/table.py
@@ -58,21 +58,21 @@
         self._hosts: dict[str, dict[str, Route]] = {}  # by host and prefix
         self._upstreams: dict[str, dict[str, Instance]] = {}  # those that are not gone, by service
         self._touched = Touched()
-
-    @property
-    def known(self) -> bool:
-        """Whether there is a configuration: without one, nothing can be said of any request."""
-        return bool(self._items)
+        self.known = False  # whether there is a whole configuration: without one, no request can be routed
 
     def snapshot(self, index: int, rows: Iterable[Row]) -> set[str]:
         """As `changes`, and what is not named is gone.  An older one than what is held is left alone."""
         if index < self.index:
             return set()
+        return self.changes(index, self.completed(rows))
+
+    def completed(self, rows: Iterable[Row]) -> list[Row]:
+        """The rows of a whole copy, and the removal of whatever stands here and is not named in it."""
         rows = list(rows)
         named = {(kind, name) for kind, name, _ in rows}
         gone: list[Row] = [("inst", name, None) for name in self.instances if ("inst", name) not in named]
         gone += [("silent", name, None) for name in self.noticed if ("silent", name) not in named]
-        return self.changes(index, [*rows, *gone])
+        return [*rows, *gone]
 
     def changes(self, index: int, rows: Iterable[Row]) -> set[str]:
         """Take rows up to a index; the kinds of what they changed."""
@@ -80,7 +80,9 @@
         if index <= self.index and self.index >= 0:
             return changed
         self.index = index
-        return self.apply(rows)
+        changed = self.apply(rows)
+        self.known = bool(self._items)
+        return changed
 
     def apply(self, rows: Iterable[Row]) -> set[str]:
         """Rows of changes that are in force; the kinds of what they changed.
--- a/tests/pilot/test_staged.py
+++ b/tests/pilot/test_staged.py
@@ -9,13 +9,21 @@
 import pytest
 from peers import run
 
+from brackengate.lighthouse import transfer
+from brackengate.lighthouse.log import ReplicaLog
+from brackengate.lighthouse.transfer import NOTHING
 from brackengate.pilot import follow
+from brackengate.pilot.apply_queue import SLICE
 from brackengate.pilot.follow import Following
 from brackengate.pilot.staged import KEPT, NotHeld, StagedStore
 from brackengate.pilot.table import Table
 from brackengate.signals.words import (
     Beat,
     Changes,
+    CopyPiece,
+    CopyPosition,
+    CopyRequest,
+    Entry,
     Line,
     Row,
     StagedPosition,
@@ -90,7 +98,7 @@
         self.following = Following(
             "10.0.0.9", "z", 1, lambda: (), self.table, self._changed, lambda: self.now, lambda _: ()
         )
-        self.replica = Replica()
+        self.replica: Replica = Replica()
         self.following._link = self.replica  # type: ignore[assignment]
 
     def _changed(self, kinds: set[str]) -> None:
@@ -130,13 +138,13 @@
         one = Follower()
         one.stage(4, ROUTES // 4)
         one.hear(Changes(4, (), (StagedRows("x"),)), Changes(5, (route(3, 9),)), Changes(6, (route(1, 9),)))
-        assert one.table.index == -1 and len(list(one.table.routes())) <= follow.SLICE
+        assert one.table.index == -1 and len(list(one.table.routes())) <= SLICE
         turns = 0
         while one.table.index < 6:
             turns += 1
             await asyncio.sleep(0)
-        assert turns >= ROUTES // follow.SLICE - 1
-        assert all(now - before <= follow.SLICE for before, now in zip(one.told, one.told[1:], strict=False))
+        assert turns >= ROUTES // SLICE - 1
+        assert all(now - before <= SLICE for before, now in zip(one.told, one.told[1:], strict=False))
         assert len(list(one.table.routes())) == ROUTES
 
     played(play())
@@ -165,3 +173,89 @@
         assert one.replica.closed and one.table.index == -1
 
     played(play())
+
+
+class Copied(Follower):
+    """A follower that takes a whole copy, piece by piece."""
+
+    def copy(self, index: int, *rows: Row) -> None:
+        replica = CopySource(index, rows)
+        self.following._link = self.replica = replica
+        while not replica.sent_whole:
+            self.hear(replica.next_piece())
+
+
+class CopySource(Replica):
+    def __init__(self, index: int, rows: tuple[Row, ...]) -> None:
+        super().__init__()
+        self.position, self.sent_whole = NOTHING, False
+        self._log = ReplicaLog(0)
+        for at, row in enumerate(rows, index - len(rows) + 1):
+            self._log.take(Entry(at, (row,)))
+            self._log.commit(at)
+
+    def asked_for(self, piece: CopyPiece) -> CopyPosition:
+        return self.position
+
+    def ask_for_piece(self, position: CopyPosition) -> None:
+        self.position = position
+
+    def next_piece(self) -> CopyPiece:
+        log, request = self._log, CopyRequest(0, self.position)
+        piece = transfer.next_piece(log.state.public, log.recent_public, log.index, request)
+        assert piece is not None
+        self.sent_whole = piece.total is not None
+        return piece
+
+
+def test_a_whole_copy_goes_in_slices_at_a_proxy_that_serves() -> None:
+    async def play() -> None:
+        one = Copied()
+        gone = {"id": "i", "plant": "p", "zone": "z", "state": "ready"}
+        one.hear(Changes(1, (route(0, 1), ("inst", "10.0.0.8", gone))))
+        one.copy(ROUTES + 9, *(route(n) for n in range(ROUTES)))
+        one.hear(Changes(ROUTES + 10, (route(3, 9),)))
+        assert one.table.index == 1 and len(list(one.table.routes())) <= SLICE + 1
+        while one.table.index < ROUTES + 10:
+            await asyncio.sleep(0)
+        assert all(now - before <= SLICE for before, now in zip(one.told, one.told[1:], strict=False))
+        assert len(list(one.table.routes())) == ROUTES and not one.table.instances
+
+    played(play())
+
+
+def test_the_first_configuration_is_served_when_all_of_it_is_there() -> None:
+    """A part of it could send a request to a route that a more specific one overrides."""
+
+    async def play() -> None:
+        changed = Follower()
+        changed.hear(Changes(0, ()), Changes(1, tuple(route(n) for n in range(ROUTES))))
+        while len(list(changed.table.routes())) < ROUTES:
+            assert not changed.table.known
+            await asyncio.sleep(0)
+        assert changed.table.known
+        copied = Copied()
+        copied.copy(ROUTES + 9, *(route(n) for n in range(ROUTES)))
+        assert copied.table.known and len(list(copied.table.routes())) == ROUTES
+
+    played(play())
+
+
+def test_a_change_that_comes_again_from_a_replica_that_lags_takes_nothing_back() -> None:
+    """Rows of machines have no versions: what is in force already is passed over."""
+
+    async def play() -> None:
+        one = Follower()
+        machine = "10.0.0.8"
+        ready = {"id": "i", "plant": "p", "zone": "z", "state": "ready"}
+        long = (("inst", machine, ready), *(route(n) for n in range(2 * SLICE)))
+        states = list[str]()
+        one.following._changed = lambda kinds: states.append(one.table.instances[machine].state)
+        one.hear(Changes(4, long), Changes(5, (("inst", machine, {**ready, "state": "gone"}),)))
+        one.hear(Changes(4, long))  # by the next replica, before the first one was in force
+        for _ in range(20):
+            await asyncio.sleep(0)
+        assert states[-1] == "gone" and "ready" not in states[states.index("gone") :]
+        assert one.table.index == 5
+
+    played(play())
