--- a/brackengate/lighthouse/commands.py
+++ b/brackengate/lighthouse/commands.py
@@ -51,6 +51,7 @@
 REFUSALS = (HeldBy, InvalidOrder, ConflictingOrder, UndecidedOrder)
 
 DONE = CommandDone()
+EMPTY_ORDER = Order()
 
 Rows = Mapping[Name, tuple[int, Any]]
 
@@ -182,7 +183,7 @@
 
     rows: tuple[Row, ...]
     result: CommandResult | None = DONE
-    order: Order = ()  # as it was read, of an order that was taken
+    order: Order = EMPTY_ORDER  # as it was read, of an order that was taken
 
 
 def decide(what: Command, rows: Rows, items: ItemIndex) -> Decision:
--- a/brackengate/lighthouse/item_index.py
+++ b/brackengate/lighthouse/item_index.py
@@ -7,7 +7,7 @@
 
 from collections.abc import Iterable, Iterator, Mapping, Set
 from dataclasses import dataclass, field
-from typing import TypeVar
+from typing import Any, TypeVar
 
 from brackengate.signals.items import Invalid, Item, Name, Route, route
 
@@ -35,6 +35,13 @@
     def __getitem__(self, name: Name) -> Item:
         return self._items[name]
 
+    def get(self, name: Name, default: Any = None) -> Any:
+        """As of any mapping, without an exception for each name that is new."""
+        return self._items.get(name, default)
+
+    def __contains__(self, name: object) -> bool:
+        return name in self._items
+
     def __iter__(self) -> Iterator[Name]:
         return iter(self._items)
 
--- a/brackengate/lighthouse/orders.py
+++ b/brackengate/lighthouse/orders.py
@@ -18,7 +18,7 @@
 
 from brackengate.lighthouse.item_index import ItemIndex, Place, place_of, services_of
 from brackengate.signals.contents import digest
-from brackengate.signals.items import Invalid, Item, Name, NamedItem, Order, Route, route
+from brackengate.signals.items import Invalid, Item, Name, NamedItem, Order, Route
 from brackengate.signals.words import (
     CommandDone,
     ConflictingOrder,
@@ -102,7 +102,7 @@
     fresh = [one for one in judged if one.verdict in NEVER_TAKEN]
     items = _effective(fresh)
     try:
-        _check_outcome(fresh, items, held)
+        _check_outcome(fresh, items, held, order.routes)
     except Invalid as why:
         return OrderDecision(InvalidOrder(str(why)), {}, {})
     return OrderDecision(CommandDone(), items, _records(fresh, items, held, history_of))
@@ -147,14 +147,18 @@
     return found
 
 
-def _check_outcome(fresh: list[Judged], items: Mapping[Name, Item], held: ItemIndex) -> None:
+def _check_outcome(
+    fresh: list[Judged], items: Mapping[Name, Item], held: ItemIndex, read: Mapping[str, Route]
+) -> None:
     """`Invalid` where the outcome holds two routes at one place, or a route's service is not known in it.
 
     The service is asked of every item that was never acknowledged, also of an overtaken one: an order that
     names an unknown service is invalid whatever its version.  Nothing is asked of what was acknowledged.
-    What stood before was sound, so only what the order changes is looked at.
+    What stood before was sound, so only what the order changes is looked at.  `read`: the routes it sets.
     """
-    coming = [(one, route(one.item)) for one in fresh if one.name[0] == "route" and one.item.body is not None]
+    coming = [
+        (one, read[one.name[1]]) for one in fresh if one.name[0] == "route" and one.item.body is not None
+    ]
     _check_places((it for one, it in coming if items.get(one.name) is one.item), items, held)
     removed = [name for (kind, name), item in items.items() if kind == "plant" and item.body is None]
     for service in removed:
--- a/brackengate/signals/items.py
+++ b/brackengate/signals/items.py
@@ -6,7 +6,8 @@
 from __future__ import annotations
 
 import re
-from collections.abc import Iterable, Iterator
+from collections.abc import Iterable, Iterator, Mapping
+from dataclasses import dataclass, field
 from functools import lru_cache
 from typing import Any
 
@@ -18,6 +19,7 @@
 REVISION = re.compile(r"r([0-9]{1,18})")
 KINDS = ("idempotent", "effectful", "keyed")
 
+_NESTING = (dict, list)
 MOST_DEPTH = 32  # of an item's body; deeper ones could be taken and then not be written
 
 Name = tuple[str, str]  # kind of item, name of item
@@ -36,7 +38,6 @@
 
 
 NamedItem = tuple[Name, Item]
-Order = tuple[NamedItem, ...]  # a name may stand in it under several versions
 
 
 class Part(msgspec.Struct, frozen=True):
@@ -67,6 +68,20 @@
     deduplicates: bool
 
 
+@dataclass(frozen=True, slots=True)
+class Order:
+    """What one call sets and drops.  A name may be set under one version and dropped under another.
+
+    `routes`: those that it sets, as they were read, by name.
+    """
+
+    items: tuple[NamedItem, ...] = ()
+    routes: Mapping[str, Route] = field(default_factory=dict)
+
+    def __iter__(self) -> Iterator[NamedItem]:
+        return iter(self.items)
+
+
 class _Split(msgspec.Struct, rename="pascal"):
     plant: str
     gain: float
@@ -213,7 +228,9 @@
         raise Invalid(f"the call cannot be read: {error}") from None
     found: dict[tuple[Name, int], Item] = {}
     names: set[Name] = set()
-    for name, item in [*_plants(call), *_limits(call), *_routes(call)]:
+    routes = list(_routes(call))
+    set_items = ((("route", read.name), item) for read, item in routes)
+    for name, item in (*_plants(call), *_limits(call), *set_items):
         if name in names:
             raise Invalid(f"{name[0]} {name[1][:40]!r} stands twice in one call")
         names.add(name)
@@ -222,7 +239,8 @@
         for one in dropped:
             version = _version(one.revision)
             found.setdefault(((kind, one.name), version), Item(version))
-    return tuple((name, item) for (name, _), item in found.items())
+    items = tuple((name, item) for (name, _), item in found.items())
+    return Order(items, {read.name: read for read, _ in routes})
 
 
 def _sound(item: Item) -> Item:
@@ -236,11 +254,13 @@
     return Item(_version(text), item.host, item.body)
 
 
-def _depth_over(value: object, most: int) -> bool:
-    if not isinstance(value, dict | list):
-        return False
-    inner = value.values() if isinstance(value, dict) else value
-    return most == 0 or any(_depth_over(one, most - 1) for one in inner if isinstance(one, dict | list))
+def _depth_over(value: dict[str, Any] | list[Any], most: int) -> bool:
+    if most == 0:
+        return True
+    for one in value.values() if isinstance(value, dict) else value:
+        if isinstance(one, _NESTING) and _depth_over(one, most - 1):
+            return True
+    return False
 
 
 def _plants(call: _Call) -> Iterator[NamedItem]:
@@ -254,7 +274,7 @@
         yield ("limits", ""), _sound(Item(0, body=call.apply.limits))
 
 
-def _routes(call: _Call) -> Iterator[NamedItem]:
+def _routes(call: _Call) -> Iterator[tuple[Route, Item]]:
     places: dict[tuple[str, str], str] = {}
     for host in call.apply.hosts:
         if not host.host:
@@ -264,7 +284,7 @@
             read = route(item)
             if places.setdefault((read.host, read.prefix), read.name) != read.name:
                 raise Invalid(f"two routes at {read.host}{read.prefix}")
-            yield ("route", read.name), _sound(item)
+            yield read, _sound(item)
 
 
 def layout(items: Iterable[tuple[Name, Item]]) -> dict[str, Any]:
