--- a/brackengate/emulator/mesh/people.py
+++ b/brackengate/emulator/mesh/people.py
@@ -112,6 +112,18 @@
         if self._looks[side.ip] >= 2:
             side.offered = False
 
+    def _offered(self) -> list[Side]:
+        """The machines whose clients get work: those that are ready, and all of a zone in which fewer than
+        half are."""
+        zones: dict[str, list[Side]] = {}
+        for side in self._around.sides():
+            zones.setdefault(side.zone, []).append(side)
+        found: list[Side] = []
+        for sides in zones.values():
+            ready = [side for side in sides if side.offered]
+            found += ready if 2 * len(ready) >= len(sides) else sides
+        return found
+
     def _next(self, name: str, route: Route) -> None:
         def comes() -> None:
             if self._loop.now < self.until:
@@ -121,7 +133,7 @@
         self._loop.after(int(self._rng.expovariate(route.rate) * 1e6), comes)
 
     def _new(self, name: str, route: Route) -> None:
-        sides = [side for side in self._around.sides() if side.offered]
+        sides = self._offered()
         if not sides:
             return
         self._numbers += 1
@@ -134,7 +146,7 @@
         self._try(asked)
 
     def probe(self, route: str) -> None:
-        sides = [side for side in self._around.sides() if side.offered]
+        sides = self._offered()
         if sides and self._loop.now < self.until:
             self._numbers += 1
             now, side = self._loop.now, self._rng.choice(sides)
--- a/brackengate/pilot/role.py
+++ b/brackengate/pilot/role.py
@@ -29,6 +29,7 @@
 from brackengate.pilot.entry import Entry
 from brackengate.pilot.follow import Following
 from brackengate.pilot.gate import Beat, Gate
+from brackengate.pilot.leaving import LeavePlan
 from brackengate.pilot.reachability import Reachability
 from brackengate.pilot.table import Table
 from brackengate.pilot.verdict import judge, own_judge
@@ -47,10 +48,8 @@
 IDLE_S = 9.0  # kept connections; an upstream's own limit comes first where it says so
 REPORT_S = 0.25  # between two looks whether the core knows what this pilot knows
 REPORT_WITHIN_S = 1.0
-LAST_CALL = 0.55  # of the grace: clients still come until two looks at readiness have failed
-NEWS_S = 0.3  # for the news that the gate will close
+LOOK_OUT_S = 0.02  # between two looks whether a proxy that leaves still holds anything
 BODIES = 16 << 20  # bytes: what all bodies in pieces hold together; memory at its peak has a price
-SPARE_S = 0.6  # of the grace, at its end
 
 
 class Pilot:
@@ -194,14 +193,16 @@
             return
         self._leaving = True
         log.info("pilot: leaving, with %d requests held", self.way.held() + self.entry.held())
-        for server in (self._clients, self._gate_door):
-            server.ask_to_go(True)
-        grace = self.settings.bounds.grace / 1e6
-        longest = max((route.cutoff for route in self.table.routes()), default=0) / 1e6
-        open_for = max(NEWS_S, min(grace * LAST_CALL, grace - SPARE_S - longest - NEWS_S))
-        self._loop.call_later(open_for - NEWS_S, self._leave_the_list)
-        self._loop.call_later(open_for, self._close_gate)
-        self._loop.call_later(grace * LAST_CALL, self._look_out, self._loop.time() + grace - SPARE_S)
+        self._clients.ask_to_go(True)
+        now, longest = self.clock.now(), max((route.cutoff for route in self.table.routes()), default=0)
+        plan = LeavePlan(now, self.settings.bounds.grace, longest)
+        self.way.leave(plan)
+        self._at(plan.leaves_list, self._leave_the_list)
+        self._at(plan.gate_closes, self._close_gate)
+        self._at(plan.clients_end, self._look_out, plan)
+
+    def _at(self, when: int, do: Callable[..., None], *args: object) -> None:
+        self._loop.call_later((when - self.clock.now()) / 1e6, do, *args)
 
     def _leave_the_list(self) -> None:
         """Callers hear that they are to look elsewhere before the gate closes."""
@@ -209,12 +210,15 @@
         self._reconcile()
 
     def _close_gate(self) -> None:
+        """Other proxies' connections end with their next answer, and not before the news has reached them:
+        a close that crosses a request leaves its caller without knowing whether it ran."""
         self.gate.closed = True
+        self._gate_door.ask_to_go(True)
 
-    def _look_out(self, until: float) -> None:
+    def _look_out(self, plan: LeavePlan) -> None:
         held = self.way.held() + self.entry.held()
-        if held and self._loop.time() < until:
-            self._loop.call_later(0.02, self._look_out, until)
+        if held and self.clock.now() < plan.ends_by:
+            self._loop.call_later(LOOK_OUT_S, self._look_out, plan)
             return
         log.info("pilot: left, with %d requests held", held)
         self.following.close()
--- a/brackengate/pilot/way.py
+++ b/brackengate/pilot/way.py
@@ -33,6 +33,7 @@
 from brackengate.net.upstream import Pool, Result
 from brackengate.pilot.budget import ration
 from brackengate.pilot.hop import CALLER, DEADLINE, HOP, KEY, Said, Step, forwarded, hop_of, passed_on
+from brackengate.pilot.leaving import REFUSED_FOR, LeavePlan
 from brackengate.pilot.table import Table, choose, host_of
 from brackengate.pilot.unrouted import NOT_FOUND, Unrouted
 from brackengate.pilot.verdict import judge
@@ -51,6 +52,7 @@
 CONFLICT = 409
 TIER = 1  # deadlines are the callers' own: the module keeps no part of them back
 AGAIN_PART = 0.97  # of a route's time: a client that has less left has tried before
+LEAVING = b"Retry-After: %.1f\r\n" % (REFUSED_FOR / 1e6)
 RETRY_AFTER = 80_000  # told where nothing better is known: an upstream that was full has moved on by then
 
 
@@ -215,6 +217,7 @@
         self._goes_to: dict[str, set[str]] = {}  # services, by route
         self.unrouted = Unrouted(loop, is_current, self._begin_held)
         self._is_current = is_current
+        self._leaving: LeavePlan | None = None
         self._pilots = 0  # of which the services know
         self._count = 0
 
@@ -282,6 +285,9 @@
             raise Bad(503, "no configuration yet", b"Retry-After: 0.3\r\n")
         route = self._route_of(arrival)
         if route is not None:
+            if not self._takes(route, arrival):
+                self._wake.turned_away(attempt, arrival.at, REFUSED, "this proxy leaves")
+                raise Bad(REFUSED, "this proxy leaves", LEAVING)
             self._send_on(route, arrival, connection)
         elif self._is_current():
             self._wake.turned_away(attempt, arrival.at, NOT_FOUND, "no route")
@@ -290,6 +296,14 @@
             self._wake.turned_away(attempt, arrival.at, REFUSED, "no route, and it may be behind")
             self.unrouted.hold(arrival, connection)
 
+    def leave(self, plan: LeavePlan) -> None:
+        """This proxy was told to stop."""
+        self._leaving = plan
+
+    def _takes(self, route: Route, arrival: Arrival) -> bool:
+        leaving = self._leaving
+        return leaving is None or leaving.takes(limit_of(route, arrival), self._clock.now())
+
     def _route_of(self, arrival: Arrival) -> Route | None:
         host = host_of(arrival.fields.get(b"host", b""))
         path = arrival.target.partition(b"?")[0].decode("latin-1")
@@ -304,8 +318,7 @@
     def _send_on(self, route: Route, arrival: Arrival, connection: CallerConnection) -> None:
         attempt = arrival.fields.get(ID, b"")
         service = self.services[self._choose(route, arrival)]
-        left = arrival.fields.get(DEADLINE.lower(), b"")
-        limit = min(int(left) * 1000, route.cutoff) if left.isdigit() and len(left) < 10 else route.cutoff
+        limit = limit_of(route, arrival)
         self._count += 1
         request = Request(str(self._count), route.name, arrival.at + max(limit, 1000))
         self._wake.begins(request.request, attempt, arrival.at, route.name, service.name, limit)
@@ -332,6 +345,12 @@
         return self.unrouted.count() + sum(service.node.out() for service in self.services.values())
 
 
+def limit_of(route: Route, arrival: Arrival) -> int:
+    """How long a request may take, in microseconds: its client's deadline or its route's, the sooner."""
+    left = arrival.fields.get(DEADLINE.lower(), b"")
+    return min(int(left) * 1000, route.cutoff) if left.isdigit() and len(left) < 10 else route.cutoff
+
+
 def _awaited(connection: CallerConnection) -> bool:
     return not connection.abandoned()
 
