--- a/brackengate/pilot/way.py
+++ b/brackengate/pilot/way.py
@@ -51,6 +51,8 @@
 COLD_TIME = 3_000_000
 CONFLICT = 409
 TIER = 1  # deadlines are the callers' own: the module keeps no part of them back
+END_SLACK = 20_000  # a request is given up so long behind its client's deadline: that is told in whole
+# milliseconds, and an upstream ends its work by itself at what it is handed
 AGAIN_PART = 0.97  # of a route's time: a client that has less left has tried before
 LEAVING = b"Retry-After: %.1f\r\n" % (REFUSED_FOR / 1e6)
 RETRY_AFTER = 80_000  # told where nothing better is known: an upstream that was full has moved on by then
@@ -68,6 +70,7 @@
     rank: int = 0
 
     def payload(self, remaining_ms: int, upstream: str, number: int) -> bytes:
+        remaining_ms = max(1, remaining_ms - END_SLACK // 1000)
         aim = remaining_ms - self.aim_before_end_ms
         step = Step(
             upstream, self.keyed, number, aim_ms=aim, again=self.again, route=self.route_name, rank=self.rank
@@ -320,7 +323,7 @@
         service = self.services[self._choose(route, arrival)]
         limit = limit_of(route, arrival)
         self._count += 1
-        request = Request(str(self._count), route.name, arrival.at + max(limit, 1000))
+        request = Request(str(self._count), route.name, arrival.at + max(limit, 1000) + END_SLACK)
         self._wake.begins(request.request, attempt, arrival.at, route.name, service.name, limit)
         keyed = route.kind == "keyed" and KEY.lower() in arrival.fields
         head = forwarded(arrival, drop=(CALLER, DEADLINE, HOP)) + b"%s: %s\r\n" % (CALLER, self._plant)
@@ -358,4 +361,5 @@
 def _class_of(route: Route) -> RequestClass:
     kind = Idempotency.REPEATABLE if route.kind == "idempotent" else Idempotency.UNSAFE
     aim = min(route.setpoint, route.cutoff)
-    return RequestClass(route.name, aim, route.cutoff, kind, late_worth=0.3, max_attempts=route.attempts)
+    longest = route.cutoff + END_SLACK
+    return RequestClass(route.name, aim, longest, kind, late_worth=0.3, max_attempts=route.attempts)
