--- a/brackengate/pilot/role.py
+++ b/brackengate/pilot/role.py
@@ -269,15 +269,19 @@
     # --- what is followed
 
     def _changed(self, kinds: set[str]) -> None:
-        known = self.table.instances.get(self.settings.ip)
-        if known is not None and known.plant == self.settings.plant and not self._adopted:
-            self.gate.adopt(known, self.clock.now())
-        self._adopted = True
+        if self.table.known and not self._adopted:  # its own row may come in the last slice
+            self._adopt()
         self.way.changed()
         if kinds & {"inst", "silent"}:
             doubted = {machine for machines in self.table.noticed.values() for machine in machines}
             self.watcher.know(self.table.pilots(), doubted)
 
+    def _adopt(self) -> None:
+        self._adopted = True
+        known = self.table.instances.get(self.settings.ip)
+        if known is not None and known.plant == self.settings.plant:
+            self.gate.adopt(known, self.clock.now())
+
     def _standing(self, machine: str, up: bool) -> None:
         """Wanted: that nothing new goes to a machine which does not answer."""
         if up:
--- a/tests/pilot/test_staged.py
+++ b/tests/pilot/test_staged.py
@@ -3,8 +3,10 @@
 from __future__ import annotations
 
 import asyncio
-from collections.abc import Coroutine
+from collections.abc import Callable, Coroutine
+from types import SimpleNamespace
 from typing import Any
+from unittest.mock import Mock
 
 import pytest
 from peers import run
@@ -13,8 +15,10 @@
 from brackengate.lighthouse.log import ReplicaLog
 from brackengate.lighthouse.transfer import NOTHING
 from brackengate.pilot import follow
-from brackengate.pilot.apply_queue import SLICE
+from brackengate.pilot.apply_queue import SLICE, ApplyQueue
 from brackengate.pilot.follow import Following
+from brackengate.pilot.gate import Gate
+from brackengate.pilot.role import Pilot
 from brackengate.pilot.staged import KEPT, NotHeld, StagedStore
 from brackengate.pilot.table import Table
 from brackengate.signals.words import (
@@ -259,3 +263,18 @@
         assert one.table.index == 5
 
     played(play())
+
+
+def test_a_restarted_proxy_knows_its_upstream_when_its_own_row_comes_in_the_last_slice() -> None:
+    table, gate, steps = Table(), Gate("z", 1_500_000, 2_000_000), list[Callable[[], None]]()
+    settings, clock = SimpleNamespace(ip="10.0.0.9", plant="p"), SimpleNamespace(now=lambda: 0)
+    parts = {"settings": settings, "clock": clock, "way": Mock(), "watcher": Mock()}
+    pilot: Any = SimpleNamespace(table=table, gate=gate, _adopted=False, **parts)
+    pilot._adopt = lambda: Pilot._adopt(pilot)
+    own = {"id": "i", "plant": "p", "zone": "z", "state": "ready"}
+    queue = ApplyQueue(table, steps.append, lambda kinds: Pilot._changed(pilot, kinds))
+    queue.add(1, (*(route(n) for n in range(2 * SLICE)), ("inst", "10.0.0.9", own)))
+    while steps:
+        assert gate.beat is None
+        steps.pop()()
+    assert gate.beat is not None and gate.beat.id == "i"
