--- a/tests/fleet/test_fleet.py
+++ b/tests/fleet/test_fleet.py
@@ -44,6 +44,7 @@
             assert sum(ids.get(t.txn, 0) for t in tries) <= 1, item
 
 
+@pytest.mark.alone
 def test_twenty_instances_are_restarted_in_turn_under_load_and_nothing_is_lost(tmp_path: Path) -> None:
     async def main() -> None:
         ups = await upstreams(6)
--- a/tests/net/test_bodies.py
+++ b/tests/net/test_bodies.py
@@ -551,6 +551,7 @@
     run(main())
 
 
+@pytest.mark.alone
 def test_fifty_bodies_of_32_mb_at_once_hold_no_more_than_the_bound_and_small_ones_pass() -> None:
     """The upstream takes none of them for now; small requests beside them are answered."""
 
