--- a/brackengate/xds/client.py
+++ b/brackengate/xds/client.py
@@ -78,7 +78,8 @@
         self._out: asyncio.Queue[Any] = asyncio.Queue()
         self._rows = RowCache()
         self._first = True  # of a stream: the node is named in its first request alone
-        self.server = ""
+        self.server = ""  # the one that is tried or talked to
+        self._channel: grpc.aio.Channel | None = None
         self.why = "not tried yet"
         self._broken = ""
         self.counters = {"failures": 0, "unknown_types": 0, "bytes": 0}
@@ -139,6 +140,7 @@
                 response_deserializer=kind.FromString,
             )
             call = method(self._requests())
+            self._channel = channel
             try:
                 self._act(self.machine.opened(self._clock.now()))
                 self.server = server
@@ -150,6 +152,7 @@
             except grpc.aio.AioRpcError as error:
                 return f"{server}: {error.code().name}: {error.details()}"
             finally:
+                self._channel = None
                 call.cancel()
                 if self._alarm is not None:
                     self._alarm.cancel()
@@ -252,10 +255,14 @@
             error_detail=error,
         )
 
+    def connected(self) -> bool:
+        """Whether the connection stands: a server that is only tried, or that accepts and says nothing, is not counted."""
+        return self._channel is not None and self._channel.get_state() is grpc.ChannelConnectivity.READY
+
     def status(self) -> dict[str, object]:
-        connected = bool(self.server)
+        connected = self.connected()
         return {
-            "server": self.server,
+            "server": self.server if connected else "",
             "why": "" if connected else self.why,
             "rows_kept": len(self._rows),
             **self.counters,
--- a/tests/xds/test_stream.py
+++ b/tests/xds/test_stream.py
@@ -219,6 +219,24 @@
     run(work())
 
 
+def test_a_service_that_accepts_and_says_nothing_is_not_told_as_connected() -> None:
+    async def work() -> None:
+        reached = asyncio.Event()
+
+        async def says_nothing(_: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+            reached.set()
+            await writer.wait_closed()
+
+        async with await asyncio.start_server(says_nothing, "127.0.0.1", 0) as silent:
+            bench = Bench(file("{}:{}".format(*silent.sockets[0].getsockname())))
+            await reached.wait()
+            assert bench.configured._client.status()["server"] == ""
+            assert "not tried yet; waits for clusters" in bench.configured.why_not_ready()
+            await bench.close()
+
+    run(work())
+
+
 def test_a_start_while_the_control_service_is_away(tmp_path: Any) -> None:
     async def work() -> None:
         one, _ = await two()
