--- a/brackengate/xds/client.py
+++ b/brackengate/xds/client.py
@@ -256,7 +256,7 @@
         )
 
     def connected(self) -> bool:
-        """Whether the connection stands: a server that is only tried, or that accepts and says nothing, is not counted."""
+        """Whether the connection stands; not while a server is only tried, or accepts and says nothing."""
         return self._channel is not None and self._channel.get_state() is grpc.ChannelConnectivity.READY
 
     def status(self) -> dict[str, object]:
