--- a/brackengate/lighthouse/actions.py
+++ b/brackengate/lighthouse/actions.py
@@ -67,4 +67,9 @@
     """What was published is no longer a prefix of what is held: followers take a snapshot."""
 
 
-Action = Tell | Store | Answer | Publish | Deliver | Restart
+@dataclass(slots=True)
+class Continue:
+    """There is work that is done in slices: call `proceed` in the next step of the loop."""
+
+
+Action = Tell | Store | Answer | Publish | Deliver | Restart | Continue
--- a/brackengate/lighthouse/chain.py
+++ b/brackengate/lighthouse/chain.py
@@ -17,12 +17,12 @@
 from __future__ import annotations
 
 from collections import deque
-from collections.abc import Iterable, Mapping
+from collections.abc import Iterable, Iterator, Mapping
 from typing import Any
 
 import msgspec
 
-from brackengate.lighthouse.actions import Action, Deliver, Publish, Restart, Tell
+from brackengate.lighthouse.actions import Action, Continue, Deliver, Publish, Restart, Tell
 from brackengate.lighthouse.ages import KeyAges
 from brackengate.lighthouse.commands import (
     GIVE_UP_AFTER,
@@ -31,15 +31,16 @@
     PendingReply,
     decide,
 )
-from brackengate.lighthouse.head_orders import EnterNow, HeadOrders, Wait
+from brackengate.lighthouse.head_orders import EnterNow, Examining, HeadOrders, Outcome, Wait
 from brackengate.lighthouse.item_index import ItemIndex
 from brackengate.lighthouse.learning import Learner, keep_committed, take_piece
 from brackengate.lighthouse.log import PublicChanges, ReplicaLog, public_changes
+from brackengate.lighthouse.prepared_rows import NO_ROUTES
 from brackengate.lighthouse.rows import KEY, LatestRows, State
-from brackengate.lighthouse.staging import StagedOrder, StagedOrders
+from brackengate.lighthouse.staging import Delivery, StagedOrder, StagedOrders, Submission
 from brackengate.lighthouse.transfer import COMPLETE, next_piece
 from brackengate.lighthouse.view import LogStatus
-from brackengate.signals.items import Item, Name, layout
+from brackengate.signals.items import Item, Name, Route, layout
 from brackengate.signals.words import (
     ITEMS,
     Ack,
@@ -94,6 +95,7 @@
         self._commands = PendingCommands(now)
         self.staged = StagedOrders()
         self._orders = HeadOrders()
+        self._preparations: deque[Iterator[None]] = deque()  # of rows that are about to be entered
         self._pending_replies: deque[PendingReply] = deque()
 
     def load(
@@ -272,30 +274,59 @@
         answer = self._commands.resolved(word)
         return [answer] if answer is not None else []
 
+    def _takes_commands(self) -> bool:
+        fit = self._chain_position() == 0 and self.has_snapshot and not self.epoch_closed
+        return fit and len(self.view.members) >= self.min_replicas
+
     def _execute(self, addr: str, word: Submit, now: int) -> list[Action]:
         """At the head: its result is told once all that it was decided by is agreed."""
-        fit = self._chain_position() == 0 and self.has_snapshot and not self.epoch_closed
-        if not fit or len(self.view.members) < self.min_replicas or word.epoch != self.view.epoch:
+        if not self._takes_commands() or word.epoch != self.view.epoch:
             return []  # submitted again once its replica knows the view
         if isinstance(word.what, Amend):
             return self._execute_order(addr, word.id, word.what, now)
         return self._enter_and_reply(addr, word.id, decide(word.what, self.rows, self.items), now)
 
     def _execute_order(self, addr: str, id_: int, what: Amend, now: int) -> list[Action]:
-        """A large one is delivered first."""
-        members = [member.addr for member in self.view.members]
-        match self._orders.submitted(what, addr, id_, self.rows, self.items, members, now):
+        """A large one is read in slices and delivered first."""
+        match self._orders.submitted(what, addr, id_, self.rows, self.items, self._members(), now):
             case EnterNow(decision):
                 return self._enter_and_reply(addr, id_, decision, now)
             case Wait(delivery, begins):
-                out = self._begin_delivery(delivery.order) if begins else []
+                out = self._begin_delivery(delivery) if begins else []
                 return out + self._say_underway(addr, id_)
+            case Examining():
+                return [*self._say_underway(addr, id_), Continue()]
+        return []
+
+    def _members(self) -> list[str]:
+        return [member.addr for member in self.view.members]
+
+    def proceed(self, now: int) -> list[Action]:
+        """One slice of the work that is done beside everything else."""
+        self._now = now
+        out: list[Action] = []
+        if self._orders.examining:
+            outcome = self._orders.examine(self._members(), now)
+            if outcome is not None and self._takes_commands():
+                out += self._examined(outcome, now)
+        elif self._preparations and next(self._preparations[0], self) is self:
+            self._preparations.popleft()
+        more = self._orders.examining or self._preparations
+        return [*out, Continue()] if more else out
+
+    def _examined(self, outcome: Outcome, now: int) -> list[Action]:
+        match outcome.taken:
+            case EnterNow(decision):
+                return self._enter_and_reply_all(decision, outcome.submissions, now)
+            case Wait(delivery, _):
+                return self._begin_delivery(delivery)
         return []
 
-    def _begin_delivery(self, order: StagedOrder) -> list[Action]:
+    def _begin_delivery(self, delivery: Delivery) -> list[Action]:
+        order = delivery.order
         stage = Stage(self.view.epoch, order.id, order.pieces)
-        others = [member.addr for member in self.view.members if member.addr != self.me]
-        return [*(Tell(other, stage) for other in others), *self._deliver(order)]
+        others = [addr for addr in self._members() if addr != self.me]
+        return [*(Tell(other, stage) for other in others), *self._deliver(order, delivery.read.routes)]
 
     def _say_underway(self, addr: str, id_: int) -> list[Action]:
         if addr == self.me:
@@ -303,9 +334,11 @@
             return []
         return [Tell(addr, Underway(id_))]
 
-    def _deliver(self, order: StagedOrder) -> list[Action]:
+    def _deliver(self, order: StagedOrder, read: Mapping[str, Route] = NO_ROUTES) -> list[Action]:
+        """`read`: its routes, where they were read here."""
         self.staged.add(order)
-        return [Deliver(order)]
+        self._preparations.append(self.held.prepared.prepare(order.id, order.rows(), read))
+        return [Deliver(order), Continue()]
 
     def delivered(self, id_: str, now: int) -> list[Action]:
         """All followers of this member that are in touch hold that order."""
@@ -321,9 +354,8 @@
         if self._chain_position() != 0 or not self.has_snapshot or self.epoch_closed:
             return out
         while (due := self._orders.take_due(self.rows, self.items, now)) is not None:
-            out += self._enter(due.decision, now, due.delivery.order.id)
-            for one in due.delivery.submissions:
-                self._pending_replies.append(PendingReply(self.index, one.addr, one.id, due.decision.result))
+            submissions = due.delivery.submissions
+            out += self._enter_and_reply_all(due.decision, submissions, now, due.delivery.order.id)
         return out
 
     def _enter(self, decision: Decision, now: int, staged: str = "") -> list[Action]:
@@ -332,8 +364,14 @@
         return self._take((entry,), now)
 
     def _enter_and_reply(self, addr: str, id_: int, decision: Decision, now: int) -> list[Action]:
-        out = self._enter(decision, now)
-        self._pending_replies.append(PendingReply(self.index, addr, id_, decision.result))
+        return self._enter_and_reply_all(decision, [Submission(addr, id_)], now)
+
+    def _enter_and_reply_all(
+        self, decision: Decision, submissions: Iterable[Submission], now: int, staged: str = ""
+    ) -> list[Action]:
+        out = self._enter(decision, now, staged)
+        for one in submissions:
+            self._pending_replies.append(PendingReply(self.index, one.addr, one.id, decision.result))
         return out
 
     def _reply(self, reply: PendingReply) -> list[Action]:
--- a/brackengate/lighthouse/commands.py
+++ b/brackengate/lighthouse/commands.py
@@ -222,7 +222,7 @@
 def decide_order(order: Order, rows: Rows, items: ItemIndex) -> Decision:
     decision = orders.decide(order, items, partial(_history, rows))
     news: list[Row] = [
-        (kind, name, msgspec.to_builtins(item)) for (kind, name), item in decision.items.items()
+        (kind, name, [item.version, item.host, item.body]) for (kind, name), item in decision.items.items()
     ]
     for name, history in decision.histories.items():
         news.append((HISTORY, _history_name(name), msgspec.to_builtins(history)))
--- /dev/null
+++ b/brackengate/lighthouse/follower_messages.py
@@ -0,0 +1,112 @@
+"""What a replica sends to its followers, made once for all of them that are equally far.  Pure.
+
+Many followers come at the same moment, after a change of the view or a restart of many proxies, and lack the
+same.  What was made for one of them holds for the others until there is a newer public row.
+"""
+
+from __future__ import annotations
+
+from dataclasses import dataclass, field
+
+from brackengate.lighthouse.chain import Chain
+from brackengate.lighthouse.log import PublicChanges
+from brackengate.lighthouse.staging import FollowerProgress, by_reference
+from brackengate.signals.lines import encoded
+from brackengate.signals.parts import EncodedMessage
+from brackengate.signals.words import Changes, CopyPiece, CopyRequest, StagePiece
+
+MOST_PIECES = 64  # of copies that are kept: followers that come together ask for the same ones in turn
+
+StagedIds = tuple[str, ...]  # of the staged orders that a follower holds
+
+
+@dataclass(frozen=True, slots=True)
+class EncodedPiece:
+    piece: CopyPiece
+    message: EncodedMessage
+
+
+@dataclass(frozen=True, slots=True)
+class Validity:
+    """Messages are of use while this stays the same."""
+
+    epoch: int
+    generation: int
+    public_index: int
+
+
+@dataclass
+class FollowerMessages:
+    chain: Chain
+    _valid: Validity | None = None
+    _missed: dict[int, PublicChanges | None] = field(default_factory=dict)  # by a follower's index
+    _changes: dict[tuple[int, StagedIds], EncodedMessage] = field(default_factory=dict)
+    _pieces: dict[CopyRequest, EncodedPiece] = field(default_factory=dict)
+    _stage_pieces: dict[tuple[str, int], EncodedMessage] = field(default_factory=dict)
+
+    # --- changes
+
+    def missed_since(self, index: int) -> PublicChanges | None:
+        """What a follower lacks that holds everything up to that index; None: it has to take a copy."""
+        self._look()
+        if index not in self._missed:
+            self._missed[index] = self.chain.changes_since(index)
+        return self._missed[index]
+
+    def changes_since(self, index: int, news: PublicChanges, held: StagedIds) -> EncodedMessage:
+        """`news`: what it lacks; `held`: it gets references to these staged orders."""
+        self._look()
+        found = self._changes.get((index, held))
+        if found is None:
+            found = self._changes[index, held] = self.changes(news, held)
+        return found
+
+    def changes(self, news: PublicChanges, held: StagedIds) -> EncodedMessage:
+        staged = self.chain.staged
+        rows, references = by_reference(news.rows, [staged.orders[id_] for id_ in held])
+        return encoded(Changes(news.index, rows, references))
+
+    def held_of(self, follower: FollowerProgress, staged: StagedIds) -> StagedIds:
+        """Those of the staged orders that this follower holds."""
+        return tuple(id_ for id_ in staged if self.chain.staged.holds(follower, id_))
+
+    # --- copies
+
+    def piece(self, request: CopyRequest) -> EncodedPiece | None:
+        """None: the follower has seen more than is held here."""
+        self._look()
+        found = self._pieces.get(request)
+        if found is None:
+            piece = self.chain.public_piece(request)
+            if piece is None:
+                return None
+            if len(self._pieces) >= MOST_PIECES:
+                del self._pieces[next(iter(self._pieces))]
+            found = self._pieces[request] = EncodedPiece(piece, encoded(piece))
+        return found
+
+    def _look(self) -> None:
+        chain = self.chain
+        now = Validity(chain.view.epoch, chain.generation, chain.public_index)
+        if now != self._valid:
+            self._valid = now
+            self._missed.clear()
+            self._changes.clear()
+            self._pieces.clear()
+
+    # --- orders ahead of their decision
+
+    def stage_piece(self, id_: str, number: int) -> EncodedMessage | None:
+        """None: there is no such piece."""
+        order = self.chain.staged.orders.get(id_)
+        if order is None or not 0 <= number < len(order.pieces):
+            return None
+        found = self._stage_pieces.get((id_, number))
+        if found is None:
+            found = encoded(StagePiece(id_, number, order.pieces[number]))
+            self._stage_pieces[id_, number] = found
+        return found
+
+    def forget_stage_pieces(self) -> None:
+        """Nothing is being delivered."""
+        self._stage_pieces.clear()
--- a/brackengate/lighthouse/item_index.py
+++ b/brackengate/lighthouse/item_index.py
@@ -48,10 +48,11 @@
     def __len__(self) -> int:
         return len(self._items)
 
-    def put(self, name: Name, item: Item) -> None:
+    def put(self, name: Name, item: Item, read: Route | None = None) -> None:
+        """`read`: the route that the item sets, where it was read before."""
         self._items[name] = item
         if name[0] == "route":
-            self._set_route(name[1], item)
+            self._set_route(name[1], item, read)
 
     def clear(self) -> None:
         self._items.clear()
@@ -71,7 +72,7 @@
         """The names of the routes that go to a service."""
         return self._users.get(service, NOBODY)
 
-    def _set_route(self, name: str, item: Item) -> None:
+    def _set_route(self, name: str, item: Item, read: Route | None) -> None:
         before = self._routes.pop(name, None)
         if before is not None:
             _take_out(self._at_place, place_of(before), name)
@@ -80,7 +81,7 @@
         if item.body is None:
             return
         try:
-            now = route(item)
+            now = read or route(item)
         except Invalid:  # let in by another version of the program: nobody follows it
             return
         self._routes[name] = now
--- a/brackengate/lighthouse/learning.py
+++ b/brackengate/lighthouse/learning.py
@@ -96,7 +96,8 @@
     log.drop_uncommitted()
     learner.begin(CopyPosition(COMPLETE, log.index) if log.firm else NOTHING)
     learner.storing += 1
-    store = log.store((), lineage=0, copy=learner.position.bucket)
+    every_row = len(log.folded)  # the entries go, so all that they set has to be among the rows
+    store = log.store((), every_row, lineage=0, copy=learner.position.bucket)
     store.cut = True
     return store
 
--- a/brackengate/lighthouse/log.py
+++ b/brackengate/lighthouse/log.py
@@ -11,19 +11,18 @@
 from dataclasses import dataclass, field
 from typing import Any
 
-import msgspec
-
 from brackengate.lighthouse.actions import Store
 from brackengate.lighthouse.item_index import ItemIndex
+from brackengate.lighthouse.prepared_rows import PreparedRows, item_of
 from brackengate.lighthouse.recent import RecentEntries
 from brackengate.lighthouse.rows import LatestRows, Name, State, state_of
-from brackengate.signals.items import Item
 from brackengate.signals.words import ITEMS, PUBLIC, Entry, Row
 
 RECENT, RECENT_BYTES = 20_000, 4 << 20  # committed entries kept for learners
 RECENT_PUBLIC, RECENT_PUBLIC_BYTES = 2_000, 2 << 20  # and of these, what followers may have
 APPEND_ENTRIES, APPEND_BYTES = 500, 64 << 10  # in one message
 FOLD, FOLD_MOST = 1_000_000, 2_000  # committed rows wait for the next store, so long and so many
+FOLD_AT_ONCE = 500  # of them go to the disk with one store: others wait behind it
 
 
 def _recent() -> RecentEntries:
@@ -64,7 +63,8 @@
     recent_public: RecentEntries = field(default_factory=_recent_public)
     firm: bool = True
     firm_from: int = 0
-    folded: list[tuple[int, Row]] = field(default_factory=list)  # committed since the last store
+    prepared: PreparedRows = field(default_factory=PreparedRows)
+    folded: deque[tuple[int, Row]] = field(default_factory=deque)  # committed, and not in a store yet
     folded_at: int = 0
 
     def load(
@@ -93,9 +93,14 @@
     def take(self, entry: Entry) -> None:
         self.index = entry.index
         self.uncommitted.append(entry)
-        for kind, name, value in entry.rows:
+        for row in entry.rows:
+            kind, name, value = row
             self.overlay[kind, name] = (entry.index, value)
-            self._take_item(kind, name, value)
+            prepared = self.prepared.find(entry.staged, row) if entry.staged else None
+            if prepared is not None:
+                self.items.put((kind, name), prepared.item, prepared.read)
+            else:
+                self._take_item(kind, name, value)
 
     def commit(self, index: int) -> PublicChanges:
         """All up to there is committed."""
@@ -108,10 +113,12 @@
     def _commit_entry(self, entry: Entry) -> Entry:
         """What of it followers may have."""
         for row in entry.rows:
-            self.state.set(entry.index, row)
+            prepared = self.prepared.find(entry.staged, row) if entry.staged else None
+            self.state.set(entry.index, row, prepared.text if prepared is not None else None)
             self.folded.append((entry.index, row))
             if self.overlay.get((row[0], row[1]), (0,))[0] == entry.index:
                 del self.overlay[row[0], row[1]]
+        self.prepared.forget(entry.staged)
         self.state.index = entry.index
         self.recent.add(entry)
         public = Entry(entry.index, tuple(row for row in entry.rows if row[0] in PUBLIC), entry.staged)
@@ -164,25 +171,33 @@
 
     # --- stores
 
-    def store(self, entries: Iterable[Entry], **meta: Any) -> Store:
-        """Of new entries, with the rows that were committed since the last store."""
-        store = self.fold(**meta)
+    def store(self, entries: Iterable[Entry], most: int = FOLD_AT_ONCE, **meta: Any) -> Store:
+        """Of new entries, with `most` of the rows that were committed since the last store."""
+        store = self.fold(most, **meta)
         store.meta["place"], store.entries = self.index, list(entries)
         store.index, store.generation = self.index, self.generation
         return store
 
-    def fold(self, **meta: Any) -> Store:
-        rows, self.folded = self.folded, []
-        base = self.state.index if self.firm else None
-        return Store({"base": base, **meta}, rows, committed=self.state.index)
+    def fold(self, most: int = FOLD_AT_ONCE, **meta: Any) -> Store:
+        """`most` of the committed rows that wait.
+
+        Of an entry whose rows are not all in the store yet, the entry stays on disk too: it is taken again
+        after a start, which gives the same rows.
+        """
+        rows = [self.folded.popleft() for _ in range(min(most, len(self.folded)))]
+        reached = self.folded[0][0] - 1 if self.folded else self.state.index
+        base = reached if self.firm else None
+        return Store({"base": base, **meta}, rows, committed=reached)
 
     def fold_if_due(self, now: int) -> list[Store]:
-        """Committed rows that wait for a store for too long get one of their own."""
+        """Committed rows that wait for a store for too long get one of their own, in slices."""
         if not self.folded:
             self.folded_at = now
         elif now - self.folded_at >= FOLD or len(self.folded) >= FOLD_MOST:
-            self.folded_at = now
-            return [self.fold()]
+            store = self.fold()
+            if not self.folded:
+                self.folded_at = now
+            return [store]
         return []
 
     # --- items
@@ -193,4 +208,4 @@
 
     def _take_item(self, kind: str, name: str, value: Any) -> None:
         if kind in ITEMS:
-            self.items.put((kind, name), msgspec.convert(value, Item))
+            self.items.put((kind, name), item_of(value))
--- a/brackengate/lighthouse/replica.py
+++ b/brackengate/lighthouse/replica.py
@@ -121,6 +121,9 @@
     def delivered(self, id_: str, now: int) -> list[Action]:
         return self.chain.delivered(id_, now)
 
+    def proceed(self, now: int) -> list[Action]:
+        return self.chain.proceed(now)
+
     def set_disk_healthy(self, disk_healthy: bool) -> None:
         """Whether the disk takes what it is given, in time."""
         self.agreement.disk_healthy = disk_healthy
--- a/brackengate/lighthouse/role.py
+++ b/brackengate/lighthouse/role.py
@@ -13,12 +13,22 @@
 from dataclasses import dataclass, field
 from typing import Any
 
-from brackengate.lighthouse.actions import Action, Answer, Deliver, Publish, Restart, Store, Tell
+from brackengate.lighthouse.actions import (
+    Action,
+    Answer,
+    Continue,
+    Deliver,
+    Publish,
+    Restart,
+    Store,
+    Tell,
+)
 from brackengate.lighthouse.commands import GIVE_UP_AFTER
 from brackengate.lighthouse.control import Control
+from brackengate.lighthouse.follower_messages import FollowerMessages
 from brackengate.lighthouse.log import PublicChanges
 from brackengate.lighthouse.replica import FIRST, Replica, StoredState
-from brackengate.lighthouse.staging import FollowerProgress, StagedOrder, by_reference
+from brackengate.lighthouse.staging import FollowerProgress, StagedOrder
 from brackengate.lighthouse.store import Damaged, Drive, Waits, damaged
 from brackengate.lighthouse.watchroom import Watchroom
 from brackengate.net.ground import Ground
@@ -31,7 +41,6 @@
 from brackengate.signals.words import (
     Away,
     Beat,
-    Changes,
     ClockRequest,
     Command,
     CopyPosition,
@@ -44,9 +53,9 @@
     Line,
     Result,
     Seen,
+    Stage,
     StagedPosition,
     StageOffer,
-    StagePiece,
     StageRequest,
 )
 
@@ -59,6 +68,7 @@
 DELIVER_PART = 30  # hundredths of `Ack` that a large order may wait for its followers
 COLLECT_AFTER = 20_000  # objects: a large order makes a hundred thousand, and few are in circles
 RETRY_S = 0.3  # a write that failed is tried again
+BATCH_ROWS = 1_000  # committed rows that go to the disk with one write: it must not look like a slow disk
 
 
 @dataclass(slots=True, eq=False)
@@ -85,19 +95,21 @@
         self._left: asyncio.Future[int] = self._loop.create_future()
         self._drive: Waits = drive or Drive(settings.data_dir or ".")
         self.replica: Replica
+        self._messages: FollowerMessages
         self._watchroom: Watchroom
         self._links: dict[str, Dialer] = {}
         self._queue: list[Store] = []
         self._writing_since = 0
         self._failed = False
         self._followers: dict[Lines, Follower] = {}
-        self._stage_pieces: dict[tuple[str, int], EncodedMessage] = {}  # made once for all followers
         self._pending: dict[int, Callable[[Any], None]] = {}
         self._last_ask = 0
         self._core: Core | None = None
         self._logged = 0  # the view that the log names last
         self._inner: asyncio.Server | None = None
         self._ticker: asyncio.TimerHandle | None = None
+        self._proceeds = False  # a slice of longer work is due
+        self._stage_message: tuple[Stage, EncodedMessage] | None = None  # the last one, for all members
 
     # --- life
 
@@ -111,6 +123,7 @@
         window = settings.bounds.dedupe_window
         self.replica = Replica(self.me, settings.zone, kept, seeds, first, settings.min_replicas, window, now)
         self.replica.chain.deliver_within(settings.bounds.ack * DELIVER_PART // 100)
+        self._messages = FollowerMessages(self.replica.chain)
         self._watchroom = Watchroom(self.replica, self._followers, self.ask, self.now)
         self._inner = await self._loop.create_server(
             lambda: Lines(self._on_line, self._on_open, self._on_lost), settings.ip, self._port
@@ -187,6 +200,8 @@
                     if follower.follows:
                         self._offer(follower, action.order)
                 self._look_at_deliveries()
+            elif isinstance(action, Continue):
+                self._proceed_soon()
             elif isinstance(action, Restart):
                 self._part_unless_current()
                 for follower in self._followers.values():
@@ -202,17 +217,46 @@
         link = self._links.get(tell.addr)
         if link is None:
             link = self._links[tell.addr] = self._dial(tell.addr)
-        link.send(tell.word)
+        if isinstance(tell.word, Stage):
+            link.send_raw(self._encoded_stage(tell.word))
+        else:
+            link.send(tell.word)
+
+    def _encoded_stage(self, stage: Stage) -> EncodedMessage:
+        """Made once for all members that it goes to."""
+        if self._stage_message is None or self._stage_message[0] is not stage:
+            self._stage_message = (stage, encoded(stage))
+        return self._stage_message[1]
+
+    def _proceed_soon(self) -> None:
+        if not self._proceeds:
+            self._proceeds = True
+            self._loop.call_soon(self._proceed)
+
+    def _proceed(self) -> None:
+        self._proceeds = False
+        self._carry_out(self.replica.proceed(self.now()))
 
     def _heard(self, addr: str, word: Line) -> None:
         self._carry_out(self.replica.heard(addr, word, self.now()))
 
     def _write(self) -> None:
-        batch, self._queue = self._queue, []
+        batch = self._next_batch()
         self._writing_since = self.now()
         future = self._drive.write(batch)
         future.add_done_callback(lambda done: self._written(batch, done))
 
+    def _next_batch(self) -> list[Store]:
+        """The stores that go to the disk together: one at least, and no more than `BATCH_ROWS`."""
+        rows = count = 0
+        for store in self._queue:
+            rows += len(store.rows)
+            if count and rows > BATCH_ROWS:
+                break
+            count += 1
+        batch, self._queue = self._queue[:count], self._queue[count:]
+        return batch
+
     def _written(self, batch: list[Store], done: asyncio.Future[None]) -> None:
         error = done.exception()
         if damaged(error):
@@ -333,50 +377,41 @@
 
     def _catch_up(self, follower: Follower, copy: CopyPosition = NO_COPY, even_none: bool = False) -> None:
         """`copy`: how far a copy is that it has begun."""
-        news = self.replica.chain.changes_since(follower.index)
+        news = self._messages.missed_since(follower.index)
         if news is None:
             if not follower.copying:
                 self._send_piece(follower, CopyRequest(0, copy))
             return
         follower.copying = False
         if news.rows or even_none:
-            self._say(follower, self._changes(news, self._held_of(follower, news.staged)))
+            held = self._messages.held_of(follower.progress, news.staged)
+            follower.lines.send_raw(self._messages.changes_since(follower.index, news, held))
         follower.index = max(follower.index, news.index)
 
     def _send_piece(self, follower: Follower, request: CopyRequest) -> None:
-        piece = self.replica.chain.public_piece(request) if self.replica.serves(self.now()) else None
-        if piece is None:
+        found = self._messages.piece(request) if self.replica.serves(self.now()) else None
+        if found is None:
             follower.copying = False
             self._send_away(follower)
             return
-        follower.copying = piece.total is None
-        if piece.total is not None:
-            follower.index = max(follower.index, piece.position.index)
-        self._say(follower, piece)
+        follower.copying = found.piece.total is None
+        if found.piece.total is not None:
+            follower.index = max(follower.index, found.piece.position.index)
+        follower.lines.send_raw(found.message)
 
     def _publish(self, news: Publish) -> None:
         changes = PublicChanges(news.index, news.rows, news.staged)
         messages: dict[tuple[str, ...], EncodedMessage] = {}  # by the staged orders that a follower holds
         for follower in self._followers.values():
             if follower.follows and not follower.copying and follower.index < news.index:
-                held = self._held_of(follower, news.staged)
+                held = self._messages.held_of(follower.progress, news.staged)
                 if held not in messages:
-                    messages[held] = encoded(self._changes(changes, held))
+                    messages[held] = self._messages.changes(changes, held)
                 follower.index = news.index
                 follower.lines.send_raw(messages[held])
 
     # --- staged orders
 
-    def _changes(self, news: PublicChanges, held: tuple[str, ...]) -> Changes:
-        """`held`: the staged orders that its receiver holds: it gets references to those."""
-        staged = self.replica.chain.staged
-        rows, references = by_reference(news.rows, [staged.orders[id_] for id_ in held])
-        return Changes(news.index, rows, references)
-
-    def _held_of(self, follower: Follower, staged: tuple[str, ...]) -> tuple[str, ...]:
-        held = self.replica.chain.staged.holds
-        return tuple(id_ for id_ in staged if held(follower.progress, id_))
-
     def _offer(self, follower: Follower, order: StagedOrder) -> None:
         follower.progress.keep(self.replica.chain.staged.orders)
         follower.progress.asked_at[order.id] = self.now()
@@ -391,25 +426,20 @@
             self._offer(follower, staged.orders[id_])
 
     def _send_stage_piece(self, follower: Follower, word: StageRequest) -> None:
-        order = self.replica.chain.staged.orders.get(word.id)
-        if order is None:
+        if word.id not in self.replica.chain.staged.orders:
             return
         follower.progress.pieces[word.id] = word.piece
         follower.progress.asked_at[word.id] = self.now()
-        if not 0 <= word.piece < len(order.pieces):
-            self._look_at_deliveries()
-            return
-        place = word.id, word.piece
-        message = self._stage_pieces.get(place)
+        message = self._messages.stage_piece(word.id, word.piece)
         if message is None:
-            message = encoded(StagePiece(word.id, word.piece, order.pieces[word.piece]))
-            self._stage_pieces[place] = message
-        follower.lines.send_raw(message, stream=False)
+            self._look_at_deliveries()
+        else:
+            follower.lines.send_raw(message, stream=False)
 
     def _look_at_deliveries(self) -> None:
         staged = self.replica.chain.staged
         if not staged.open:
-            self._stage_pieces.clear()
+            self._messages.forget_stage_pieces()
             return
         followers = [one.progress for one in self._followers.values() if one.follows]
         for id_ in staged.take_delivered(followers, self.now()):
--- a/brackengate/lighthouse/rows.py
+++ b/brackengate/lighthouse/rows.py
@@ -41,6 +41,29 @@
     return b"\n[%b,%b,%d,%b]" % (kind, name, index, value)
 
 
+def _key(kind: str, name: str) -> bytes:
+    """What the line of that row begins with, and no other."""
+    return b"\n[%b,%b," % (_encode(kind), _encode(name))
+
+
+@dataclass(frozen=True, slots=True)
+class EncodedRow:
+    """A row as it is held.  `key`: what its line begins with; `record`: the line, empty for a deletion."""
+
+    bucket: int
+    key: bytes
+    record: bytes
+
+
+def encoded_row(kind: str, name: str, index: int, value: Any, text: bytes | None = None) -> EncodedRow:
+    """`text`: its value as JSON, where that is known."""
+    key = _key(kind, name)
+    if is_deletion(kind, value):
+        return EncodedRow(bucket_of(name), key, b"")
+    record = b"%b%d,%b]" % (key, index, _encode(value) if text is None else text)
+    return EncodedRow(bucket_of(name), key, record)
+
+
 @dataclass
 class CommittedRows:
     """Rows by kind and name, each with the log index of the entry that it comes from."""
@@ -78,7 +101,7 @@
 
     def get(self, kind: str, name: str) -> tuple[int, Any] | None:
         blob = self.buckets.get(bucket_of(name), b"")
-        start, end = _span(blob, kind, name)
+        start, end = _span(blob, _key(kind, name))
         if start < 0:
             return None
         row = _decode(blob[start + 1 : end])
@@ -86,22 +109,24 @@
 
     def set(self, kind: str, name: str, index: int, value: Any) -> None:
         """A value of None drops the row, where its kind knows deletions."""
-        bucket = bucket_of(name)
-        blob = self.buckets.get(bucket, b"")
-        start, end = _span(blob, kind, name)
+        self.put(encoded_row(kind, name, index, value))
+
+    def put(self, row: EncodedRow) -> None:
+        """In the place of the row of that kind and name, if there is one."""
+        blob = self.buckets.get(row.bucket, b"")
+        start, end = _span(blob, row.key)
         if start >= 0:
             self.checksum -= crc32(blob[start:end])
             self.count -= 1
             blob = blob[:start] + blob[end:]
-        if not is_deletion(kind, value):
-            record = _record(_encode(kind), _encode(name), index, _encode(value))
-            self.checksum += crc32(record)
+        if row.record:
+            self.checksum += crc32(row.record)
             self.count += 1
-            blob += record
+            blob += row.record
         if blob:
-            self.buckets[bucket] = blob
+            self.buckets[row.bucket] = blob
         else:
-            self.buckets.pop(bucket, None)
+            self.buckets.pop(row.bucket, None)
 
     def in_bucket(self, bucket: int) -> list[CommittedRow]:
         return [_decode(line) for line in self.buckets.get(bucket, b"").split(b"\n")[1:]]
@@ -125,9 +150,9 @@
         self.count = self.checksum = 0
 
 
-def _span(blob: bytes, kind: str, name: str) -> tuple[int, int]:
+def _span(blob: bytes, key: bytes) -> tuple[int, int]:
     """Where that row's line stands; -1 where there is none.  JSON has no bare line feed: it begins a row."""
-    start = blob.find(b"\n[%b,%b," % (_encode(kind), _encode(name)))
+    start = blob.find(key)
     if start < 0:
         return -1, -1
     end = blob.find(b"\n", start + 1)
@@ -145,14 +170,16 @@
     keys: int = 0
     public_index: int = -1  # of the last public row
 
-    def set(self, index: int, row: Row) -> None:
+    def set(self, index: int, row: Row, text: bytes | None = None) -> None:
+        """`text`: the row's value as JSON, where that is known."""
         kind, name, value = row
         before = self.rows.count
-        self.rows.set(kind, name, index, value)
+        encoded = encoded_row(kind, name, index, value, text)
+        self.rows.put(encoded)
         if kind == KEY:
             self.keys += self.rows.count - before
         elif kind in PUBLIC:
-            self.public.set(kind, name, index, value)
+            self.public.put(encoded)
             self._publish(kind, name, index, value)
 
     def _publish(self, kind: str, name: str, index: int, value: Any) -> None:
--- a/brackengate/lighthouse/staging.py
+++ b/brackengate/lighthouse/staging.py
@@ -29,6 +29,8 @@
 
 Pieces = tuple[tuple[Row, ...], ...]
 
+_encode = msgspec.json.Encoder().encode
+
 
 @dataclass(frozen=True, slots=True)
 class StagedOrder:
@@ -49,7 +51,7 @@
     size = total = 0
     sum_ = hashlib.blake2b(digest_size=12)
     for row in rows:
-        data = msgspec.json.encode(row)
+        data = _encode(row)
         sum_.update(data)
         if piece and size + len(data) > PIECE_BYTES:
             pieces.append(tuple(piece))
@@ -62,7 +64,7 @@
     return StagedOrder(sum_.hexdigest(), (*pieces, tuple(piece)))
 
 
-@dataclass(slots=True)
+@dataclass(frozen=True, slots=True)
 class Submission:
     """Who waits for an order."""
 
@@ -70,6 +72,20 @@
     id: int
 
 
+@dataclass(slots=True)
+class Submissions:
+    """Of one order, the latest of each replica."""
+
+    _by_addr: dict[str, Submission] = field(default_factory=dict)
+
+    def joined(self, addr: str, id_: int) -> None:
+        """A submission of one replica takes the place of its earlier one."""
+        self._by_addr[addr] = Submission(addr, id_)
+
+    def __iter__(self) -> Iterator[Submission]:
+        return iter(self._by_addr.values())
+
+
 @dataclass(slots=True)
 class Delivery:
     """At the head: an order that is being delivered.  `undelivered`: members that have not said it is."""
@@ -79,12 +95,7 @@
     order: StagedOrder
     until: int
     undelivered: set[str]
-    submissions: list[Submission]
-
-    def joined(self, addr: str, id_: int) -> None:
-        """A submission of one replica takes the place of its earlier one."""
-        self.submissions = [one for one in self.submissions if one.addr != addr]
-        self.submissions.append(Submission(addr, id_))
+    submissions: Submissions
 
     def over(self, now: int) -> bool:
         return not self.undelivered or now >= self.until
@@ -96,11 +107,8 @@
 
     by_body: dict[str, Delivery] = field(default_factory=dict)
 
-    def begin(
-        self, body: str, read: Order, order: StagedOrder, members: Iterable[str], until: int
-    ) -> Delivery:
-        made = self.by_body[body] = Delivery(body, read, order, until, set(members), [])
-        return made
+    def begin(self, delivery: Delivery) -> None:
+        self.by_body[delivery.body] = delivery
 
     def delivered(self, id_: str, addr: str) -> None:
         for one in self.by_body.values():
--- a/brackengate/signals/items.py
+++ b/brackengate/signals/items.py
@@ -6,7 +6,7 @@
 from __future__ import annotations
 
 import re
-from collections.abc import Iterable, Iterator, Mapping
+from collections.abc import Generator, Iterable, Iterator, Mapping
 from dataclasses import dataclass, field
 from functools import lru_cache
 from typing import Any
@@ -21,6 +21,7 @@
 
 _NESTING = (dict, list)
 MOST_DEPTH = 32  # of an item's body; deeper ones could be taken and then not be written
+SLICE_ROUTES = 200  # that are read in one step
 
 Name = tuple[str, str]  # kind of item, name of item
 
@@ -222,13 +223,32 @@
 
 def read_call(body: bytes) -> Order:
     """All that one order sets and drops, each item checked on its own; `Invalid` where any is not sound."""
+    reading = read_in_slices(body)
+    while True:
+        try:
+            next(reading)
+        except StopIteration as end:
+            order: Order = end.value
+            return order
+
+
+def read_in_slices(body: bytes) -> Generator[None, None, Order]:
+    """As `read_call`, with a pause after each `SLICE_ROUTES` routes; returns the order."""
     try:
         call: _Call = msgspec.json.decode(body, type=_Call)
     except (msgspec.DecodeError, UnicodeDecodeError, RecursionError) as error:
         raise Invalid(f"the call cannot be read: {error}") from None
+    routes: list[tuple[Route, Item]] = []
+    for one in _routes(call):
+        routes.append(one)
+        if len(routes) % SLICE_ROUTES == 0:
+            yield
+    return _order(call, routes)
+
+
+def _order(call: _Call, routes: list[tuple[Route, Item]]) -> Order:
     found: dict[tuple[Name, int], Item] = {}
     names: set[Name] = set()
-    routes = list(_routes(call))
     set_items = ((("route", read.name), item) for read, item in routes)
     for name, item in (*_plants(call), *_limits(call), *set_items):
         if name in names:
--- a/brackengate/signals/lines.py
+++ b/brackengate/signals/lines.py
@@ -161,6 +161,11 @@
         if self._lines is not None:
             self._lines.send(word)
 
+    def send_raw(self, message: EncodedMessage) -> None:
+        """One in the background that is encoded for several connections."""
+        if self._lines is not None:
+            self._lines.send_raw(message, stream=False)
+
     def drop(self) -> None:
         """End the connection that there is; a new one is made."""
         if self._lines is not None:
--- a/tests/lighthouse/corekit.py
+++ b/tests/lighthouse/corekit.py
@@ -19,7 +19,16 @@
 
 import msgspec
 
-from brackengate.lighthouse.actions import Action, Answer, Deliver, Publish, Restart, Store, Tell
+from brackengate.lighthouse.actions import (
+    Action,
+    Answer,
+    Continue,
+    Deliver,
+    Publish,
+    Restart,
+    Store,
+    Tell,
+)
 from brackengate.lighthouse.commands import GIVE_UP_AFTER
 from brackengate.lighthouse.failure_detector import LEASE
 from brackengate.lighthouse.replica import FIRST, Replica, StoredState
@@ -166,6 +175,8 @@
                     self.published.append((index, rows))
                 case Restart():
                     self.published.append((-1, ()))
+                case Continue():
+                    self.core.later(0, lambda generation=self.generation: self._proceed(generation))
                 case Deliver(order):
                     self.staged.append((self.core.now, order.id))
                     if self.followers_take is not None:
@@ -179,6 +190,12 @@
             wait = max(self.core.now, self.stalled_until, self.frozen_until) - self.core.now + SYNC
             self.core.later(wait, lambda generation=self.generation: self._written(batch, generation))
 
+    def _proceed(self, generation: int) -> None:
+        if self.core.now < self.frozen_until:
+            self.core.later(self.frozen_until - self.core.now + 1, lambda: self._proceed(generation))
+        elif generation == self.generation and self.replica is not None:
+            self.do(self.replica.proceed(self.core.now))
+
     def _delivered(self, id_: str, generation: int) -> None:
         if generation == self.generation and self.replica is not None:
             self.do(self.replica.delivered(id_, self.core.now))
--- a/tests/lighthouse/test_followers.py
+++ b/tests/lighthouse/test_followers.py
@@ -5,12 +5,15 @@
 import asyncio
 from typing import Any
 
+import msgspec
 import pytest
 
 from brackengate.lighthouse import transfer
 from brackengate.lighthouse.actions import Publish
+from brackengate.lighthouse.follower_messages import FollowerMessages
 from brackengate.lighthouse.replica import FIRST, Replica, StoredState
 from brackengate.lighthouse.role import Follower, Lighthouse
+from brackengate.signals.parts import EncodedMessage, unpacked
 from brackengate.signals.settings import parse
 from brackengate.signals.words import Changes, CopyPiece, CopyRequest, Follow, Line, Report
 
@@ -29,13 +32,18 @@
 
     def __init__(self) -> None:
         self.words: list[Line] = []
-        self.raw: list[bytes] = []
+        self.messages: list[EncodedMessage] = []
 
     def send(self, word: Line) -> None:
         self.words.append(word)
 
-    def send_raw(self, data: bytes) -> None:
-        self.raw.append(data)
+    def send_raw(self, message: EncodedMessage, stream: bool = True) -> None:
+        self.messages.append(message)
+        line = unpacked(message.data, message.size) if message.size else message.data
+        self.words.append(msgspec.json.decode(line, type=Line))
+
+    def changes(self) -> list[Changes]:
+        return [word for word in self.words if isinstance(word, Changes)]
 
     def last_piece(self) -> CopyPiece:
         assert isinstance(self.words[-1], CopyPiece)
@@ -59,6 +67,7 @@
     async def follow() -> None:
         lighthouse, heard = Lighthouse(parse(SETTINGS)), Heard()
         lighthouse.replica = replica(40)
+        lighthouse._messages = FollowerMessages(lighthouse.replica.chain)
         lines: Any = heard
         follower = lighthouse._followers[lines] = Follower(lines)
         lighthouse._from_pilot(follower, Follow(-1))
@@ -66,13 +75,37 @@
         while pieces[-1].total is None:
             assert follower.copying
             lighthouse._publish(Publish(41, (("inst", "10.0.0.1", None),)))
-            assert heard.raw == []
+            assert heard.changes() == []
             lighthouse._from_pilot(follower, CopyRequest(len(pieces), pieces[-1].position))
             pieces.append(heard.last_piece())
         assert len(pieces) > 4 and sum(len(piece.rows) for piece in pieces) == 40
-        assert not any(isinstance(word, Changes) for word in heard.words)
+        assert heard.changes() == []
         assert (follower.copying, follower.index) == (False, 40)
         lighthouse._publish(Publish(41, (("inst", "10.0.0.1", None),)))
-        assert len(heard.raw) == 1 and follower.index == 41
+        assert len(heard.changes()) == 1 and follower.index == 41
+
+    asyncio.run(follow())
+
+
+def test_what_many_lack_is_made_once_for_all_of_them() -> None:
+    """After a change of the view, or a restart of many proxies, followers come together and lack the same."""
+
+    async def follow() -> None:
+        lighthouse, made = Lighthouse(parse(SETTINGS)), replica(40)
+        chain = made.chain
+        lighthouse.replica, lighthouse._messages = made, FollowerMessages(chain)
+        ends = [Heard() for _ in range(10)]
+        for end in ends:
+            lines: Any = end
+            follower = lighthouse._followers[lines] = Follower(lines)
+            lighthouse._from_pilot(follower, Follow(-1))
+        assert len({id(end.messages[-1]) for end in ends}) == 1 and ends[0].last_piece().total is not None
+        made.ask(Report("10.0.1.1", {"id": "late"}), 99, 0)
+        made.stored(chain.index, chain.generation)
+        for follower in lighthouse._followers.values():
+            lighthouse._catch_up(follower)
+        assert len({id(end.messages[-1]) for end in ends}) == 1
+        assert [row[1] for row in ends[0].changes()[-1].rows] == ["10.0.1.1"]
+        assert {follower.index for follower in lighthouse._followers.values()} == {41}
 
     asyncio.run(follow())
