--- a/brackengate/lighthouse/chain.py
+++ b/brackengate/lighthouse/chain.py
@@ -20,8 +20,6 @@
 from collections.abc import Iterable, Iterator, Mapping
 from typing import Any
 
-import msgspec
-
 from brackengate.lighthouse.actions import Action, Continue, Deliver, Publish, Restart, Tell
 from brackengate.lighthouse.ages import KeyAges
 from brackengate.lighthouse.commands import (
@@ -35,12 +33,12 @@
 from brackengate.lighthouse.item_index import ItemIndex
 from brackengate.lighthouse.learning import Learner, keep_committed, take_piece
 from brackengate.lighthouse.log import PublicChanges, ReplicaLog, public_changes
-from brackengate.lighthouse.prepared_rows import NO_ROUTES
+from brackengate.lighthouse.prepared_rows import NO_ROUTES, item_of
 from brackengate.lighthouse.rows import KEY, LatestRows, State
 from brackengate.lighthouse.staging import Delivery, StagedOrder, StagedOrders, Submission
 from brackengate.lighthouse.transfer import COMPLETE, next_piece
 from brackengate.lighthouse.view import LogStatus
-from brackengate.signals.items import Item, Name, Route, layout
+from brackengate.signals.items import Name, Route, layout
 from brackengate.signals.words import (
     ITEMS,
     Ack,
@@ -97,6 +95,8 @@
         self._orders = HeadOrders()
         self._preparations: deque[Iterator[None]] = deque()  # of rows that are about to be entered
         self._pending_replies: deque[PendingReply] = deque()
+        self._configuration: Configuration | None = None  # as it was read last
+        self._configuration_of = (0, -1)  # the generation and the public index that this was made of
 
     def load(
         self,
@@ -600,10 +600,12 @@
         return self.state.published
 
     def configuration(self) -> Configuration:
-        held = (
-            (name, msgspec.convert(row[1], Item)) for name, row in self.published.items() if name[0] in ITEMS
-        )
-        return Configuration(layout(held))
+        """Made once for all who read it until there is a newer public row."""
+        state = (self.generation, self.public_index)
+        if self._configuration is None or self._configuration_of != state:
+            items = ((name, item_of(row[1])) for name, row in self.published.items() if name[0] in ITEMS)
+            self._configuration, self._configuration_of = Configuration(layout(items)), state
+        return self._configuration
 
     def changes_since(self, index: int) -> PublicChanges | None:
         """None where a follower has to take a copy."""
--- a/brackengate/lighthouse/orders.py
+++ b/brackengate/lighthouse/orders.py
@@ -165,18 +165,20 @@
         for name in sorted(held.users(service)):
             if ("route", name) not in items:
                 raise _unknown_service(name, service)
+    known: set[str] = set()
     for one, it in coming:
-        for service in services_of(it):
+        for service in services_of(it) - known:
             if not _stands(("plant", service), items, held):
                 raise _unknown_service(one.name[1], service)
+            known.add(service)
 
 
 def _check_places(coming: Iterable[Route], items: Mapping[Name, Item], held: ItemIndex) -> None:
     places: dict[Place, str] = {}
     for it in coming:
         place = place_of(it)
-        others = {name for name in held.at_place(place) if ("route", name) not in items}
-        if others or places.setdefault(place, it.name) != it.name:
+        stays = any(("route", name) not in items for name in held.at_place(place))
+        if stays or places.setdefault(place, it.name) != it.name:
             raise Invalid(f"two routes at {it.host}{it.prefix}")
 
 
