--- a/brackengate/lighthouse/follower_messages.py
+++ b/brackengate/lighthouse/follower_messages.py
@@ -7,6 +7,7 @@
 from __future__ import annotations
 
 from dataclasses import dataclass, field
+from typing import Any
 
 from brackengate.lighthouse.chain import Chain
 from brackengate.lighthouse.log import PublicChanges
@@ -16,6 +17,8 @@
 from brackengate.signals.words import Changes, CopyPiece, CopyRequest, StagePiece
 
 MOST_PIECES = 64  # of copies that are kept: followers that come together ask for the same ones in turn
+MOST_INDEXES = 4  # that followers come from, for which what they lack is kept: it may be a large order's rows
+MOST_CHANGES = 16  # messages with it
 
 StagedIds = tuple[str, ...]  # of the staged orders that a follower holds
 
@@ -50,6 +53,7 @@
         """What a follower lacks that holds everything up to that index; None: it has to take a copy."""
         self._look()
         if index not in self._missed:
+            _make_room(self._missed, MOST_INDEXES)
             self._missed[index] = self.chain.changes_since(index)
         return self._missed[index]
 
@@ -58,6 +62,7 @@
         self._look()
         found = self._changes.get((index, held))
         if found is None:
+            _make_room(self._changes, MOST_CHANGES)
             found = self._changes[index, held] = self.changes(news, held)
         return found
 
@@ -80,8 +85,7 @@
             piece = self.chain.public_piece(request)
             if piece is None:
                 return None
-            if len(self._pieces) >= MOST_PIECES:
-                del self._pieces[next(iter(self._pieces))]
+            _make_room(self._pieces, MOST_PIECES)
             found = self._pieces[request] = EncodedPiece(piece, encoded(piece))
         return found
 
@@ -110,3 +114,9 @@
     def forget_stage_pieces(self) -> None:
         """Nothing is being delivered."""
         self._stage_pieces.clear()
+
+
+def _make_room(held: dict[Any, Any], most: int) -> None:
+    """For one more; the oldest goes."""
+    while len(held) >= most:
+        del held[next(iter(held))]
--- a/tests/lighthouse/test_followers.py
+++ b/tests/lighthouse/test_followers.py
@@ -10,7 +10,7 @@
 
 from brackengate.lighthouse import transfer
 from brackengate.lighthouse.actions import Publish
-from brackengate.lighthouse.follower_messages import FollowerMessages
+from brackengate.lighthouse.follower_messages import MOST_CHANGES, MOST_INDEXES, FollowerMessages
 from brackengate.lighthouse.replica import FIRST, Replica, StoredState
 from brackengate.lighthouse.role import Follower, Lighthouse
 from brackengate.signals.parts import EncodedMessage, unpacked
@@ -109,3 +109,14 @@
         assert {follower.index for follower in lighthouse._followers.values()} == {41}
 
     asyncio.run(follow())
+
+
+def test_followers_from_many_indexes_do_not_make_it_keep_what_each_lacks() -> None:
+    made = replica(40)
+    made.chain.held.recent_public.begin(0)
+    messages = FollowerMessages(made.chain)
+    for index in range(40):
+        news = messages.missed_since(index)
+        assert news is not None
+        messages.changes_since(index, news, ())
+        assert len(messages._missed) <= MOST_INDEXES and len(messages._changes) <= MOST_CHANGES
