--- a/brackengate/lighthouse/role.py
+++ b/brackengate/lighthouse/role.py
@@ -10,7 +10,6 @@
 import signal
 import sqlite3
 from collections.abc import Callable
-from dataclasses import dataclass, field
 from typing import Any
 
 from brackengate.lighthouse.actions import (
@@ -25,10 +24,8 @@
 )
 from brackengate.lighthouse.commands import GIVE_UP_AFTER
 from brackengate.lighthouse.control import Control
-from brackengate.lighthouse.follower_messages import FollowerMessages
-from brackengate.lighthouse.log import PublicChanges
+from brackengate.lighthouse.follower_connections import FollowerConnections
 from brackengate.lighthouse.replica import FIRST, Replica, StoredState
-from brackengate.lighthouse.staging import FollowerProgress, StagedOrder
 from brackengate.lighthouse.store import Damaged, Drive, Waits, damaged
 from brackengate.lighthouse.watchroom import Watchroom
 from brackengate.net.ground import Ground
@@ -39,24 +36,13 @@
 from brackengate.signals.parts import EncodedMessage
 from brackengate.signals.settings import Settings, plain
 from brackengate.signals.words import (
-    Away,
-    Beat,
-    ClockRequest,
     Command,
     CopyPosition,
-    CopyRequest,
-    Core,
-    Follow,
-    FollowerCommand,
     Hello,
     Inquire,
     Line,
-    Result,
     Seen,
     Stage,
-    StagedPosition,
-    StageOffer,
-    StageRequest,
 )
 
 log = logging.getLogger("brackengate.lighthouse")
@@ -71,17 +57,6 @@
 BATCH_ROWS = 1_000  # committed rows that go to the disk with one write: it must not look like a slow disk
 
 
-@dataclass(slots=True, eq=False)
-class Follower:
-    lines: Lines
-    index: int = -1
-    follows: bool = False
-    beat_at: int = 0  # when it got a heartbeat last
-    tells: bool = False
-    progress: FollowerProgress = field(default_factory=FollowerProgress)
-    copying: bool = False  # it asks for one piece of a copy after the other; changes come after the last one
-
-
 class Lighthouse:
     def __init__(self, settings: Settings, ground: Ground | None = None, drive: Waits | None = None) -> None:
         """`ground`, `drive`: what it stands on, and its disk; by default the machine's."""
@@ -95,16 +70,14 @@
         self._left: asyncio.Future[int] = self._loop.create_future()
         self._drive: Waits = drive or Drive(settings.data_dir or ".")
         self.replica: Replica
-        self._messages: FollowerMessages
+        self.followers: FollowerConnections
         self._watchroom: Watchroom
         self._links: dict[str, Dialer] = {}
         self._queue: list[Store] = []
         self._writing_since = 0
         self._failed = False
-        self._followers: dict[Lines, Follower] = {}
         self._pending: dict[int, Callable[[Any], None]] = {}
         self._last_ask = 0
-        self._core: Core | None = None
         self._logged = 0  # the view that the log names last
         self._inner: asyncio.Server | None = None
         self._ticker: asyncio.TimerHandle | None = None
@@ -123,8 +96,8 @@
         window = settings.bounds.dedupe_window
         self.replica = Replica(self.me, settings.zone, kept, seeds, first, settings.min_replicas, window, now)
         self.replica.chain.deliver_within(settings.bounds.ack * DELIVER_PART // 100)
-        self._messages = FollowerMessages(self.replica.chain)
-        self._watchroom = Watchroom(self.replica, self._followers, self.ask, self.now)
+        self.followers = FollowerConnections(self.replica, self.now, self._carry_out, self.ask)
+        self._watchroom = Watchroom(self.replica, self.followers.by_lines, self.ask, self.now)
         self._inner = await self._loop.create_server(
             lambda: Lines(self._on_line, self._on_open, self._on_lost), settings.ip, self._port
         )
@@ -172,8 +145,7 @@
         slow = self._writing_since and now - self._writing_since > SLOW
         self.replica.set_disk_healthy(not self._failed and not slow)
         self._carry_out(self.replica.tick(now))
-        self._keep_followers(now)
-        self._look_at_deliveries()
+        self.followers.tick(now)
         view = self.replica.agreement.view
         if view.epoch != self._logged:
             self._logged = view.epoch
@@ -193,20 +165,13 @@
                 if done is not None:
                     done(action.result)
             elif isinstance(action, Publish):
-                self._part_unless_current()
-                self._publish(action)
+                self.followers.publish(action)
             elif isinstance(action, Deliver):
-                for follower in self._followers.values():
-                    if follower.follows:
-                        self._offer(follower, action.order)
-                self._look_at_deliveries()
+                self.followers.deliver(action.order)
             elif isinstance(action, Continue):
                 self._proceed_soon()
             elif isinstance(action, Restart):
-                self._part_unless_current()
-                for follower in self._followers.values():
-                    if follower.follows:
-                        self._catch_up(follower)
+                self.followers.restart()
         if self._queue and not self._writing_since:
             self._write()
 
@@ -304,48 +269,22 @@
         if isinstance(word, Hello):
             lines.peer = word.addr
             if word.pilot:
-                self._followers[lines] = Follower(lines)
+                self.followers.joined(lines)
             else:
                 self.replica.met(word.addr, self.now())
                 self._carry_out(self.replica.reconnected(word.addr, self.now()))
-        elif lines in self._followers:
-            self._from_pilot(self._followers[lines], word)
+        elif lines in self.followers.by_lines:
+            if isinstance(word, Seen):
+                self._watchroom.seen(lines, word)
+            else:
+                self.followers.heard(lines, word)
         elif isinstance(word, Inquire):
             self._watchroom.heard(lines, word)
         elif lines.peer:
             self._heard(lines.peer, word)
 
     def _on_lost(self, lines: Lines) -> None:
-        self._followers.pop(lines, None)
-
-    def _from_pilot(self, follower: Follower, word: Line) -> None:
-        if isinstance(word, Follow):
-            follower.index, follower.follows, follower.tells = word.index, True, word.tells
-            follower.copying = False
-            if self.replica.serves(self.now()):
-                self._say(follower, self._core_line())
-                self._say_beat(follower, word.sent)
-                self._take_positions(follower, word.staged)
-                self._catch_up(follower, word.copy, even_none=True)
-            else:
-                self._send_away(follower)
-        elif isinstance(word, ClockRequest):
-            if follower.follows and self.replica.serves(self.now()):
-                self._say_beat(follower, word.sent)
-        elif isinstance(word, StageRequest):
-            self._send_stage_piece(follower, word)
-        elif isinstance(word, CopyRequest):
-            if follower.follows:
-                self._send_piece(follower, word)
-        elif isinstance(word, FollowerCommand):
-
-            def done(result: Any) -> None:
-                log.debug("ask: %s: %s", word.what, result)
-                follower.lines.send(Result(word.id, result))
-
-            self.ask(word.what, done)
-        elif isinstance(word, Seen):
-            self._watchroom.seen(follower.lines, word)
+        self.followers.left(lines)
 
     def ask(self, what: Command, done: Callable[[Any], None], give_up_after: int = GIVE_UP_AFTER) -> int:
         """`done` gets the result once; None: it is not known what becomes of it.  A number to withdraw it."""
@@ -360,118 +299,6 @@
         if self._pending.pop(number, None) is not None:
             self.replica.withdraw(number)
 
-    # --- followers
-
-    def _core_line(self) -> Core:
-        return Core(tuple(self.replica.agreement.zones().items()))
-
-    def _say(self, follower: Follower, word: Line) -> None:
-        follower.lines.send(word)
-
-    def _say_beat(self, follower: Follower, echo: int = 0) -> None:
-        """Changes are none: with them alone a follower would not know that it is current."""
-        now = self.now()
-        follower.beat_at = now
-        index, age = self.replica.chain.public_index, now - self.replica.current_as_of()
-        follower.lines.send(Beat(index, now, age, echo))
-
-    def _catch_up(self, follower: Follower, copy: CopyPosition = NO_COPY, even_none: bool = False) -> None:
-        """`copy`: how far a copy is that it has begun."""
-        news = self._messages.missed_since(follower.index)
-        if news is None:
-            if not follower.copying:
-                self._send_piece(follower, CopyRequest(0, copy))
-            return
-        follower.copying = False
-        if news.rows or even_none:
-            held = self._messages.held_of(follower.progress, news.staged)
-            follower.lines.send_raw(self._messages.changes_since(follower.index, news, held))
-        follower.index = max(follower.index, news.index)
-
-    def _send_piece(self, follower: Follower, request: CopyRequest) -> None:
-        found = self._messages.piece(request) if self.replica.serves(self.now()) else None
-        if found is None:
-            follower.copying = False
-            self._send_away(follower)
-            return
-        follower.copying = found.piece.total is None
-        if found.piece.total is not None:
-            follower.index = max(follower.index, found.piece.position.index)
-        follower.lines.send_raw(found.message)
-
-    def _publish(self, news: Publish) -> None:
-        changes = PublicChanges(news.index, news.rows, news.staged)
-        messages: dict[tuple[str, ...], EncodedMessage] = {}  # by the staged orders that a follower holds
-        for follower in self._followers.values():
-            if follower.follows and not follower.copying and follower.index < news.index:
-                held = self._messages.held_of(follower.progress, news.staged)
-                if held not in messages:
-                    messages[held] = self._messages.changes(changes, held)
-                follower.index = news.index
-                follower.lines.send_raw(messages[held])
-
-    # --- staged orders
-
-    def _offer(self, follower: Follower, order: StagedOrder) -> None:
-        follower.progress.keep(self.replica.chain.staged.orders)
-        follower.progress.asked_at[order.id] = self.now()
-        self._say(follower, StageOffer(order.id, len(order.pieces)))
-
-    def _take_positions(self, follower: Follower, positions: tuple[StagedPosition, ...]) -> None:
-        """What a follower brings along that was delivered elsewhere, and what it lacks of what is open."""
-        staged = self.replica.chain.staged
-        for one in positions:
-            follower.progress.pieces[one.id] = one.pieces
-        for id_ in sorted(staged.open):
-            self._offer(follower, staged.orders[id_])
-
-    def _send_stage_piece(self, follower: Follower, word: StageRequest) -> None:
-        if word.id not in self.replica.chain.staged.orders:
-            return
-        follower.progress.pieces[word.id] = word.piece
-        follower.progress.asked_at[word.id] = self.now()
-        message = self._messages.stage_piece(word.id, word.piece)
-        if message is None:
-            self._look_at_deliveries()
-        else:
-            follower.lines.send_raw(message, stream=False)
-
-    def _look_at_deliveries(self) -> None:
-        staged = self.replica.chain.staged
-        if not staged.open:
-            self._messages.forget_stage_pieces()
-            return
-        followers = [one.progress for one in self._followers.values() if one.follows]
-        for id_ in staged.take_delivered(followers, self.now()):
-            self._carry_out(self.replica.delivered(id_, self.now()))
-
-    def _send_away(self, follower: Follower) -> None:
-        """It may know of nobody but this side of a cut: it is told whom else to try."""
-        follower.follows = False
-        core = self._core_line()
-        if core.members:
-            self._say(follower, Core(core.members, touch=False))
-        self._say(follower, Away())
-
-    def _part_unless_current(self) -> None:
-        """Guards what is sent between two ticks: words of an old view may be read before the first tick."""
-        if not self.replica.serves(self.now()):
-            for follower in list(self._followers.values()):
-                if follower.follows:
-                    self._send_away(follower)
-
-    def _keep_followers(self, now: int) -> None:
-        self._part_unless_current()
-        core = self._core_line()
-        for follower in list(self._followers.values()):
-            if not follower.follows:
-                continue
-            if core != self._core:
-                self._say(follower, core)
-            if now - follower.beat_at >= BEAT:
-                self._say_beat(follower)
-        self._core = core
-
 
 async def serve(settings: Settings) -> int:
     lighthouse, loop = Lighthouse(settings), asyncio.get_running_loop()
--- a/brackengate/lighthouse/watchroom.py
+++ b/brackengate/lighthouse/watchroom.py
@@ -10,8 +10,9 @@
 import logging
 from collections.abc import Callable, Mapping
 from dataclasses import dataclass, field
-from typing import TYPE_CHECKING, Any
+from typing import Any
 
+from brackengate.lighthouse.follower_connections import Follower
 from brackengate.lighthouse.replica import Replica
 from brackengate.lighthouse.standing import held, standing
 from brackengate.signals.lines import Lines
@@ -35,9 +36,6 @@
     Stand,
 )
 
-if TYPE_CHECKING:
-    from brackengate.lighthouse.role import Follower
-
 log = logging.getLogger("brackengate.watchroom")
 
 LOOK_S = 0.4  # a pilot that has not answered by then is passed over
--- a/tests/emulator/test_mesh_leases.py
+++ b/tests/emulator/test_mesh_leases.py
@@ -4,16 +4,17 @@
 
 from typing import Any
 
+import msgspec
 import pytest
 from test_mesh_lab import MESH
 
 from brackengate.emulator.mesh import checks, faults
 from brackengate.emulator.mesh.scenario import changed
 from brackengate.emulator.mesh.world import CALM, World
-from brackengate.lighthouse.actions import Publish
 from brackengate.lighthouse.failure_detector import LEASE
-from brackengate.lighthouse.role import Follower, Lighthouse
-from brackengate.signals.words import Away, Changes, Core, Line
+from brackengate.lighthouse.follower_connections import Follower, FollowerConnections
+from brackengate.signals.parts import EncodedMessage, unpacked
+from brackengate.signals.words import Away, Core, Line
 
 S = 1_000_000
 SLACK = 100_000  # a tick, and what is on its way
@@ -29,21 +30,25 @@
     text += "".join(more)
     world = World(changed(text, "cut.toml", ["length=30s"]), 1)
     told: list[tuple[int, str, str, Line]] = []
-    say, publish = Lighthouse._say, Lighthouse._publish
+    say, say_encoded = FollowerConnections._say, FollowerConnections._say_encoded
 
-    def said(self: Lighthouse, follower: Follower, word: Line) -> None:
-        told.append((world.loop.now - CALM, self.me.partition(":")[0], follower.lines.peer, word))
+    def note(self: FollowerConnections, follower: Follower, word: Line) -> None:
+        member = self._replica.me.partition(":")[0]
+        told.append((world.loop.now - CALM, member, follower.lines.peer, word))
+
+    def said(self: FollowerConnections, follower: Follower, word: Line) -> None:
+        note(self, follower, word)
         say(self, follower, word)
 
-    def published(self: Lighthouse, news: Publish) -> None:
-        for follower in self._followers.values():
-            if follower.follows and follower.index < news.index:
-                word = Changes(news.index, news.rows)
-                told.append((world.loop.now - CALM, self.me.partition(":")[0], follower.lines.peer, word))
-        publish(self, news)
+    def said_encoded(
+        self: FollowerConnections, follower: Follower, message: EncodedMessage, stream: bool = True
+    ) -> None:
+        line = unpacked(message.data, message.size) if message.size else message.data
+        note(self, follower, msgspec.json.decode(line, type=Line))
+        say_encoded(self, follower, message, stream)
 
-    monkeypatch.setattr(Lighthouse, "_say", said)
-    monkeypatch.setattr(Lighthouse, "_publish", published)
+    monkeypatch.setattr(FollowerConnections, "_say", said)
+    monkeypatch.setattr(FollowerConnections, "_say_encoded", said_encoded)
     world.seeds = ["l0", "l1", "l2"]
     world.loop.at(CALM + 7 * S, lambda: setattr(world, "seeds", ["l0"]))
     records = world.run(faults.schedule(world), faults.over(world.told))
--- a/tests/lighthouse/test_followers.py
+++ b/tests/lighthouse/test_followers.py
@@ -2,7 +2,6 @@
 
 from __future__ import annotations
 
-import asyncio
 from typing import Any
 
 import msgspec
@@ -10,20 +9,12 @@
 
 from brackengate.lighthouse import transfer
 from brackengate.lighthouse.actions import Publish
+from brackengate.lighthouse.follower_connections import FollowerConnections
 from brackengate.lighthouse.follower_messages import MOST_CHANGES, MOST_INDEXES, FollowerMessages
 from brackengate.lighthouse.replica import FIRST, Replica, StoredState
-from brackengate.lighthouse.role import Follower, Lighthouse
 from brackengate.signals.parts import EncodedMessage, unpacked
-from brackengate.signals.settings import parse
 from brackengate.signals.words import Changes, CopyPiece, CopyRequest, Follow, Line, Report
 
-SETTINGS = """
-Ip = "127.0.0.1"
-InternalPorts = [1, 2]
-[Listen]
-Control = "127.0.0.1:1"
-"""
-
 
 class Heard:
     """The end of a follower's connection."""
@@ -61,54 +52,49 @@
     return made
 
 
+def followers_of(made: Replica) -> FollowerConnections:
+    return FollowerConnections(made, lambda: 0, lambda actions: None, lambda what, done: None)
+
+
 def test_changes_come_after_the_last_piece(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(transfer, "PIECE_ROWS", 7)
 
-    async def follow() -> None:
-        lighthouse, heard = Lighthouse(parse(SETTINGS)), Heard()
-        lighthouse.replica = replica(40)
-        lighthouse._messages = FollowerMessages(lighthouse.replica.chain)
-        lines: Any = heard
-        follower = lighthouse._followers[lines] = Follower(lines)
-        lighthouse._from_pilot(follower, Follow(-1))
-        pieces = [heard.last_piece()]
-        while pieces[-1].total is None:
-            assert follower.copying
-            lighthouse._publish(Publish(41, (("inst", "10.0.0.1", None),)))
-            assert heard.changes() == []
-            lighthouse._from_pilot(follower, CopyRequest(len(pieces), pieces[-1].position))
-            pieces.append(heard.last_piece())
-        assert len(pieces) > 4 and sum(len(piece.rows) for piece in pieces) == 40
+    connections, heard = followers_of(replica(40)), Heard()
+    lines: Any = heard
+    connections.joined(lines)
+    follower = connections.by_lines[lines]
+    connections.heard(lines, Follow(-1))
+    pieces = [heard.last_piece()]
+    while pieces[-1].total is None:
+        assert follower.copying
+        connections.publish(Publish(41, (("inst", "10.0.0.1", None),)))
         assert heard.changes() == []
-        assert (follower.copying, follower.index) == (False, 40)
-        lighthouse._publish(Publish(41, (("inst", "10.0.0.1", None),)))
-        assert len(heard.changes()) == 1 and follower.index == 41
-
-    asyncio.run(follow())
+        connections.heard(lines, CopyRequest(len(pieces), pieces[-1].position))
+        pieces.append(heard.last_piece())
+    assert len(pieces) > 4 and sum(len(piece.rows) for piece in pieces) == 40
+    assert heard.changes() == []
+    assert (follower.copying, follower.index) == (False, 40)
+    connections.publish(Publish(41, (("inst", "10.0.0.1", None),)))
+    assert len(heard.changes()) == 1 and follower.index == 41
 
 
 def test_what_many_lack_is_made_once_for_all_of_them() -> None:
     """After a change of the view, or a restart of many proxies, followers come together and lack the same."""
 
-    async def follow() -> None:
-        lighthouse, made = Lighthouse(parse(SETTINGS)), replica(40)
-        chain = made.chain
-        lighthouse.replica, lighthouse._messages = made, FollowerMessages(chain)
-        ends = [Heard() for _ in range(10)]
-        for end in ends:
-            lines: Any = end
-            follower = lighthouse._followers[lines] = Follower(lines)
-            lighthouse._from_pilot(follower, Follow(-1))
-        assert len({id(end.messages[-1]) for end in ends}) == 1 and ends[0].last_piece().total is not None
-        made.ask(Report("10.0.1.1", {"id": "late"}), 99, 0)
-        made.stored(chain.index, chain.generation)
-        for follower in lighthouse._followers.values():
-            lighthouse._catch_up(follower)
-        assert len({id(end.messages[-1]) for end in ends}) == 1
-        assert [row[1] for row in ends[0].changes()[-1].rows] == ["10.0.1.1"]
-        assert {follower.index for follower in lighthouse._followers.values()} == {41}
-
-    asyncio.run(follow())
+    made = replica(40)
+    connections, chain = followers_of(made), made.chain
+    ends = [Heard() for _ in range(10)]
+    for end in ends:
+        lines: Any = end
+        connections.joined(lines)
+        connections.heard(lines, Follow(-1))
+    assert len({id(end.messages[-1]) for end in ends}) == 1 and ends[0].last_piece().total is not None
+    made.ask(Report("10.0.1.1", {"id": "late"}), 99, 0)
+    made.stored(chain.index, chain.generation)
+    connections.restart()
+    assert len({id(end.messages[-1]) for end in ends}) == 1
+    assert [row[1] for row in ends[0].changes()[-1].rows] == ["10.0.1.1"]
+    assert {follower.index for follower in connections.by_lines.values()} == {41}
 
 
 def test_followers_from_many_indexes_do_not_make_it_keep_what_each_lacks() -> None:
