--- a/brackengate/pilot/apply_queue.py
+++ b/brackengate/pilot/apply_queue.py
@@ -13,7 +13,7 @@
 from brackengate.pilot.table import Table
 from brackengate.signals.words import Row
 
-SLICE = 200  # rows that are put in force in one step of the loop
+SLICE = 100  # rows that are put in force in one step of the loop
 
 
 @dataclass(slots=True)
