--- a/brackengate/lighthouse/head_orders.py
+++ b/brackengate/lighthouse/head_orders.py
@@ -91,7 +91,7 @@
     deliver_within: int = DELIVER_WITHIN
     _refused: RefusedOrders = field(default_factory=RefusedOrders)
     _deliveries: Deliveries = field(default_factory=Deliveries)
-    _examinations: dict[str, Examination] = field(default_factory=dict)  # by text, in their order
+    _examinations: dict[str, Examination] = field(default_factory=dict)  # by text; the first is next
 
     def begin_view(self) -> None:
         """Whoever submitted something submits it again in the new view."""
@@ -122,14 +122,18 @@
         return self._take(found, examined, members, now)
 
     def examine(self, members: Iterable[str], now: int) -> Outcome | None:
-        """One step of the first examination; None: it is not over, or there is none."""
-        first = next(iter(self._examinations.values()), None)
-        examined = _next_step(first.steps) if first is not None else None
-        if first is None or examined is None:
+        """One step of an examination, by turns; None: it is not over, or there is none.
+
+        One whose step raises is dropped: whoever submitted its order submits it again.
+        """
+        if not self._examinations:
+            return None
+        first = self._examinations.pop(next(iter(self._examinations)))
+        examined = _next_step(first.steps)
+        if examined is None:
+            self._examinations[first.body] = first
             return None
-        del self._examinations[first.body]
-        taken = self._take(first, examined, members, now)
-        return Outcome(taken, tuple(first.submissions))
+        return Outcome(self._take(first, examined, members, now), tuple(first.submissions))
 
     def _take(self, one: Examination, examined: Examined, members: Iterable[str], now: int) -> Taken:
         decision, order = examined.decision, examined.staged
--- a/tests/lighthouse/test_bounded_steps.py
+++ b/tests/lighthouse/test_bounded_steps.py
@@ -14,11 +14,14 @@
 
 from brackengate.lighthouse import prepared_rows, rows
 from brackengate.lighthouse.actions import Store
+from brackengate.lighthouse.head_orders import Examining, HeadOrders, Wait
+from brackengate.lighthouse.item_index import ItemIndex
 from brackengate.lighthouse.log import FOLD_AT_ONCE, FOLD_MOST, ReplicaLog
 from brackengate.lighthouse.prepared_rows import MOST_ROWS, SLICE_ROWS, PreparedRows
 from brackengate.lighthouse.rows import State
 from brackengate.signals import items
-from brackengate.signals.words import Entry, Row
+from brackengate.signals.items import Item
+from brackengate.signals.words import Amend, Entry, Row
 
 ROUTES = 1_500
 MS = 1_000
@@ -130,3 +133,33 @@
         for _ in prepared.prepare(id_, many):
             assert sum(map(len, prepared.orders.values())) <= MOST_ROWS + SLICE_ROWS
     assert list(prepared.orders) == ["b", "c"]
+
+
+def test_two_long_orders_are_read_by_turns_and_one_that_cannot_be_read_holds_up_none(
+    monkeypatch: pytest.MonkeyPatch,
+) -> None:
+    read, raised = items._checked, Counter[str]()
+
+    def reads(it: Any, host: str) -> Any:
+        if it.name == "spoilt0" and not raised["spoilt"]:
+            raised["spoilt"] += 1
+            raise ZeroDivisionError
+        return read(it, host)
+
+    monkeypatch.setattr(items, "_checked", reads)
+    orders = HeadOrders()
+    held = ItemIndex.of([(("plant", "p"), Item(1, body={"Name": "p", "Revision": "r1"}))])
+    long = {name: order(*(route(f"{name}{n}", 5) for n in range(ROUTES))) for name in ("a", "spoilt", "b")}
+    for number, body in enumerate(long.values(), 1):
+        taken = orders.submitted(Amend(body), "a:1", number, {}, held, ["a:1"], 0)
+        assert isinstance(taken, Examining)
+    done: list[int] = []
+    while orders.examining:
+        try:
+            outcome = orders.examine(["a:1"], 0)
+        except ZeroDivisionError:
+            continue
+        if outcome is not None:
+            assert isinstance(outcome.taken, Wait)
+            done += [one.id for one in outcome.submissions]
+    assert done == [1, 3] and raised["spoilt"] == 1
