--- a/brackengate/lighthouse/chain.py
+++ b/brackengate/lighthouse/chain.py
@@ -369,11 +369,18 @@
     def _enter_and_reply_all(
         self, decision: Decision, submissions: Iterable[Submission], now: int, staged: str = ""
     ) -> list[Action]:
-        out = self._enter(decision, now, staged)
+        """Where nothing is set, the last entry serves if it was not passed on yet: it will be agreed later
+        than now, which shows that this is the head still.  Guards against a flood of commands that are sent
+        again, each of which would cost all members a place on their disks."""
+        out = self._enter(decision, now, staged) if decision.rows or self._all_stored() else []
         for one in submissions:
             self._pending_replies.append(PendingReply(self.index, one.addr, one.id, decision.result))
         return out
 
+    def _all_stored(self) -> bool:
+        """Whether every entry is on the disk here, and so may have been passed on."""
+        return self.index <= self.stored_index
+
     def _reply(self, reply: PendingReply) -> list[Action]:
         result = reply.result if reply.result is not None else self.configuration()
         word = Result(reply.id, result)
--- a/brackengate/lighthouse/commands.py
+++ b/brackengate/lighthouse/commands.py
@@ -40,6 +40,8 @@
 )
 
 RESUBMIT_AFTER = 400_000  # a command without a result is submitted again, microseconds
+RESUBMIT_DOUBLINGS = 2  # each time after twice as long, so often: a head that is too full is not made fuller
+FOLLOWER_PATIENCE = 5_000_000  # a follower waits no longer for the result of its command
 UNDERWAY = 1_600_000  # that much later, while the head is at work on it
 GIVE_UP_AFTER = 12_000_000  # and forgotten
 OPERATOR_PATIENCE = 2_000_000  # an operator goes elsewhere after a second: no longer is its call pursued
@@ -67,6 +69,11 @@
     give_up_after: int
     numbers: list[int] = field(default_factory=list)  # one for each time that it was submitted
 
+    def due(self, now: int) -> bool:
+        """Whether it is to be submitted again."""
+        doublings = min(max(0, len(self.numbers) - 1), RESUBMIT_DOUBLINGS)
+        return now - self.sent > RESUBMIT_AFTER << doublings
+
 
 @dataclass(slots=True)
 class PendingReply:
@@ -141,7 +148,7 @@
 
     def due(self, now: int) -> list[int]:
         """Those that are to be submitted again."""
-        return [number for number, one in self.by_id.items() if now - one.sent > RESUBMIT_AFTER]
+        return [number for number, one in self.by_id.items() if one.due(now)]
 
 
 def patience_for(body: str) -> int:
--- a/brackengate/lighthouse/follower_connections.py
+++ b/brackengate/lighthouse/follower_connections.py
@@ -12,6 +12,7 @@
 from typing import Any
 
 from brackengate.lighthouse.actions import Action, Publish
+from brackengate.lighthouse.commands import FOLLOWER_PATIENCE
 from brackengate.lighthouse.follower_messages import FollowerMessages, StagedIds
 from brackengate.lighthouse.log import PublicChanges
 from brackengate.lighthouse.replica import Replica
@@ -50,6 +51,7 @@
     tells: bool = False
     progress: FollowerProgress = field(default_factory=FollowerProgress)
     copying: bool = False  # it asks for one piece of a copy after the other; changes come after the last one
+    commands: dict[int, int] = field(default_factory=dict)  # without a result, by its numbers: the replica's
 
 
 class FollowerConnections:
@@ -58,10 +60,13 @@
         replica: Replica,
         now: Callable[[], int],
         carry_out: Callable[[list[Action]], None],
-        ask: Callable[[Command, Callable[[Any], None]], object],
+        ask: Callable[[Command, Callable[[Any], None], int], int],
+        withdraw: Callable[[int], None],
     ) -> None:
-        """`carry_out`: for what the replica decides on a delivery.  `ask`: a follower's command."""
-        self._replica, self._now, self._carry_out, self._ask = replica, now, carry_out, ask
+        """`carry_out`: for what the replica decides on a delivery.  `ask`: a follower's command, how to tell
+        its result, and for how long it is pursued; `withdraw`: one by the number that this gave."""
+        self._replica, self._now, self._carry_out = replica, now, carry_out
+        self._ask, self._withdraw = ask, withdraw
         self._messages = FollowerMessages(replica.chain)
         self.by_lines: dict[Lines, Follower] = {}
         self._core: Core | None = None  # as the followers were told last
@@ -72,7 +77,11 @@
         self.by_lines[lines] = Follower(lines)
 
     def left(self, lines: Lines) -> None:
-        self.by_lines.pop(lines, None)
+        """It asks elsewhere for what it waits for: what it asked here is not pursued any more."""
+        follower = self.by_lines.pop(lines, None)
+        if follower is not None:
+            for number in list(follower.commands.values()):
+                self._withdraw(number)
 
     def _following(self) -> list[Follower]:
         return [follower for follower in self.by_lines.values() if follower.follows]
@@ -107,11 +116,18 @@
         self._catch_up(follower, word.copy, even_none=True)
 
     def _command(self, follower: Follower, word: FollowerCommand) -> None:
+        ended = False
+
         def done(result: Any) -> None:
+            nonlocal ended
+            ended = True
+            follower.commands.pop(word.id, None)
             log.debug("ask: %s: %s", word.what, result)
             follower.lines.send(Result(word.id, result))
 
-        self._ask(word.what, done)
+        number = self._ask(word.what, done, FOLLOWER_PATIENCE)
+        if not ended:
+            follower.commands[word.id] = number
 
     # --- what they are told
 
--- a/brackengate/lighthouse/role.py
+++ b/brackengate/lighthouse/role.py
@@ -96,7 +96,7 @@
         window = settings.bounds.dedupe_window
         self.replica = Replica(self.me, settings.zone, kept, seeds, first, settings.min_replicas, window, now)
         self.replica.chain.deliver_within(settings.bounds.ack * DELIVER_PART // 100)
-        self.followers = FollowerConnections(self.replica, self.now, self._carry_out, self.ask)
+        self.followers = FollowerConnections(self.replica, self.now, self._carry_out, self.ask, self.withdraw)
         self._watchroom = Watchroom(self.replica, self.followers.by_lines, self.ask, self.now)
         self._inner = await self._loop.create_server(
             lambda: Lines(self._on_line, self._on_open, self._on_lost), settings.ip, self._port
--- a/tests/lighthouse/test_commands_pending.py
+++ b/tests/lighthouse/test_commands_pending.py
@@ -7,6 +7,7 @@
 
 import msgspec
 import pytest
+from test_order_timelines import Mesh
 
 from brackengate.http.message import Arrival
 from brackengate.lighthouse.actions import Answer
@@ -23,6 +24,7 @@
 from brackengate.lighthouse.control import Control, answer_to
 from brackengate.signals.words import (
     Amend,
+    Claim,
     Command,
     CommandDone,
     CommandResult,
@@ -146,3 +148,36 @@
     assert asks.asked == [ORDER, Read()]
     connection.gone()
     assert asks.withdrawn == [1]
+
+
+def test_a_command_is_submitted_again_after_longer_and_longer() -> None:
+    """Guards against replicas that keep a head full with what it has not come to yet."""
+    commands, now, at = PendingCommands(100), 0, list[int]()
+    command = commands.add(Read(), 8, 0)
+    commands.submission(command, 1, 0)
+    while now < 5_000_000:
+        now += 1_000
+        if commands.due(now):
+            commands.submission(command, 1, now)
+            at.append(now // 100_000)
+    assert at == [4, 12, 28, 44]
+
+
+def test_commands_that_set_nothing_share_an_entry_while_the_disk_is_busy() -> None:
+    """
+    head  |claim k|====disk is busy====|claim k, 300 times|   all are answered, by a few entries
+    """
+    mesh, answers = Mesh(members=3), list[Any]()
+    head = mesh.head()
+    assert head.replica is not None
+    claim = Claim("k", "g", "1", "")
+    head.ask(claim, answers.append)
+    mesh.passes(1)
+    before = head.replica.chain.index
+    head.stalled_until = mesh.core.now + 200_000
+    for host in mesh.hosts:
+        for _ in range(100):
+            host.ask(claim, answers.append)
+    mesh.passes(1)
+    assert answers == [CommandDone()] * 301
+    assert head.replica.chain.index - before <= 5
--- a/tests/lighthouse/test_followers.py
+++ b/tests/lighthouse/test_followers.py
@@ -13,7 +13,18 @@
 from brackengate.lighthouse.follower_messages import MOST_CHANGES, MOST_INDEXES, FollowerMessages
 from brackengate.lighthouse.replica import FIRST, Replica, StoredState
 from brackengate.signals.parts import EncodedMessage, unpacked
-from brackengate.signals.words import Changes, CopyPiece, CopyRequest, Follow, Line, Report
+from brackengate.signals.words import (
+    Changes,
+    Claim,
+    Command,
+    CommandDone,
+    CopyPiece,
+    CopyRequest,
+    Follow,
+    FollowerCommand,
+    Line,
+    Report,
+)
 
 
 class Heard:
@@ -53,7 +64,9 @@
 
 
 def followers_of(made: Replica) -> FollowerConnections:
-    return FollowerConnections(made, lambda: 0, lambda actions: None, lambda what, done: None)
+    return FollowerConnections(
+        made, lambda: 0, lambda actions: None, lambda what, done, within: 0, lambda number: None
+    )
 
 
 def test_changes_come_after_the_last_piece(monkeypatch: pytest.MonkeyPatch) -> None:
@@ -106,3 +119,22 @@
         assert news is not None
         messages.changes_since(index, news, ())
         assert len(messages._missed) <= MOST_INDEXES and len(messages._changes) <= MOST_CHANGES
+
+
+def test_what_a_follower_asked_is_not_pursued_once_it_has_left() -> None:
+    """It asks elsewhere: else each replica that it passed would go on submitting its commands to the head."""
+    asked: list[Any] = []
+    withdrawn: list[int] = []
+
+    def ask(what: Command, done: Any, within: int) -> int:
+        asked.append(done)
+        return len(asked)
+
+    connections = FollowerConnections(replica(1), lambda: 0, lambda actions: None, ask, withdrawn.append)
+    lines: Any = Heard()
+    connections.joined(lines)
+    for number in (11, 12, 13):
+        connections.heard(lines, FollowerCommand(number, Claim(f"k{number}", "g", "1", "")))
+    asked[1](CommandDone())
+    connections.left(lines)
+    assert withdrawn == [1, 3] and [word.id for word in lines.words] == [12]
