--- a/benchmarks/hot_path.py
+++ b/benchmarks/hot_path.py
@@ -23,7 +23,7 @@
 import uvloop
 
 from brackengate import interface as api
-from brackengate.brain import Balancer
+from brackengate.balancer import Balancer
 from brackengate.net.node import Clock, Node
 from brackengate.net.server import Server
 from brackengate.net.sockets import SocketBudget, bind
--- a/benchmarks/mesh.py
+++ b/benchmarks/mesh.py
@@ -20,12 +20,12 @@
 import tracemalloc
 from pathlib import Path
 
+from brackengate.control.actions import Store
+from brackengate.control.store import open_disk
 from brackengate.interface import Outcome, Request
-from brackengate.lighthouse.actions import Store
-from brackengate.lighthouse.store import open_disk
-from brackengate.pilot.hop import Said
-from brackengate.pilot.wake import Wake
-from brackengate.signals.words import Row
+from brackengate.protocol.messages import Row
+from brackengate.proxy.hop_headers import Said
+from brackengate.proxy.request_log import Wake
 from standins.mesh import LONG, Machine, Mesh, call
 
 REQUESTS = 1500
--- a/benchmarks/scale/__main__.py
+++ b/benchmarks/scale/__main__.py
@@ -15,7 +15,7 @@
 from benchmarks.scale.measure import QUICK, Place, Spans, run
 from benchmarks.scale.results import Results, Run
 from benchmarks.scale.site import FIRST_PORT, Size
-from brackengate.pilot.watch import LATE
+from brackengate.proxy.failure_detector import LATE
 
 MOST_S = 1_500.0  # the whole stops by itself after so long
 RUN_S = 180.0  # and each run
--- a/benchmarks/scale/hollow.py
+++ b/benchmarks/scale/hollow.py
@@ -36,13 +36,13 @@
     RunClaims,
 )
 from brackengate.net.ground import steady_us
-from brackengate.pilot import role, watch
-from brackengate.pilot.follow import Following
-from brackengate.pilot.gate import Beat, Gate
-from brackengate.pilot.table import Table
-from brackengate.pilot.watcher import Watcher
-from brackengate.signals.words import Claim, CommandDone
-from brackengate.signals.words import Report as UpstreamReport
+from brackengate.protocol.messages import Claim, CommandDone
+from brackengate.protocol.messages import Report as UpstreamReport
+from brackengate.proxy import failure_detector, role
+from brackengate.proxy.admission import Beat, Gate
+from brackengate.proxy.follow import Following
+from brackengate.proxy.routing_table import Table
+from brackengate.proxy.watcher import Watcher
 
 DRAIN_US = 2_000_000
 CLAIM_WITHIN_S = 5.0
@@ -240,7 +240,7 @@
 
 
 async def main(plan: HollowPlan) -> None:
-    watch.LATE = plan.late_us
+    failure_detector.LATE = plan.late_us
     process, loop = HollowProcess(plan), asyncio.get_running_loop()
     reader = asyncio.StreamReader(limit=1 << 20)
     await loop.connect_read_pipe(lambda: asyncio.StreamReaderProtocol(reader), sys.stdin)
--- a/benchmarks/scale/site.py
+++ b/benchmarks/scale/site.py
@@ -14,9 +14,9 @@
 import msgspec
 
 from benchmarks.scale.orders import CHANGED_ROUTE, HOST, End, HollowPlan, Order, Report
-from brackengate.bridge.ask import Bridge
-from brackengate.pilot.watch import LATE
-from brackengate.signals.words import Standing
+from brackengate.meshctl.ask import Bridge
+from brackengate.protocol.messages import Standing
+from brackengate.proxy.failure_detector import LATE
 from standins.mesh import ROOT, Machine, Ports, Upstream, call
 
 FEEDBACK_US = 1_500_000
--- a/benchmarks/scale/units.py
+++ b/benchmarks/scale/units.py
@@ -13,16 +13,16 @@
 
 from benchmarks.scale.orders import CHANGED_ROUTE, HOST
 from benchmarks.scale.site import Size, first_configuration, proxy_ip, route, zone
-from brackengate.lighthouse.item_index import ItemIndex
-from brackengate.lighthouse.orders import History, decide
-from brackengate.lighthouse.recent import RecentEntries
-from brackengate.lighthouse.rows import CommittedRows
-from brackengate.lighthouse.transfer import NOTHING, next_piece
-from brackengate.pilot.copy import PublicCopy
-from brackengate.pilot.table import Table
-from brackengate.pilot.watch import Watch, named
-from brackengate.signals.items import read_call
-from brackengate.signals.words import Changes, CopyPiece, CopyRequest, Instance, Line, Row
+from brackengate.control.item_index import ItemIndex
+from brackengate.control.orders import History, decide
+from brackengate.control.recent import RecentEntries
+from brackengate.control.rows import CommittedRows
+from brackengate.control.transfer import NOTHING, next_piece
+from brackengate.protocol.config_items import read_call
+from brackengate.protocol.messages import Changes, CopyPiece, CopyRequest, Instance, Line, Row
+from brackengate.proxy.copy import PublicCopy
+from brackengate.proxy.failure_detector import Watch, named
+from brackengate.proxy.routing_table import Table
 
 SIZES = (100, 300, 970)
 KEYS = (10_000, 100_000)
--- a/benchmarks/snapshots.py
+++ b/benchmarks/snapshots.py
@@ -94,7 +94,7 @@
         self.loop.call_later(PROBE_S, self._look)
 
     def _claim(self) -> None:
-        from brackengate.signals.words import Claim
+        from brackengate.protocol.messages import Claim
 
         self.claims += 1
         begun = self.loop.time()
@@ -123,9 +123,9 @@
 
 
 async def child(path: str, claims: bool) -> None:
-    from brackengate.lighthouse.role import Lighthouse
-    from brackengate.signals.lines import Lines
-    from brackengate.signals.settings import load
+    from brackengate.control.role import Lighthouse
+    from brackengate.protocol.json_connection import Lines
+    from brackengate.protocol.settings import load
 
     begun = time.perf_counter()
     lighthouse = Lighthouse(load(path))
@@ -151,8 +151,8 @@
 
 async def operator() -> None:
     """One order after the other, each sent to the next member after a second without an answer."""
-    from brackengate.signals.lines import Dialer
-    from brackengate.signals.words import Amend, CommandDone, Inquire, Line, Result
+    from brackengate.protocol.json_connection import Dialer
+    from brackengate.protocol.messages import Amend, CommandDone, Inquire, Line, Result
 
     loop = asyncio.get_running_loop()
     waits: dict[int, asyncio.Future[Any]] = {}
@@ -239,9 +239,9 @@
 
 def fill(folder: str, rows: int) -> None:
     """A member's disk of the first view, with so many keys; by the program that is being measured."""
-    from brackengate.lighthouse.actions import Store
-    from brackengate.lighthouse.store import open_disk
-    from brackengate.signals.words import Member, View
+    from brackengate.control.actions import Store
+    from brackengate.control.store import open_disk
+    from brackengate.protocol.messages import Member, View
 
     rng = random.Random(rows)
     view = View(1, tuple(Member(f"{ip}:{CONTROL}", "first", 1) for ip in ADDRESSES[:3]))
--- a/benchmarks/xds.py
+++ b/benchmarks/xds.py
@@ -26,7 +26,7 @@
 
 import uvloop
 
-from brackengate.brain import Balancer
+from brackengate.balancer import Balancer
 from brackengate.fleet.configured import Configured
 from brackengate.fleet.counters import Counters
 from brackengate.installation import settings as derived
--- a/brackengate/__init__.py
+++ b/brackengate/__init__.py
@@ -3,7 +3,7 @@
 from typing import TYPE_CHECKING, Any
 
 if TYPE_CHECKING:
-    from brackengate.brain import Balancer
+    from brackengate.balancer import Balancer
 
 __all__ = ["Balancer"]
 
@@ -11,7 +11,7 @@
 def __getattr__(name: str) -> Any:
     """Guards against the cost of the module where it is not used: a lighthouse's start is charged."""
     if name == "Balancer":
-        from brackengate.brain import Balancer
+        from brackengate.balancer import Balancer
 
         return Balancer
     raise AttributeError(f"module {__name__!r} has no attribute {name!r}")
--- a/brackengate/bridge/__init__.py
+++ b/brackengate/bridge/__init__.py
@@ -1,1 +1,1 @@
-"""Operating a running mesh from a command line: it asks lighthouses, and decides nothing for them."""
+"""Older name of brackengate.meshctl, kept so that `python -m brackengate.bridge` still works."""
--- a/brackengate/bridge/__main__.py
+++ b/brackengate/bridge/__main__.py
@@ -1,5 +1,5 @@
-"""`python -m brackengate.bridge`: the same commands where only the mesh's own libraries are installed."""
+"""`python -m brackengate.bridge`: runs what `python -m brackengate.meshctl` runs."""
 
-from brackengate.bridge.commands import mesh
+from brackengate.meshctl.commands import mesh
 
 mesh(prog_name="brackengate mesh")
--- a/brackengate/cli.py
+++ b/brackengate/cli.py
@@ -18,7 +18,6 @@
 
 import click
 
-from brackengate.bridge.commands import mesh
 from brackengate.cli_cells import cells
 from brackengate.cli_common import (
     BAD,
@@ -37,6 +36,7 @@
 from brackengate.installation.reading import BadFile, loads, read_text
 from brackengate.logs import FORMAT, start_log
 from brackengate.mesh import lighthouse, pilot
+from brackengate.meshctl.commands import mesh
 
 log = logging.getLogger("brackengate")
 
--- a/brackengate/cli_lab.py
+++ b/brackengate/cli_lab.py
@@ -597,12 +597,12 @@
     """
     import msgspec
 
-    from brackengate.lighthouse.replica import Replica
-    from brackengate.soundings.chart import draw
-    from brackengate.soundings.mistakes import MISTAKES
-    from brackengate.soundings.model import Bounds, Model
-    from brackengate.soundings.search import Found, Limits, search
-    from brackengate.soundings.workload import WORKLOADS
+    from brackengate.control.replica import Replica
+    from brackengate.model_check.chart import draw
+    from brackengate.model_check.mistakes import MISTAKES
+    from brackengate.model_check.model import Bounds, Model
+    from brackengate.model_check.search import Found, Limits, search
+    from brackengate.model_check.workload import WORKLOADS
 
     if mistake is not None and mistake not in MISTAKES:
         told = "\n".join(f"  {name:<14} {one.words}" for name, one in MISTAKES.items())
--- a/brackengate/lighthouse/actions.py
+++ b/brackengate/control/actions.py
@@ -5,8 +5,8 @@
 from dataclasses import dataclass, field
 from typing import Any
 
-from brackengate.lighthouse.staging import StagedOrder
-from brackengate.signals.words import Entry, Line, Row
+from brackengate.control.staging import StagedOrder
+from brackengate.protocol.messages import Entry, Line, Row
 
 
 @dataclass(slots=True)
--- a/brackengate/lighthouse/watchroom.py
+++ b/brackengate/control/admin_commands.py
@@ -12,11 +12,11 @@
 from dataclasses import dataclass, field
 from typing import Any
 
-from brackengate.lighthouse.follower_connections import Follower
-from brackengate.lighthouse.replica import Replica
-from brackengate.lighthouse.standing import held, standing
-from brackengate.signals.lines import Lines
-from brackengate.signals.words import (
+from brackengate.control.follower_connections import Follower
+from brackengate.control.replica import Replica
+from brackengate.control.status import held, standing
+from brackengate.protocol.json_connection import Lines
+from brackengate.protocol.messages import (
     Amend,
     Command,
     CommandResult,
--- a/brackengate/lighthouse/ages.py
+++ b/brackengate/control/ages.py
@@ -9,7 +9,7 @@
 from collections import deque
 from dataclasses import dataclass, field
 
-from brackengate.lighthouse.rows import BUCKETS, KEY, CommittedRows
+from brackengate.control.rows import BUCKETS, KEY, CommittedRows
 
 MARKS = 16  # for each window
 LOOK_BYTES = 1 << 20  # of rows that one step looks through
--- a/brackengate/lighthouse/ballots.py
+++ b/brackengate/control/ballots.py
@@ -8,7 +8,7 @@
 
 from dataclasses import dataclass, field
 
-from brackengate.signals.words import Ballot, Member, Promise, View
+from brackengate.protocol.messages import Ballot, Member, Promise, View
 
 NOBODY: Ballot = (0, "")
 
--- a/brackengate/lighthouse/chain.py
+++ b/brackengate/control/chain.py
@@ -20,26 +20,26 @@
 from collections.abc import Iterable, Iterator, Mapping
 from typing import Any
 
-from brackengate.lighthouse.actions import Action, Continue, Deliver, Publish, Restart, Tell
-from brackengate.lighthouse.ages import KeyAges
-from brackengate.lighthouse.commands import (
+from brackengate.control.actions import Action, Continue, Deliver, Publish, Restart, Tell
+from brackengate.control.ages import KeyAges
+from brackengate.control.commands import (
     GIVE_UP_AFTER,
     Decision,
     PendingCommands,
     PendingReply,
     decide,
 )
-from brackengate.lighthouse.head_orders import EnterNow, Examining, HeadOrders, Outcome, Wait
-from brackengate.lighthouse.item_index import ItemIndex
-from brackengate.lighthouse.learning import Learner, keep_committed, take_piece
-from brackengate.lighthouse.log import PublicChanges, ReplicaLog, public_changes
-from brackengate.lighthouse.prepared_rows import NO_ROUTES, item_of
-from brackengate.lighthouse.rows import KEY, LatestRows, State
-from brackengate.lighthouse.staging import Delivery, StagedOrder, StagedOrders, Submission
-from brackengate.lighthouse.transfer import COMPLETE, next_piece
-from brackengate.lighthouse.view import LogStatus
-from brackengate.signals.items import Name, Route, layout
-from brackengate.signals.words import (
+from brackengate.control.head_orders import EnterNow, Examining, HeadOrders, Outcome, Wait
+from brackengate.control.item_index import ItemIndex
+from brackengate.control.learning import Learner, keep_committed, take_piece
+from brackengate.control.log import PublicChanges, ReplicaLog, public_changes
+from brackengate.control.prepared_rows import NO_ROUTES, item_of
+from brackengate.control.rows import KEY, LatestRows, State
+from brackengate.control.staging import Delivery, StagedOrder, StagedOrders, Submission
+from brackengate.control.transfer import COMPLETE, next_piece
+from brackengate.control.view import LogStatus
+from brackengate.protocol.config_items import Name, Route, layout
+from brackengate.protocol.messages import (
     ITEMS,
     Ack,
     Amend,
--- a/brackengate/lighthouse/commands.py
+++ b/brackengate/control/commands.py
@@ -14,13 +14,13 @@
 
 import msgspec
 
-from brackengate.lighthouse import orders
-from brackengate.lighthouse.actions import Answer
-from brackengate.lighthouse.item_index import ItemIndex
-from brackengate.lighthouse.rows import KEY
-from brackengate.lighthouse.staging import STAGED_BYTES
-from brackengate.signals.items import Invalid, Name, Order, read_call
-from brackengate.signals.words import (
+from brackengate.control import orders
+from brackengate.control.actions import Answer
+from brackengate.control.item_index import ItemIndex
+from brackengate.control.rows import KEY
+from brackengate.control.staging import STAGED_BYTES
+from brackengate.protocol.config_items import Invalid, Name, Order, read_call
+from brackengate.protocol.messages import (
     Amend,
     Claim,
     Command,
--- a/brackengate/lighthouse/contact.py
+++ b/brackengate/control/contact.py
@@ -10,9 +10,9 @@
 from collections.abc import Iterator
 from dataclasses import dataclass
 
-from brackengate.lighthouse.actions import Action, Tell
-from brackengate.lighthouse.ballots import NOBODY, Acceptor
-from brackengate.lighthouse.failure_detector import (
+from brackengate.control.actions import Action, Tell
+from brackengate.control.ballots import NOBODY, Acceptor
+from brackengate.control.failure_detector import (
     APART,
     FORGOTTEN,
     GAP,
@@ -22,7 +22,7 @@
     Peer,
     majority_since,
 )
-from brackengate.signals.words import Member, NewView, Ping, Pong, View, WantView
+from brackengate.protocol.messages import Member, NewView, Ping, Pong, View, WantView
 
 
 @dataclass(slots=True)
--- a/brackengate/lighthouse/failure_detector.py
+++ b/brackengate/control/failure_detector.py
@@ -10,7 +10,7 @@
 from collections.abc import Iterable
 from dataclasses import dataclass
 
-from brackengate.signals.words import Ping, Pong
+from brackengate.protocol.messages import Ping, Pong
 
 PING = 150_000  # between two pings to a peer
 DEAD = 500_000  # without an answer to a ping
--- a/brackengate/lighthouse/follower_connections.py
+++ b/brackengate/control/follower_connections.py
@@ -11,15 +11,15 @@
 from dataclasses import dataclass, field
 from typing import Any
 
-from brackengate.lighthouse.actions import Action, Publish
-from brackengate.lighthouse.commands import FOLLOWER_PATIENCE
-from brackengate.lighthouse.follower_messages import FollowerMessages, StagedIds
-from brackengate.lighthouse.log import PublicChanges
-from brackengate.lighthouse.replica import Replica
-from brackengate.lighthouse.staging import FollowerProgress, StagedOrder
-from brackengate.signals.lines import Lines
-from brackengate.signals.parts import EncodedMessage
-from brackengate.signals.words import (
+from brackengate.control.actions import Action, Publish
+from brackengate.control.commands import FOLLOWER_PATIENCE
+from brackengate.control.follower_messages import FollowerMessages, StagedIds
+from brackengate.control.log import PublicChanges
+from brackengate.control.replica import Replica
+from brackengate.control.staging import FollowerProgress, StagedOrder
+from brackengate.protocol.json_connection import Lines
+from brackengate.protocol.message_parts import EncodedMessage
+from brackengate.protocol.messages import (
     Away,
     Beat,
     ClockRequest,
--- a/brackengate/lighthouse/follower_messages.py
+++ b/brackengate/control/follower_messages.py
@@ -9,12 +9,12 @@
 from dataclasses import dataclass, field
 from typing import Any
 
-from brackengate.lighthouse.chain import Chain
-from brackengate.lighthouse.log import PublicChanges
-from brackengate.lighthouse.staging import FollowerProgress, by_reference
-from brackengate.signals.lines import encoded
-from brackengate.signals.parts import EncodedMessage
-from brackengate.signals.words import Changes, CopyPiece, CopyRequest, StagePiece
+from brackengate.control.chain import Chain
+from brackengate.control.log import PublicChanges
+from brackengate.control.staging import FollowerProgress, by_reference
+from brackengate.protocol.json_connection import encoded
+from brackengate.protocol.message_parts import EncodedMessage
+from brackengate.protocol.messages import Changes, CopyPiece, CopyRequest, StagePiece
 
 MOST_PIECES = 64  # of copies that are kept: followers that come together ask for the same ones in turn
 MOST_INDEXES = 4  # that followers come from, for which what they lack is kept: it may be a large order's rows
--- a/brackengate/lighthouse/head_orders.py
+++ b/brackengate/control/head_orders.py
@@ -10,9 +10,9 @@
 from collections.abc import Generator, Iterable
 from dataclasses import dataclass, field
 
-from brackengate.lighthouse.commands import REFUSALS, Decision, RefusedOrders, Rows, decide_order
-from brackengate.lighthouse.item_index import ItemIndex
-from brackengate.lighthouse.staging import (
+from brackengate.control.commands import REFUSALS, Decision, RefusedOrders, Rows, decide_order
+from brackengate.control.item_index import ItemIndex
+from brackengate.control.staging import (
     PER_ROW,
     Deliveries,
     Delivery,
@@ -21,8 +21,8 @@
     Submissions,
     staged_order,
 )
-from brackengate.signals.items import Invalid, read_in_slices
-from brackengate.signals.words import PUBLIC, Amend, InvalidOrder
+from brackengate.protocol.config_items import Invalid, read_in_slices
+from brackengate.protocol.messages import PUBLIC, Amend, InvalidOrder
 
 DELIVER_WITHIN = 1_200_000  # a large order waits so long for its followers at the most, and `PER_ROW`
 LONG_BODY = 64 << 10  # bytes of a call: a longer one is examined in slices
--- a/brackengate/lighthouse/item_index.py
+++ b/brackengate/control/item_index.py
@@ -9,7 +9,7 @@
 from dataclasses import dataclass, field
 from typing import Any, TypeVar
 
-from brackengate.signals.items import Invalid, Item, Name, Route, route
+from brackengate.protocol.config_items import Invalid, Item, Name, Route, route
 
 _Key = TypeVar("_Key")
 Place = tuple[str, str]  # host, prefix
--- a/brackengate/lighthouse/learning.py
+++ b/brackengate/control/learning.py
@@ -8,10 +8,10 @@
 
 from dataclasses import dataclass, field
 
-from brackengate.lighthouse.actions import Store
-from brackengate.lighthouse.log import ReplicaLog
-from brackengate.lighthouse.transfer import COMPLETE, NOTHING, Differs, check, taken
-from brackengate.signals.words import CopyPiece, CopyPosition, CopyRequest, Row
+from brackengate.control.actions import Store
+from brackengate.control.log import ReplicaLog
+from brackengate.control.transfer import COMPLETE, NOTHING, Differs, check, taken
+from brackengate.protocol.messages import CopyPiece, CopyPosition, CopyRequest, Row
 
 ANSWER_WITHIN = 600_000  # a sender that takes longer is passed over
 LOOK_AGAIN = 200_000  # a complete copy asks for what is new
--- a/brackengate/lighthouse/log.py
+++ b/brackengate/control/log.py
@@ -11,12 +11,12 @@
 from dataclasses import dataclass, field
 from typing import Any
 
-from brackengate.lighthouse.actions import Store
-from brackengate.lighthouse.item_index import ItemIndex
-from brackengate.lighthouse.prepared_rows import PreparedRows, item_of
-from brackengate.lighthouse.recent import RecentEntries
-from brackengate.lighthouse.rows import LatestRows, Name, State, state_of
-from brackengate.signals.words import ITEMS, PUBLIC, Entry, Row
+from brackengate.control.actions import Store
+from brackengate.control.item_index import ItemIndex
+from brackengate.control.prepared_rows import PreparedRows, item_of
+from brackengate.control.recent import RecentEntries
+from brackengate.control.rows import LatestRows, Name, State, state_of
+from brackengate.protocol.messages import ITEMS, PUBLIC, Entry, Row
 
 RECENT, RECENT_BYTES = 20_000, 4 << 20  # committed entries kept for learners
 RECENT_PUBLIC, RECENT_PUBLIC_BYTES = 2_000, 2 << 20  # and of these, what followers may have
--- a/brackengate/lighthouse/membership.py
+++ b/brackengate/control/membership.py
@@ -10,7 +10,7 @@
 
 from dataclasses import dataclass
 
-from brackengate.signals.words import Member, View
+from brackengate.protocol.messages import Member, View
 
 
 @dataclass(frozen=True, slots=True)
--- a/brackengate/lighthouse/control.py
+++ b/brackengate/control/operator_api.py
@@ -8,11 +8,11 @@
 
 import msgspec
 
+from brackengate.control.commands import OPERATOR_PATIENCE, patience_for
 from brackengate.http.message import Arrival, Bad
-from brackengate.lighthouse.commands import OPERATOR_PATIENCE, patience_for
 from brackengate.net.http import CallerConnection
-from brackengate.signals.door import MOST_BODY, collect, rpc
-from brackengate.signals.words import (
+from brackengate.protocol.http_api import MOST_BODY, collect, rpc
+from brackengate.protocol.messages import (
     Amend,
     Command,
     CommandDone,
--- a/brackengate/lighthouse/orders.py
+++ b/brackengate/control/orders.py
@@ -1,7 +1,7 @@
 """What becomes of an order of the operator, by all that was acknowledged before it.  Pure.
 
 An order is acknowledged as a whole, together with a record of each of its items: the version and a digest of
-its content (`signals/contents.py`).  The record of the version that holds is the item itself; those of
+its content (`protocol/contents.py`).  The record of the version that holds is the item itself; those of
 versions that were overtaken stand in the item's history, a row of the log like any other, which every
 replica stores and no follower gets.  So of two orders that give an item different contents under one version
 the second one finds the record of the first, and one that was acknowledged finds its own, whatever has
@@ -16,10 +16,10 @@
 
 import msgspec
 
-from brackengate.lighthouse.item_index import ItemIndex, Place, place_of, services_of
-from brackengate.signals.contents import digest
-from brackengate.signals.items import Invalid, Item, Name, NamedItem, Order, Route
-from brackengate.signals.words import (
+from brackengate.control.item_index import ItemIndex, Place, place_of, services_of
+from brackengate.protocol.config_items import Invalid, Item, Name, NamedItem, Order, Route
+from brackengate.protocol.contents import digest
+from brackengate.protocol.messages import (
     CommandDone,
     ConflictingOrder,
     InvalidOrder,
--- a/brackengate/lighthouse/prepared_rows.py
+++ b/brackengate/control/prepared_rows.py
@@ -14,8 +14,8 @@
 
 import msgspec
 
-from brackengate.signals.items import Invalid, Item, Name, Route, route
-from brackengate.signals.words import ITEMS, Row
+from brackengate.protocol.config_items import Invalid, Item, Name, Route, route
+from brackengate.protocol.messages import ITEMS, Row
 
 SLICE_ROWS = 200  # that are worked on in one step of the loop
 MOST_ROWS = 20_000  # that are held, a kilobyte each; the oldest order goes
--- a/brackengate/lighthouse/recent.py
+++ b/brackengate/control/recent.py
@@ -11,7 +11,7 @@
 
 import msgspec
 
-from brackengate.signals.words import Entry
+from brackengate.protocol.messages import Entry
 
 _decode: Callable[[bytes], Entry] = msgspec.json.Decoder(Entry).decode
 
--- a/brackengate/lighthouse/replica.py
+++ b/brackengate/control/replica.py
@@ -6,12 +6,12 @@
 from dataclasses import dataclass
 from typing import Any
 
-from brackengate.lighthouse.actions import Action, Store
-from brackengate.lighthouse.chain import Chain
-from brackengate.lighthouse.commands import GIVE_UP_AFTER
-from brackengate.lighthouse.failure_detector import FIRST_START
-from brackengate.lighthouse.view import NOBODY, Agreement
-from brackengate.signals.words import (
+from brackengate.control.actions import Action, Store
+from brackengate.control.chain import Chain
+from brackengate.control.commands import GIVE_UP_AFTER
+from brackengate.control.failure_detector import FIRST_START
+from brackengate.control.view import NOBODY, Agreement
+from brackengate.protocol.messages import (
     Ack,
     Append,
     Ballot,
@@ -54,7 +54,7 @@
 
 
 class Replica:
-    agreement_kind: type[Agreement] = Agreement  # others where mistakes are tried: see `soundings`
+    agreement_kind: type[Agreement] = Agreement  # others where mistakes are tried: see `model_check`
     chain_kind: type[Chain] = Chain
 
     def __init__(
--- a/brackengate/lighthouse/role.py
+++ b/brackengate/control/role.py
@@ -12,7 +12,7 @@
 from collections.abc import Callable
 from typing import Any
 
-from brackengate.lighthouse.actions import (
+from brackengate.control.actions import (
     Action,
     Answer,
     Continue,
@@ -22,20 +22,19 @@
     Store,
     Tell,
 )
-from brackengate.lighthouse.commands import GIVE_UP_AFTER
-from brackengate.lighthouse.control import Control
-from brackengate.lighthouse.follower_connections import FollowerConnections
-from brackengate.lighthouse.replica import FIRST, Replica, StoredState
-from brackengate.lighthouse.store import Damaged, Drive, Waits, damaged
-from brackengate.lighthouse.watchroom import Watchroom
+from brackengate.control.admin_commands import Watchroom
+from brackengate.control.commands import GIVE_UP_AFTER
+from brackengate.control.follower_connections import FollowerConnections
+from brackengate.control.operator_api import Control
+from brackengate.control.replica import FIRST, Replica, StoredState
+from brackengate.control.store import Damaged, Drive, Waits, damaged
 from brackengate.net.ground import Ground
 from brackengate.net.node import Clock
 from brackengate.net.sockets import Address
-from brackengate.signals.door import listener
-from brackengate.signals.lines import Dialer, Lines, encoded
-from brackengate.signals.parts import EncodedMessage
-from brackengate.signals.settings import Settings, plain
-from brackengate.signals.words import (
+from brackengate.protocol.http_api import listener
+from brackengate.protocol.json_connection import Dialer, Lines, encoded
+from brackengate.protocol.message_parts import EncodedMessage
+from brackengate.protocol.messages import (
     Command,
     CopyPosition,
     Hello,
@@ -44,6 +43,7 @@
     Seen,
     Stage,
 )
+from brackengate.protocol.settings import Settings, plain
 
 log = logging.getLogger("brackengate.lighthouse")
 
--- a/brackengate/lighthouse/rows.py
+++ b/brackengate/control/rows.py
@@ -17,7 +17,7 @@
 
 import msgspec
 
-from brackengate.signals.words import PUBLIC, CommittedRow, Row
+from brackengate.protocol.messages import PUBLIC, CommittedRow, Row
 
 BUCKETS = 1 << 14
 KEY = "key"
--- a/brackengate/lighthouse/staging.py
+++ b/brackengate/control/staging.py
@@ -18,8 +18,8 @@
 
 import msgspec
 
-from brackengate.signals.items import Order
-from brackengate.signals.words import Row, StagedRows
+from brackengate.protocol.config_items import Order
+from brackengate.protocol.messages import Row, StagedRows
 
 STAGED_BYTES = 8 << 10  # of rows: a smaller order is entered at once
 PIECE_BYTES = 16 << 10  # of rows in one piece
--- a/brackengate/lighthouse/standing.py
+++ b/brackengate/control/status.py
@@ -4,9 +4,9 @@
 
 import msgspec
 
-from brackengate.lighthouse.replica import Replica
-from brackengate.signals.items import Item
-from brackengate.signals.words import ITEMS, Follows, HeldItem, Instance, Items, Neighbour, Standing
+from brackengate.control.replica import Replica
+from brackengate.protocol.config_items import Item
+from brackengate.protocol.messages import ITEMS, Follows, HeldItem, Instance, Items, Neighbour, Standing
 
 
 def standing(replica: Replica, pilots: tuple[Follows, ...], now: int) -> Standing:
--- a/brackengate/lighthouse/store.py
+++ b/brackengate/control/store.py
@@ -34,11 +34,11 @@
 
 import msgspec
 
-from brackengate.lighthouse.actions import Store
-from brackengate.lighthouse.replica import FIRST, StoredState
-from brackengate.lighthouse.rows import BUCKETS, CommittedRows, LoadedRows, bucket_of, is_deletion
-from brackengate.lighthouse.view import NOBODY
-from brackengate.signals.words import Ballot, Entry, Row, View
+from brackengate.control.actions import Store
+from brackengate.control.replica import FIRST, StoredState
+from brackengate.control.rows import BUCKETS, CommittedRows, LoadedRows, bucket_of, is_deletion
+from brackengate.control.view import NOBODY
+from brackengate.protocol.messages import Ballot, Entry, Row, View
 
 log = logging.getLogger("brackengate.lighthouse.store")
 
--- a/brackengate/lighthouse/transfer.py
+++ b/brackengate/control/transfer.py
@@ -12,9 +12,9 @@
 
 from __future__ import annotations
 
-from brackengate.lighthouse.recent import RecentEntries
-from brackengate.lighthouse.rows import BUCKETS, CommittedRows, bucket_of
-from brackengate.signals.words import (
+from brackengate.control.recent import RecentEntries
+from brackengate.control.rows import BUCKETS, CommittedRows, bucket_of
+from brackengate.protocol.messages import (
     CommittedRow,
     CopyPiece,
     CopyPosition,
--- a/brackengate/lighthouse/view.py
+++ b/brackengate/control/view.py
@@ -14,12 +14,12 @@
 
 from collections.abc import Iterable
 
-from brackengate.lighthouse.actions import Action, Store, Tell
-from brackengate.lighthouse.ballots import NOBODY, Acceptor, ViewChange, quorum
-from brackengate.lighthouse.contact import Contact, LogStatus
-from brackengate.lighthouse.failure_detector import APART, NEVER, PING
-from brackengate.lighthouse.membership import LeaveRequest, MembershipFacts, next_members, refusal_to_leave
-from brackengate.signals.words import (
+from brackengate.control.actions import Action, Store, Tell
+from brackengate.control.ballots import NOBODY, Acceptor, ViewChange, quorum
+from brackengate.control.contact import Contact, LogStatus
+from brackengate.control.failure_detector import APART, NEVER, PING
+from brackengate.control.membership import LeaveRequest, MembershipFacts, next_members, refusal_to_leave
+from brackengate.protocol.messages import (
     Accept,
     Accepted,
     Ballot,
--- a/brackengate/emulator/calls/machine.py
+++ b/brackengate/emulator/calls/machine.py
@@ -25,14 +25,14 @@
 from brackengate.http.body import ByteBudget
 from brackengate.net.sockets import SocketBudget
 from brackengate.net.upstream import Pool
-from brackengate.pilot import verdict
-from brackengate.pilot.entry import Entry
-from brackengate.pilot.gate import Beat, Gate
-from brackengate.pilot.table import Table
-from brackengate.pilot.wake import Wake
-from brackengate.pilot.way import WayOut
-from brackengate.signals.door import listener
-from brackengate.signals.words import Claim, CommandDone, HeldBy, Unclaim
+from brackengate.protocol.http_api import listener
+from brackengate.protocol.messages import Claim, CommandDone, HeldBy, Unclaim
+from brackengate.proxy import verdict
+from brackengate.proxy.admission import Beat, Gate
+from brackengate.proxy.egress import WayOut
+from brackengate.proxy.ingress import Entry
+from brackengate.proxy.request_log import Wake
+from brackengate.proxy.routing_table import Table
 
 if TYPE_CHECKING:
     from brackengate.emulator.calls.simulation import Simulation
--- a/brackengate/emulator/door.py
+++ b/brackengate/emulator/door.py
@@ -14,7 +14,7 @@
 from functools import partial
 
 from brackengate import interface as api
-from brackengate.brain import Balancer
+from brackengate.balancer import Balancer
 from brackengate.emulator.backend import Backend
 from brackengate.emulator.backend import field as header
 from brackengate.emulator.loop import MS, Loop, S
--- a/brackengate/emulator/instance.py
+++ b/brackengate/emulator/instance.py
@@ -12,7 +12,7 @@
 from typing import Protocol
 
 from brackengate import interface as api
-from brackengate.brain import Balancer
+from brackengate.balancer import Balancer
 from brackengate.cells.keeper import Maps
 from brackengate.emulator.backend import field
 from brackengate.emulator.loop import Loop
--- a/brackengate/emulator/mesh/disk.py
+++ b/brackengate/emulator/mesh/disk.py
@@ -1,6 +1,6 @@
 """A core machine's disk: what is synced outlasts a loss of power, what is under way may or may not.
 
-It stands behind the seam of `lighthouse/store.py`, in place of sqlite and its thread.  A commit is one write
+It stands behind the seam of `control/store.py`, in place of sqlite and its thread.  A commit is one write
 and one sync; its log's checksums leave out what is torn, so that a commit is there whole or not at all.
 """
 
@@ -15,13 +15,13 @@
 
 import msgspec
 
+from brackengate.control.actions import Store
+from brackengate.control.replica import FIRST, StoredState
+from brackengate.control.rows import is_deletion
+from brackengate.control.view import NOBODY
 from brackengate.emulator.loop import Loop
 from brackengate.emulator.mesh.ground import RoleProcess
-from brackengate.lighthouse.actions import Store
-from brackengate.lighthouse.replica import FIRST, StoredState
-from brackengate.lighthouse.rows import is_deletion
-from brackengate.lighthouse.view import NOBODY
-from brackengate.signals.words import Ballot, Entry, View
+from brackengate.protocol.messages import Ballot, Entry, View
 
 TOLD = 60  # from a sync to its process's next step, in microseconds
 
@@ -95,7 +95,7 @@
                 self._entries[entry.index] = encode(entry)
 
     def read(self, first: bool) -> StoredState:
-        """As of `lighthouse.store.open_disk`."""
+        """As of `control.store.open_disk`."""
         inc = FIRST if first else f"{self._rng.getrandbits(48):012x}"
         held = self._read("inc", str)
         if held is None or (held == FIRST != inc and self._read("view", View) is None):
--- a/brackengate/emulator/mesh/faults.py
+++ b/brackengate/emulator/mesh/faults.py
@@ -5,11 +5,11 @@
 from collections.abc import Callable, Iterable
 from functools import partial
 
+from brackengate.control.actions import Store
 from brackengate.emulator.loop import MS, S
 from brackengate.emulator.mesh.people import LostAcks
 from brackengate.emulator.mesh.scenario import ORDERS, Fault, MeshScenario
 from brackengate.emulator.mesh.world import BACK, CALM, Machine, World
-from brackengate.lighthouse.actions import Store
 
 SOON_AFTER = (5 * MS, 400 * MS)  # a blow comes so long after an order was sent
 REPLACED = S  # from the loss of a core machine to the start of the next, or from that start to SIGTERM
--- a/brackengate/emulator/mesh/world.py
+++ b/brackengate/emulator/mesh/world.py
@@ -1,6 +1,6 @@
 """A mesh: core machines and machines with pilots, upstreams, callers and operators.
 
-The roles are the program itself (`pilot/role.py`, `lighthouse/role.py`) on an emulated machine; the rest are
+The roles are the program itself (`proxy/role.py`, `control/role.py`) on an emulated machine; the rest are
 models.  All that callers, upstreams and operators see goes into `records`; the roles are not asked.
 """
 
@@ -10,16 +10,16 @@
 from collections.abc import Callable, Iterable
 from functools import partial
 
+from brackengate.control.role import Lighthouse
 from brackengate.emulator.loop import MS, Loop, S
 from brackengate.emulator.mesh.disk import EmulatedDisk, EmulatedDrive
 from brackengate.emulator.mesh.ground import RoleProcess, Ways, ground_of
 from brackengate.emulator.mesh.people import Callers, Operators
 from brackengate.emulator.mesh.scenario import MeshScenario
 from brackengate.emulator.mesh.upstream import Upstream
-from brackengate.lighthouse.role import Lighthouse
 from brackengate.net.sockets import Address
-from brackengate.pilot.role import Pilot
-from brackengate.signals.settings import Settings, parse
+from brackengate.protocol.settings import Settings, parse
+from brackengate.proxy.role import Pilot
 
 STARTS = 250 * MS  # from a process to its first step
 BACK = 300 * MS  # from a process's end to the next one
--- a/brackengate/emulator/variants.py
+++ b/brackengate/emulator/variants.py
@@ -9,7 +9,7 @@
 from collections.abc import Callable
 
 from brackengate import interface as api
-from brackengate.brain import LEARN, Attempt, Balancer, Call, Upstream
+from brackengate.balancer import LEARN, Attempt, Balancer, Call, Upstream
 from brackengate.interface import Settings
 
 SLOW_FROM, SLOWEST = (
--- a/brackengate/fleet/stack.py
+++ b/brackengate/fleet/stack.py
@@ -8,7 +8,7 @@
 from collections.abc import Callable, Sequence
 from typing import Any
 
-from brackengate.brain import Balancer
+from brackengate.balancer import Balancer
 from brackengate.cells.keeper import Maps
 from brackengate.fleet.configured import Configured
 from brackengate.installation import settings as derived
--- a/brackengate/interface.py
+++ b/brackengate/interface.py
@@ -1,7 +1,7 @@
 """What a balancer is told and what it may ask for: settings, events, actions and outcomes.
 
 Plain data only.  Times are whole microseconds on the host's clock; ids are opaque.
-`brackengate.brain.Balancer` takes a `Settings` at the start, then one event at a time,
+`brackengate.balancer.Balancer` takes a `Settings` at the start, then one event at a time,
 and answers each with a list of actions.
 """
 
--- a/brackengate/mesh.py
+++ b/brackengate/mesh.py
@@ -15,8 +15,8 @@
 import click
 import uvloop
 
-from brackengate.signals.settings import LIGHTHOUSE, PILOT, VARIABLE, BadSettings, Settings, load
-from brackengate.signals.settings import check as check_settings
+from brackengate.protocol.settings import LIGHTHOUSE, PILOT, VARIABLE, BadSettings, Settings, load
+from brackengate.protocol.settings import check as check_settings
 
 LEVELS = ("DEBUG", "INFO", "WARNING", "ERROR")
 
@@ -81,7 +81,7 @@
     if check:
         click.echo(f"{path}: sound for a pilot")
         return
-    from brackengate.pilot.role import serve
+    from brackengate.proxy.role import serve
 
     _run(serve(settings, path))
 
@@ -96,8 +96,8 @@
     if check:
         click.echo(f"{path}: sound for a lighthouse")
         return
-    from brackengate.lighthouse.role import serve
-    from brackengate.lighthouse.store import NewerForm
+    from brackengate.control.role import serve
+    from brackengate.control.store import NewerForm
 
     _run(serve(settings), (BadSettings, NewerForm))
 
--- a/brackengate/bridge/archive.py
+++ b/brackengate/meshctl/archive.py
@@ -7,9 +7,9 @@
 
 import msgspec
 
-from brackengate.bridge.changes import items_of
-from brackengate.signals.items import layout
-from brackengate.signals.words import HeldItem, Items
+from brackengate.meshctl.changes import items_of
+from brackengate.protocol.config_items import layout
+from brackengate.protocol.messages import HeldItem, Items
 
 FORM = 1
 
--- a/brackengate/bridge/ask.py
+++ b/brackengate/meshctl/ask.py
@@ -7,8 +7,8 @@
 from typing import Any
 
 from brackengate.net.sockets import Address, parse_address
-from brackengate.signals.lines import Lines
-from brackengate.signals.words import (
+from brackengate.protocol.json_connection import Lines
+from brackengate.protocol.messages import (
     Amend,
     CommandResult,
     Configuration,
--- a/brackengate/bridge/changes.py
+++ b/brackengate/meshctl/changes.py
@@ -1,7 +1,7 @@
 """What a call of the operator would do, item by item, before it is sent.  Pure.
 
-The lighthouses' own checker says what is sound (`signals/items.py`) and what has effect
-(`lighthouse/orders.py`); here it is only asked about each item on its own too, so that a call with several
+The lighthouses' own checker says what is sound (`protocol/config_items.py`) and what has effect
+(`control/orders.py`); here it is only asked about each item on its own too, so that a call with several
 faults shows them all.  What was acknowledged of versions that do not hold any more is not known here.
 """
 
@@ -12,10 +12,10 @@
 
 import msgspec
 
-from brackengate.lighthouse.item_index import ItemIndex
-from brackengate.lighthouse.orders import History, decide
-from brackengate.signals.items import Invalid, Item, Name, Order, read_call
-from brackengate.signals.words import CommandDone, HeldItem
+from brackengate.control.item_index import ItemIndex
+from brackengate.control.orders import History, decide
+from brackengate.protocol.config_items import Invalid, Item, Name, Order, read_call
+from brackengate.protocol.messages import CommandDone, HeldItem
 
 SET, DROPPED, NO_EFFECT, INVALID = "set", "dropped", "no effect", "invalid"
 
--- a/brackengate/bridge/commands.py
+++ b/brackengate/meshctl/commands.py
@@ -20,9 +20,9 @@
 from brackengate.mesh import fail
 
 if TYPE_CHECKING:
-    from brackengate.bridge.ask import Bridge
-    from brackengate.bridge.changes import Change
-    from brackengate.signals.words import Standing
+    from brackengate.meshctl.ask import Bridge
+    from brackengate.meshctl.changes import Change
+    from brackengate.protocol.messages import Standing
 
 FAILED, BAD, REFUSED, INCOMPLETE = 1, 2, 3, 4
 LOOK_S = 0.1  # between two looks at what is waited for
@@ -62,7 +62,7 @@
 
 def _run(at: Sequence[str], use: Callable[[Bridge], Coroutine[Any, Any, int]]) -> NoReturn:
     """Do it, and end with its exit code; every lighthouse that did not answer gets a line."""
-    from brackengate.bridge.ask import Bridge, Unanswered
+    from brackengate.meshctl.ask import Bridge, Unanswered
     from brackengate.net.sockets import parse_address
 
     try:
@@ -96,7 +96,7 @@
     \b
     Example: brackengate mesh status --at 10.0.0.1:7000
     """
-    from brackengate.bridge import figures
+    from brackengate.meshctl import figures
 
     async def use(bridge: Bridge) -> int:
         standings, failed = await bridge.standings()
@@ -171,7 +171,7 @@
 
 
 def _call_in(file: str) -> bytes:
-    from brackengate.bridge.changes import as_call
+    from brackengate.meshctl.changes import as_call
 
     try:
         with click.open_file(file, "rb") as opened:
@@ -192,7 +192,7 @@
     \b
     Example: brackengate mesh config diff next.json --at 10.0.0.1:7000
     """
-    from brackengate.bridge.changes import compare, items_of, sound
+    from brackengate.meshctl.changes import compare, items_of, sound
 
     call = _call_in(file)
 
@@ -206,8 +206,8 @@
 
 async def _bring_in(bridge: Bridge, call: bytes, wait: float, as_json: bool) -> int:
     """Check a call, send it, and wait for the pilots."""
-    from brackengate.bridge.changes import compare, effective, items_of, sound
-    from brackengate.signals.words import CommandDone
+    from brackengate.meshctl.changes import compare, effective, items_of, sound
+    from brackengate.protocol.messages import CommandDone
 
     changes = compare(call, items_of((await bridge.items()).items))
     if not changes:
@@ -227,8 +227,8 @@
 
 
 async def _until_pilots_have(bridge: Bridge, changes: Sequence[Change], wait: float, as_json: bool) -> int:
-    from brackengate.bridge import figures
-    from brackengate.signals.words import Held, Items
+    from brackengate.meshctl import figures
+    from brackengate.protocol.messages import Held, Items
 
     names = [((one.kind, one.name), one.version) for one in changes]
     until, late, place = time.monotonic() + wait, ["nobody could be asked"], None
@@ -288,9 +288,9 @@
 
 async def _seat(bridge: Bridge, name: str, what: Any, wait: float, seated: bool, warn: bool = False) -> int:
     """Tell a member to leave or to come back, and wait for the view that says so."""
-    from brackengate.bridge import figures
-    from brackengate.bridge.ask import Unanswered, ask
-    from brackengate.signals.words import SeatAnswer
+    from brackengate.meshctl import figures
+    from brackengate.meshctl.ask import Unanswered, ask
+    from brackengate.protocol.messages import SeatAnswer
 
     standings, _ = await bridge.standings()
     member = _member(standings, name)
@@ -336,7 +336,7 @@
     \b
     Example: brackengate mesh drain 10.0.0.1 --at 10.0.1.1:7000
     """
-    from brackengate.signals.words import Leave
+    from brackengate.protocol.messages import Leave
 
     _run(at, lambda bridge: _seat(bridge, member, Leave(), wait, seated=False))
 
@@ -354,7 +354,7 @@
     \b
     Example: brackengate mesh replace 10.0.0.1 --at 10.0.1.1:7000
     """
-    from brackengate.signals.words import Leave
+    from brackengate.protocol.messages import Leave
 
     _run(at, lambda bridge: _seat(bridge, member, Leave(replaced=True), wait, seated=False))
 
@@ -369,7 +369,7 @@
     \b
     Example: brackengate mesh readmit 10.0.0.1 --at 10.0.1.1:7000
     """
-    from brackengate.signals.words import Rejoin
+    from brackengate.protocol.messages import Rejoin
 
     _run(at, lambda bridge: _seat(bridge, member, Rejoin(), wait, seated=True))
 
@@ -389,7 +389,7 @@
     \b
     Example: brackengate mesh explain 9c41d07be2a35f68 --at 10.0.0.1:7000
     """
-    from brackengate.bridge import hops
+    from brackengate.meshctl import hops
 
     async def use(bridge: Bridge) -> int:
         standings, _ = await bridge.standings()
@@ -422,7 +422,7 @@
     \b
     Example: brackengate mesh backup mesh.json --at 10.0.0.1:7000
     """
-    from brackengate.bridge import archive
+    from brackengate.meshctl import archive
 
     async def use(bridge: Bridge) -> int:
         held = await bridge.items()
@@ -455,7 +455,7 @@
     \b
     Example: brackengate mesh restore mesh.json --at 10.0.0.1:7000
     """
-    from brackengate.bridge import archive
+    from brackengate.meshctl import archive
 
     try:
         content = archive.unpack(Path(file).read_bytes())
--- a/brackengate/bridge/figures.py
+++ b/brackengate/meshctl/figures.py
@@ -6,8 +6,8 @@
 from collections.abc import Iterable, Sequence
 from typing import Any
 
-from brackengate.signals.items import Name
-from brackengate.signals.words import Items, Standing
+from brackengate.protocol.config_items import Name
+from brackengate.protocol.messages import Items, Standing
 
 STATES = ("ready", "draining", "away", "gone")
 
--- a/brackengate/bridge/hops.py
+++ b/brackengate/meshctl/hops.py
@@ -6,7 +6,7 @@
 from collections.abc import Iterable
 from typing import Any
 
-from brackengate.signals.words import Follows
+from brackengate.protocol.messages import Follows
 
 Hop = dict[str, Any]
 
--- a/brackengate/soundings/chart.py
+++ b/brackengate/model_check/chart.py
@@ -7,7 +7,10 @@
 
 import msgspec
 
-from brackengate.signals.words import (
+from brackengate.model_check.model import Event, Model, State, carry
+from brackengate.model_check.vessel import Effect, decode
+from brackengate.model_check.workload import FREED, READ
+from brackengate.protocol.messages import (
     Accept,
     Accepted,
     Ack,
@@ -33,9 +36,6 @@
     View,
     WantView,
 )
-from brackengate.soundings.model import Event, Model, State, carry
-from brackengate.soundings.vessel import Effect, decode
-from brackengate.soundings.workload import FREED, READ
 
 WIDTH = 30
 
--- a/brackengate/soundings/disk.py
+++ b/brackengate/model_check/disk.py
@@ -1,4 +1,4 @@
-"""A disk that outlasts its process: what `lighthouse/store.py` keeps, without a file.  Pure."""
+"""A disk that outlasts its process: what `control/store.py` keeps, without a file.  Pure."""
 
 from __future__ import annotations
 
@@ -7,11 +7,11 @@
 
 import msgspec
 
-from brackengate.lighthouse.actions import Store
-from brackengate.lighthouse.replica import StoredState
-from brackengate.lighthouse.rows import is_deletion
-from brackengate.lighthouse.view import NOBODY
-from brackengate.signals.words import Ballot, Entry, Row, View
+from brackengate.control.actions import Store
+from brackengate.control.replica import StoredState
+from brackengate.control.rows import is_deletion
+from brackengate.control.view import NOBODY
+from brackengate.protocol.messages import Ballot, Entry, Row, View
 
 
 @dataclass
--- a/brackengate/soundings/mistakes.py
+++ b/brackengate/model_check/mistakes.py
@@ -6,14 +6,15 @@
 
 import msgspec
 
-from brackengate.lighthouse.actions import Action, Answer
-from brackengate.lighthouse.chain import Chain
-from brackengate.lighthouse.commands import GIVE_UP_AFTER, PendingReply
-from brackengate.lighthouse.failure_detector import Peer
-from brackengate.lighthouse.replica import Replica
-from brackengate.lighthouse.view import Agreement, LogStatus
-from brackengate.signals.items import read_call, route
-from brackengate.signals.words import (
+from brackengate.control.actions import Action, Answer
+from brackengate.control.chain import Chain
+from brackengate.control.commands import GIVE_UP_AFTER, PendingReply
+from brackengate.control.failure_detector import Peer
+from brackengate.control.replica import Replica
+from brackengate.control.view import Agreement, LogStatus
+from brackengate.model_check.model import FREE, Bounds
+from brackengate.protocol.config_items import read_call, route
+from brackengate.protocol.messages import (
     Amend,
     Command,
     CommandDone,
@@ -27,7 +28,6 @@
     Read,
     Submit,
 )
-from brackengate.soundings.model import FREE, Bounds
 
 
 class _HastyChain(Chain):
--- a/brackengate/soundings/model.py
+++ b/brackengate/model_check/model.py
@@ -13,11 +13,25 @@
 
 import msgspec
 
-from brackengate.lighthouse.chain import Chain
-from brackengate.lighthouse.failure_detector import LEASE
-from brackengate.lighthouse.replica import FIRST, Replica
-from brackengate.lighthouse.transfer import COMPLETE
-from brackengate.signals.words import (
+from brackengate.control.chain import Chain
+from brackengate.control.failure_detector import LEASE
+from brackengate.control.replica import FIRST, Replica
+from brackengate.control.transfer import COMPLETE
+from brackengate.model_check.disk import DiskState
+from brackengate.model_check.vessel import (
+    Act,
+    Effect,
+    Vessel,
+    Waters,
+    decode,
+    encode,
+    ping,
+    plain,
+    serves,
+    step,
+)
+from brackengate.model_check.workload import FREED, READ, WORKLOADS, Rows
+from brackengate.protocol.messages import (
     Accept,
     Accepted,
     CommandDone,
@@ -30,20 +44,6 @@
     UndecidedOrder,
     View,
 )
-from brackengate.soundings.disk import DiskState
-from brackengate.soundings.vessel import (
-    Act,
-    Effect,
-    Vessel,
-    Waters,
-    decode,
-    encode,
-    ping,
-    plain,
-    serves,
-    step,
-)
-from brackengate.soundings.workload import FREED, READ, WORKLOADS, Rows
 
 FIRST_UNIT = 10  # by all clocks, when time begins to pass
 UNIT = LEASE // 2  # in which time passes
--- a/brackengate/soundings/search.py
+++ b/brackengate/model_check/search.py
@@ -6,7 +6,7 @@
 from collections.abc import Callable
 from dataclasses import dataclass, field
 
-from brackengate.soundings.model import Event, Model, State
+from brackengate.model_check.model import Event, Model, State
 
 
 @dataclass(frozen=True)
--- a/brackengate/soundings/vessel.py
+++ b/brackengate/model_check/vessel.py
@@ -14,11 +14,13 @@
 
 import msgspec
 
-from brackengate.lighthouse.actions import Action, Answer, Store, Tell
-from brackengate.lighthouse.chain import Chain
-from brackengate.lighthouse.replica import FIRST, Replica
-from brackengate.lighthouse.view import APART, NEVER, Agreement
-from brackengate.signals.words import (
+from brackengate.control.actions import Action, Answer, Store, Tell
+from brackengate.control.chain import Chain
+from brackengate.control.replica import FIRST, Replica
+from brackengate.control.view import APART, NEVER, Agreement
+from brackengate.model_check.disk import DiskState
+from brackengate.model_check.workload import WORKLOADS, Workload
+from brackengate.protocol.messages import (
     Accepted,
     Ballot,
     Line,
@@ -27,8 +29,6 @@
     Promise,
     View,
 )
-from brackengate.soundings.disk import DiskState
-from brackengate.soundings.workload import WORKLOADS, Workload
 
 WINDOW = 60_000_000
 Act = tuple[Any, ...]
--- a/brackengate/soundings/workload.py
+++ b/brackengate/model_check/workload.py
@@ -7,7 +7,7 @@
 
 import msgspec
 
-from brackengate.signals.words import Amend, Claim, Command, Read, Unclaim
+from brackengate.protocol.messages import Amend, Claim, Command, Read, Unclaim
 
 FREED, READ = 50, 100  # writes are numbered from 1, takings back of a write and reads from here on
 Rows = dict[tuple[str, str], tuple[int, bytes]]  # as on a disk: log index and value
--- a/brackengate/net/node.py
+++ b/brackengate/net/node.py
@@ -88,7 +88,7 @@
 
 
 class DecisionModule(Protocol):
-    """`brackengate.brain.Balancer`, or a script in its place in tests of the host."""
+    """`brackengate.balancer.Balancer`, or a script in its place in tests of the host."""
 
     def handle(self, now: int, event: Event) -> list[Action]: ...
 
--- a/brackengate/platform/adapter.py
+++ b/brackengate/platform/adapter.py
@@ -10,7 +10,7 @@
 import traceback
 from typing import TextIO
 
-from brackengate.brain import Balancer
+from brackengate.balancer import Balancer
 from brackengate.interface import Endpoint, Event
 from brackengate.platform import wire
 
--- a/brackengate/platform/program.py
+++ b/brackengate/platform/program.py
@@ -16,7 +16,7 @@
 
 from brackengate.admin.listener import Listener
 from brackengate.admin.protocol import Call, figures_text, no, yes
-from brackengate.brain import Balancer
+from brackengate.balancer import Balancer
 from brackengate.fleet import lifecycle
 from brackengate.http.body import ByteBudget
 from brackengate.net.discovery import Discovery
--- a/brackengate/policy/__init__.py
+++ b/brackengate/policy/__init__.py
@@ -1,1 +1,1 @@
-"""The decisions of the balancer by concern; brackengate/brain.py puts them together."""
+"""The decisions of the balancer by concern; brackengate/balancer.py puts them together."""
--- a/brackengate/signals/__init__.py
+++ b/brackengate/protocol/__init__.py
@@ -1,1 +1,4 @@
-"""What pilots and lighthouses say to each other, and what both are told: no sockets but in `lines`."""
+"""What pilots and lighthouses say to each other, and what both are told.
+
+No sockets but in `json_connection`.
+"""
--- a/brackengate/signals/contents.py
+++ b/brackengate/protocol/contents.py
@@ -18,7 +18,7 @@
 import msgspec
 
 from brackengate.installation.units import exact_duration
-from brackengate.signals.items import Item
+from brackengate.protocol.config_items import Item
 
 DIGEST_BYTES = 12
 TIMES = {"route": ("Cutoff", "Setpoint"), "limits": ("HeaderWait", "IdleCutoff")}
--- a/brackengate/signals/lines.py
+++ b/brackengate/protocol/json_connection.py
@@ -1,8 +1,8 @@
 """Lines of JSON over TCP: the connections between the system's own processes.
 
-Long lines go compressed and in parts (`parts.py`).  The messages of the stream (`STREAM`) keep their order;
-other long ones go in the background, and other short ones at once: liveness never waits behind bulk, nor do
-news behind what is not in force yet.
+Long lines go compressed and in parts (`message_parts.py`).  The messages of the stream (`STREAM`) keep their
+order; other long ones go in the background, and other short ones at once: liveness never waits behind bulk,
+nor do news behind what is not in force yet.
 """
 
 from __future__ import annotations
@@ -16,8 +16,15 @@
 import msgspec
 
 from brackengate.net.sockets import Address
-from brackengate.signals.parts import MOST_BYTES, EncodedMessage, Incoming, Outgoing, Unreadable, packed
-from brackengate.signals.words import Append, Changes, CopyPiece, Line, Part, PartReceived
+from brackengate.protocol.message_parts import (
+    MOST_BYTES,
+    EncodedMessage,
+    Incoming,
+    Outgoing,
+    Unreadable,
+    packed,
+)
+from brackengate.protocol.messages import Append, Changes, CopyPiece, Line, Part, PartReceived
 
 log = logging.getLogger("brackengate.lines")
 
--- a/brackengate/signals/parts.py
+++ b/brackengate/protocol/message_parts.py
@@ -13,7 +13,7 @@
 from collections import deque
 from dataclasses import dataclass, field
 
-from brackengate.signals.words import Part
+from brackengate.protocol.messages import Part
 
 LONG = 1_024  # a line of that size or more is sent compressed and in parts
 PART_BYTES = 4_096  # of compressed data in one part
--- a/brackengate/signals/words.py
+++ b/brackengate/protocol/messages.py
@@ -174,7 +174,10 @@
 
 
 class Part(Word, frozen=True, tag="part"):
-    """A part of a long message, see `parts.py`.  `size`: with the last one, of the line when unpacked."""
+    """A part of a long message, see `message_parts.py`.
+
+    `size`: with the last one, of the line when unpacked.
+    """
 
     data: bytes
     size: int = 0
--- a/brackengate/pilot/gate.py
+++ b/brackengate/proxy/admission.py
@@ -11,7 +11,7 @@
 from dataclasses import dataclass, field
 from enum import Enum
 
-from brackengate.signals.words import Instance
+from brackengate.protocol.messages import Instance
 
 ADOPTED_BEATS = 1.5  # for so long what an earlier process knew holds without a beat
 SILENT_BEATS = 3.4  # an upstream that lets as many beats pass is taken for gone
--- a/brackengate/pilot/apply_queue.py
+++ b/brackengate/proxy/apply_queue.py
@@ -10,8 +10,8 @@
 from collections.abc import Callable, Sequence
 from dataclasses import dataclass
 
-from brackengate.pilot.table import Table
-from brackengate.signals.words import Row
+from brackengate.protocol.messages import Row
+from brackengate.proxy.routing_table import Table
 
 SLICE = 100  # rows that are put in force in one step of the loop
 
--- a/brackengate/pilot/copy.py
+++ b/brackengate/proxy/copy.py
@@ -4,9 +4,9 @@
 
 from dataclasses import dataclass, field
 
-from brackengate.lighthouse.rows import CommittedRows
-from brackengate.lighthouse.transfer import NOTHING, Differs, check, taken
-from brackengate.signals.words import CopyPiece, CopyPosition, Row
+from brackengate.control.rows import CommittedRows
+from brackengate.control.transfer import NOTHING, Differs, check, taken
+from brackengate.protocol.messages import CopyPiece, CopyPosition, Row
 
 
 @dataclass
--- a/brackengate/pilot/way.py
+++ b/brackengate/proxy/egress.py
@@ -10,7 +10,7 @@
 from dataclasses import dataclass
 from functools import partial
 
-from brackengate.brain import Balancer
+from brackengate.balancer import Balancer
 from brackengate.http.body import ByteBudget
 from brackengate.http.message import Arrival, Bad
 from brackengate.http.upstream import Answered
@@ -31,17 +31,17 @@
 from brackengate.net.node import FAILED, OVERDUE, REFUSED, Clock, Message, Node, Reply
 from brackengate.net.sockets import Address, SocketBudget
 from brackengate.net.upstream import Pool, Result
-from brackengate.pilot.budget import ration
-from brackengate.pilot.hop import CALLER, DEADLINE, HOP, KEY, Said, Step, forwarded, hop_of, passed_on
-from brackengate.pilot.leaving import REFUSED_FOR, LeavePlan
-from brackengate.pilot.table import Table, choose, host_of
-from brackengate.pilot.unrouted import NOT_FOUND, Unrouted
-from brackengate.pilot.verdict import judge
-from brackengate.pilot.wake import ID, Wake
 from brackengate.policy.state import MOST_TRIES
-from brackengate.signals.door import MOST_BODY
-from brackengate.signals.items import Route
-from brackengate.signals.words import Instance
+from brackengate.protocol.config_items import Route
+from brackengate.protocol.http_api import MOST_BODY
+from brackengate.protocol.messages import Instance
+from brackengate.proxy.budget import ration
+from brackengate.proxy.hop_headers import CALLER, DEADLINE, HOP, KEY, Said, Step, forwarded, hop_of, passed_on
+from brackengate.proxy.leaving import REFUSED_FOR, LeavePlan
+from brackengate.proxy.request_log import ID, Wake
+from brackengate.proxy.routing_table import Table, choose, host_of
+from brackengate.proxy.unrouted import NOT_FOUND, Unrouted
+from brackengate.proxy.verdict import judge
 
 log = logging.getLogger("brackengate.way")
 
--- a/brackengate/pilot/follow.py
+++ b/brackengate/proxy/follow.py
@@ -14,15 +14,10 @@
 from dataclasses import dataclass
 from typing import Any
 
-from brackengate.lighthouse.transfer import NOTHING, Differs
+from brackengate.control.transfer import NOTHING, Differs
 from brackengate.net.sockets import parse_address
-from brackengate.pilot.apply_queue import ApplyQueue
-from brackengate.pilot.copy import PublicCopy
-from brackengate.pilot.currency import ClockOffset, Currency
-from brackengate.pilot.staged import NotHeld, StagedStore
-from brackengate.pilot.table import Table
-from brackengate.signals.lines import Dialer
-from brackengate.signals.words import (
+from brackengate.protocol.json_connection import Dialer
+from brackengate.protocol.messages import (
     Away,
     Beat,
     Changes,
@@ -44,6 +39,11 @@
     StagePiece,
     StageRequest,
 )
+from brackengate.proxy.apply_queue import ApplyQueue
+from brackengate.proxy.copy import PublicCopy
+from brackengate.proxy.currency import ClockOffset, Currency
+from brackengate.proxy.routing_table import Table
+from brackengate.proxy.staged import NotHeld, StagedStore
 
 log = logging.getLogger("brackengate.follow")
 
--- a/brackengate/pilot/beats.py
+++ b/brackengate/proxy/heartbeats.py
@@ -10,8 +10,8 @@
 from brackengate.http.message import Arrival, Bad
 from brackengate.installation.units import duration
 from brackengate.net.http import CallerConnection
-from brackengate.pilot.gate import Beat
-from brackengate.signals.door import collect, rpc
+from brackengate.protocol.http_api import collect, rpc
+from brackengate.proxy.admission import Beat
 
 log = logging.getLogger("brackengate.beats")
 
--- a/brackengate/pilot/entry.py
+++ b/brackengate/proxy/ingress.py
@@ -19,8 +19,10 @@
 from brackengate.net.node import Clock, Reply
 from brackengate.net.sockets import Address
 from brackengate.net.upstream import Begun, Job, Pool, Result
-from brackengate.pilot.gate import Gate, State
-from brackengate.pilot.hop import (
+from brackengate.protocol.http_api import MOST_BODY
+from brackengate.protocol.messages import Command
+from brackengate.proxy.admission import Gate, State
+from brackengate.proxy.hop_headers import (
     ATTEMPT,
     DEADLINE,
     HOP,
@@ -33,12 +35,10 @@
     step_of,
     turned_down,
 )
-from brackengate.pilot.keys import Keys
-from brackengate.pilot.load import Load
-from brackengate.pilot.visit import Visit
-from brackengate.pilot.wake import ID, Wake
-from brackengate.signals.door import MOST_BODY
-from brackengate.signals.words import Command
+from brackengate.proxy.keys import Keys
+from brackengate.proxy.load import Load
+from brackengate.proxy.request_log import ID, Wake
+from brackengate.proxy.visit import Visit
 
 log = logging.getLogger("brackengate.gate")
 
--- a/brackengate/pilot/keys.py
+++ b/brackengate/proxy/keys.py
@@ -17,10 +17,20 @@
 from brackengate.net.node import Clock, Reply
 from brackengate.net.sockets import Address
 from brackengate.net.upstream import Pool, Result
-from brackengate.pilot.gate import Gate, Operation, Operations, State
-from brackengate.pilot.hop import ATTEMPT, DEADLINE, HOP, KEY, Said, Step, forwarded, hop_of, passed_on
-from brackengate.pilot.visit import Host, Visit
-from brackengate.signals.words import Claim, Command, CommandDone, HeldBy, Unclaim
+from brackengate.protocol.messages import Claim, Command, CommandDone, HeldBy, Unclaim
+from brackengate.proxy.admission import Gate, Operation, Operations, State
+from brackengate.proxy.hop_headers import (
+    ATTEMPT,
+    DEADLINE,
+    HOP,
+    KEY,
+    Said,
+    Step,
+    forwarded,
+    hop_of,
+    passed_on,
+)
+from brackengate.proxy.visit import Host, Visit
 
 log = logging.getLogger("brackengate.gate")
 
--- a/brackengate/pilot/wake.py
+++ b/brackengate/proxy/request_log.py
@@ -12,7 +12,7 @@
 from typing import Any
 
 from brackengate.interface import Outcome, Request
-from brackengate.pilot.hop import ATTEMPT, Said
+from brackengate.proxy.hop_headers import ATTEMPT, Said
 
 MOST, MOST_ODD = 512, 512  # requests; odd ones
 MOST_OPEN = 4096  # that have no answer yet: one whose caller leaves before its body is whole has no end
--- a/brackengate/pilot/role.py
+++ b/brackengate/proxy/role.py
@@ -1,10 +1,10 @@
 """The pilot as a process: what is wanted, and the loops that bring it about.  Decides nothing.
 
-Outbound   way.py      requests that begin on this machine: route, service, choice, another pilot
-Inbound    entry.py    requests from pilots: gate, key, the upstream beside this one
-Control    beats.py    the upstream's beats
-lighthouse follow.py   the log of changes in; reports and claims out
-pilots     watcher.py  signs of life, to and from the few others that watch this one
+Outbound   egress.py      requests that begin on this machine: route, service, choice, another pilot
+Inbound    ingress.py     requests from pilots: gate, key, the upstream beside this one
+Control    heartbeats.py  the upstream's beats
+lighthouse follow.py      the log of changes in; reports and claims out
+pilots     watcher.py     signs of life, to and from the few others that watch this one
 """
 
 from __future__ import annotations
@@ -25,21 +25,21 @@
 from brackengate.net.server import Server
 from brackengate.net.sockets import Address, SocketBudget
 from brackengate.net.upstream import Pool
-from brackengate.pilot.beats import Beats
-from brackengate.pilot.entry import Entry
-from brackengate.pilot.follow import Following
-from brackengate.pilot.gate import Beat, Gate
-from brackengate.pilot.leaving import LeavePlan
-from brackengate.pilot.reachability import Reachability
-from brackengate.pilot.table import Table
-from brackengate.pilot.verdict import judge, own_judge
-from brackengate.pilot.wake import Wake
-from brackengate.pilot.watcher import Watcher
-from brackengate.pilot.way import WayOut
-from brackengate.signals import settings as files
-from brackengate.signals.door import Readiness, listener
-from brackengate.signals.settings import BadSettings, Settings, plain
-from brackengate.signals.words import Instance, Report
+from brackengate.protocol import settings as files
+from brackengate.protocol.http_api import Readiness, listener
+from brackengate.protocol.messages import Instance, Report
+from brackengate.protocol.settings import BadSettings, Settings, plain
+from brackengate.proxy.admission import Beat, Gate
+from brackengate.proxy.egress import WayOut
+from brackengate.proxy.follow import Following
+from brackengate.proxy.heartbeats import Beats
+from brackengate.proxy.ingress import Entry
+from brackengate.proxy.leaving import LeavePlan
+from brackengate.proxy.reachability import Reachability
+from brackengate.proxy.request_log import Wake
+from brackengate.proxy.routing_table import Table
+from brackengate.proxy.verdict import judge, own_judge
+from brackengate.proxy.watcher import Watcher
 
 log = logging.getLogger("brackengate.pilot")
 
--- a/brackengate/pilot/table.py
+++ b/brackengate/proxy/routing_table.py
@@ -12,8 +12,8 @@
 
 import msgspec
 
-from brackengate.signals.items import Invalid, Item, Part, Plant, Route, plant, route
-from brackengate.signals.words import ITEMS, Instance, Row
+from brackengate.protocol.config_items import Invalid, Item, Part, Plant, Route, plant, route
+from brackengate.protocol.messages import ITEMS, Instance, Row
 
 
 @dataclass(frozen=True, slots=True)
--- a/brackengate/pilot/staged.py
+++ b/brackengate/proxy/staged.py
@@ -7,8 +7,8 @@
 
 from dataclasses import dataclass, field
 
-from brackengate.pilot.table import Prepared, prepared
-from brackengate.signals.words import ITEMS, Row, StagedPosition, StagedRows, StagePiece
+from brackengate.protocol.messages import ITEMS, Row, StagedPosition, StagedRows, StagePiece
+from brackengate.proxy.routing_table import Prepared, prepared
 
 KEPT = 12  # orders that are held at most, so that several can be under way at once; the oldest goes
 
--- a/brackengate/pilot/verdict.py
+++ b/brackengate/proxy/verdict.py
@@ -11,7 +11,7 @@
 from brackengate.http.upstream import Answered
 from brackengate.interface import Outcome
 from brackengate.net.upstream import Result
-from brackengate.pilot.hop import ATTEMPT, SEAL, UNRUN, Said, hop_of
+from brackengate.proxy.hop_headers import ATTEMPT, SEAL, UNRUN, Said, hop_of
 
 PROMISES = frozenset((408, 421, 429, 503))  # to a client they say that its call has not run and never will
 MISDIRECTED = 421
--- a/brackengate/pilot/visit.py
+++ b/brackengate/proxy/visit.py
@@ -13,9 +13,9 @@
 from brackengate.net.http import CallerConnection
 from brackengate.net.node import Reply
 from brackengate.net.upstream import Begun, Job, Result
-from brackengate.pilot.gate import Operation
-from brackengate.pilot.hop import Said, Step
-from brackengate.pilot.load import Ticket
+from brackengate.proxy.admission import Operation
+from brackengate.proxy.hop_headers import Said, Step
+from brackengate.proxy.load import Ticket
 
 
 @dataclass(slots=True, eq=False)
--- a/brackengate/pilot/watcher.py
+++ b/brackengate/proxy/watcher.py
@@ -1,4 +1,7 @@
-"""The carrier of `watch.py`: signs of life as datagrams, and word to the core of those that have stopped."""
+"""The carrier of `failure_detector.py`.
+
+Signs of life as datagrams, and word to the core of those that have stopped.
+"""
 
 from __future__ import annotations
 
@@ -9,8 +12,8 @@
 from typing import Any, cast
 
 from brackengate.net.sockets import Address
-from brackengate.pilot.watch import ASKS, EVERY, Watch
-from brackengate.signals.words import Command, Suspect
+from brackengate.protocol.messages import Command, Suspect
+from brackengate.proxy.failure_detector import ASKS, EVERY, Watch
 
 log = logging.getLogger("brackengate.watch")
 
--- a/brackengate/routing/pools.py
+++ b/brackengate/routing/pools.py
@@ -11,7 +11,7 @@
 from dataclasses import dataclass, replace
 from typing import Any
 
-from brackengate.brain import Balancer
+from brackengate.balancer import Balancer
 from brackengate.cells.owners import Go, Owners, Terms, Turned, Why
 from brackengate.installation.schema import Pool as PoolSettings
 from brackengate.interface import Idempotency, ListKind, Outcome, Request, Settings
--- a/tests/lighthouse/corekit.py
+++ b/tests/control/corekit.py
@@ -19,7 +19,7 @@
 
 import msgspec
 
-from brackengate.lighthouse.actions import (
+from brackengate.control.actions import (
     Action,
     Answer,
     Continue,
@@ -29,12 +29,12 @@
     Store,
     Tell,
 )
-from brackengate.lighthouse.commands import GIVE_UP_AFTER
-from brackengate.lighthouse.failure_detector import LEASE
-from brackengate.lighthouse.replica import FIRST, Replica, StoredState
-from brackengate.lighthouse.store import NAME, open_disk
-from brackengate.signals.words import Command, Line
-from brackengate.soundings.disk import DiskState
+from brackengate.control.commands import GIVE_UP_AFTER
+from brackengate.control.failure_detector import LEASE
+from brackengate.control.replica import FIRST, Replica, StoredState
+from brackengate.control.store import NAME, open_disk
+from brackengate.model_check.disk import DiskState
+from brackengate.protocol.messages import Command, Line
 from standins.mesh import spoil
 
 TICK, NET, SYNC = 50_000, 900, 600
--- a/tests/lighthouse/operators.py
+++ b/tests/control/operators.py
@@ -13,9 +13,9 @@
 
 from corekit import Core, Host
 
-from brackengate.lighthouse.commands import OPERATOR_PATIENCE
-from brackengate.lighthouse.control import answer_to
-from brackengate.signals.words import Amend
+from brackengate.control.commands import OPERATOR_PATIENCE
+from brackengate.control.operator_api import answer_to
+from brackengate.protocol.messages import Amend
 
 PATIENCE = 1_000_000
 PAUSE = 50_000
--- a/tests/lighthouse/test_watchroom.py
+++ b/tests/control/test_admin_commands.py
@@ -9,11 +9,11 @@
 import pytest
 from timeline import play
 
-from brackengate.bridge import figures
-from brackengate.lighthouse import watchroom
-from brackengate.lighthouse.standing import held, standing
-from brackengate.lighthouse.watchroom import Watchroom
-from brackengate.signals.words import Amend, Explain, Followers, Inquire, Look, Result, Seen
+from brackengate.control import admin_commands
+from brackengate.control.admin_commands import Watchroom
+from brackengate.control.status import held, standing
+from brackengate.meshctl import figures
+from brackengate.protocol.messages import Amend, Explain, Followers, Inquire, Look, Result, Seen
 
 PLANT = '{"Apply":{"Plants":[{"Name":"p","Revision":"r%d"}]},"Remove":{"Plants":[%s]}}'
 HOP = {"hop": "out", "at": 1}
@@ -92,7 +92,7 @@
 
 
 def test_pilots_that_are_silent_or_older_hold_nothing_up(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(watchroom, "LOOK_S", 0.0)  # by the time that the loop turns, it is over
+    monkeypatch.setattr(admin_commands, "LOOK_S", 0.0)  # by the time that the loop turns, it is over
 
     async def play() -> None:
         quick, silent, older, gone = (Lines(name) for name in ("quick", "silent", "older", "gone"))
@@ -118,7 +118,7 @@
 
 
 def test_the_last_answer_ends_the_look(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(watchroom, "LOOK_S", 3600.0)
+    monkeypatch.setattr(admin_commands, "LOOK_S", 3600.0)
 
     async def play() -> None:
         one, two, asker = Lines("one"), Lines("two"), Lines("")
--- a/tests/lighthouse/test_ages.py
+++ b/tests/control/test_ages.py
@@ -2,11 +2,11 @@
 
 from __future__ import annotations
 
-from brackengate.lighthouse.ages import MARKS, KeyAges
-from brackengate.lighthouse.log import RECENT, RECENT_PUBLIC, PublicChanges, ReplicaLog
-from brackengate.lighthouse.replica import FIRST, Replica, StoredState
-from brackengate.lighthouse.rows import KEY, CommittedRows, State
-from brackengate.signals.words import Claim, Entry, Report
+from brackengate.control.ages import MARKS, KeyAges
+from brackengate.control.log import RECENT, RECENT_PUBLIC, PublicChanges, ReplicaLog
+from brackengate.control.replica import FIRST, Replica, StoredState
+from brackengate.control.rows import KEY, CommittedRows, State
+from brackengate.protocol.messages import Claim, Entry, Report
 
 S = 1_000_000
 WINDOW = 4 * S
--- a/tests/lighthouse/test_bounded_steps.py
+++ b/tests/control/test_bounded_steps.py
@@ -12,16 +12,16 @@
 from operators import Sent, order, route
 from test_order_timelines import Mesh, S
 
-from brackengate.lighthouse import prepared_rows, rows
-from brackengate.lighthouse.actions import Store
-from brackengate.lighthouse.head_orders import Examining, HeadOrders, Wait
-from brackengate.lighthouse.item_index import ItemIndex
-from brackengate.lighthouse.log import FOLD_AT_ONCE, FOLD_MOST, ReplicaLog
-from brackengate.lighthouse.prepared_rows import MOST_ROWS, SLICE_ROWS, PreparedRows
-from brackengate.lighthouse.rows import State
-from brackengate.signals import items
-from brackengate.signals.items import Item
-from brackengate.signals.words import Amend, Entry, Row
+from brackengate.control import prepared_rows, rows
+from brackengate.control.actions import Store
+from brackengate.control.head_orders import Examining, HeadOrders, Wait
+from brackengate.control.item_index import ItemIndex
+from brackengate.control.log import FOLD_AT_ONCE, FOLD_MOST, ReplicaLog
+from brackengate.control.prepared_rows import MOST_ROWS, SLICE_ROWS, PreparedRows
+from brackengate.control.rows import State
+from brackengate.protocol import config_items
+from brackengate.protocol.config_items import Item
+from brackengate.protocol.messages import Amend, Entry, Row
 
 ROUTES = 1_500
 MS = 1_000
@@ -49,7 +49,7 @@
 
 
 def counting(monkeypatch: pytest.MonkeyPatch, counted: Counter[str]) -> None:
-    read, encode = items._checked, rows._encode
+    read, encode = config_items._checked, rows._encode
 
     def reads(*of: Any) -> Any:
         counted["routes read"] += 1
@@ -59,7 +59,7 @@
         counted["values encoded"] += not isinstance(value, str)
         return encode(value)
 
-    monkeypatch.setattr(items, "_checked", reads)
+    monkeypatch.setattr(config_items, "_checked", reads)
     monkeypatch.setattr(rows, "_encode", encodes)
     monkeypatch.setattr(prepared_rows, "_encode", encodes)
 
@@ -138,7 +138,7 @@
 def test_two_long_orders_are_read_by_turns_and_one_that_cannot_be_read_holds_up_none(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    read, raised = items._checked, Counter[str]()
+    read, raised = config_items._checked, Counter[str]()
 
     def reads(it: Any, host: str) -> Any:
         if it.name == "spoilt0" and not raised["spoilt"]:
@@ -146,7 +146,7 @@
             raise ZeroDivisionError
         return read(it, host)
 
-    monkeypatch.setattr(items, "_checked", reads)
+    monkeypatch.setattr(config_items, "_checked", reads)
     orders = HeadOrders()
     held = ItemIndex.of([(("plant", "p"), Item(1, body={"Name": "p", "Revision": "r1"}))])
     long = {name: order(*(route(f"{name}{n}", 5) for n in range(ROUTES))) for name in ("a", "spoilt", "b")}
--- a/tests/lighthouse/test_commands_pending.py
+++ b/tests/control/test_commands_pending.py
@@ -9,9 +9,8 @@
 import pytest
 from test_order_timelines import Mesh
 
-from brackengate.http.message import Arrival
-from brackengate.lighthouse.actions import Answer
-from brackengate.lighthouse.commands import (
+from brackengate.control.actions import Answer
+from brackengate.control.commands import (
     GIVE_UP_AFTER,
     HOLD_REFUSED,
     MOST_REFUSED,
@@ -21,8 +20,9 @@
     RefusedOrders,
     patience_for,
 )
-from brackengate.lighthouse.control import Control, answer_to
-from brackengate.signals.words import (
+from brackengate.control.operator_api import Control, answer_to
+from brackengate.http.message import Arrival
+from brackengate.protocol.messages import (
     Amend,
     Claim,
     Command,
--- a/tests/lighthouse/test_copies.py
+++ b/tests/control/test_copies.py
@@ -11,13 +11,13 @@
 from corekit import Core, Host
 from timeline import play
 
-from brackengate.lighthouse import log, recent, transfer
-from brackengate.lighthouse.learning import Learner
-from brackengate.lighthouse.replica import FIRST
-from brackengate.lighthouse.rows import KEY, CommittedRows
-from brackengate.lighthouse.transfer import COMPLETE
-from brackengate.signals.words import Amend, Claim, CommandDone, CopyPiece, Line, Member, Unclaim, View
-from brackengate.soundings.disk import DiskState
+from brackengate.control import log, recent, transfer
+from brackengate.control.learning import Learner
+from brackengate.control.replica import FIRST
+from brackengate.control.rows import KEY, CommittedRows
+from brackengate.control.transfer import COMPLETE
+from brackengate.model_check.disk import DiskState
+from brackengate.protocol.messages import Amend, Claim, CommandDone, CopyPiece, Line, Member, Unclaim, View
 
 NAMES = [f"10.0.0.{n}:80" for n in range(1, 6)]
 ROWS = 1_000
--- a/tests/lighthouse/test_core.py
+++ b/tests/control/test_core.py
@@ -12,8 +12,8 @@
 from testtools.matchers import Equals, HasLength
 from timeline import play
 
-from brackengate.lighthouse.replica import FIRST
-from brackengate.signals.words import Amend, Claim, CommandDone, HeldBy, Read
+from brackengate.control.replica import FIRST
+from brackengate.protocol.messages import Amend, Claim, CommandDone, HeldBy, Read
 
 
 class Mending(TestCase):
--- a/tests/lighthouse/test_cut_off.py
+++ b/tests/control/test_cut_off.py
@@ -9,7 +9,7 @@
 from corekit import Core
 from timeline import play
 
-from brackengate.signals.words import Amend, Claim, CommandDone, HeldBy, Read
+from brackengate.protocol.messages import Amend, Claim, CommandDone, HeldBy, Read
 
 KINDS = ("cut", "mute", "deaf", "hold", "holdout", "holdin")
 
--- a/tests/lighthouse/test_disk.py
+++ b/tests/control/test_disk.py
@@ -13,12 +13,12 @@
 import msgspec
 import pytest
 
-from brackengate.lighthouse.actions import Store
-from brackengate.lighthouse.replica import FIRST, StoredState
-from brackengate.lighthouse.role import Lighthouse
-from brackengate.lighthouse.store import ASIDE, NAME, TALLY, Disk, NewerForm, damaged, open_disk
-from brackengate.signals.settings import parse
-from brackengate.signals.words import Member, View
+from brackengate.control.actions import Store
+from brackengate.control.replica import FIRST, StoredState
+from brackengate.control.role import Lighthouse
+from brackengate.control.store import ASIDE, NAME, TALLY, Disk, NewerForm, damaged, open_disk
+from brackengate.protocol.messages import Member, View
+from brackengate.protocol.settings import parse
 
 VIEW = View(2, (Member("a:1", FIRST, 1),))
 OTHERS = (f"{NAME}-wal", ASIDE, f"{ASIDE}-wal")
--- a/tests/lighthouse/test_disk_copies.py
+++ b/tests/control/test_disk_copies.py
@@ -12,16 +12,16 @@
 import pytest
 from test_disk import VIEW, killed, reopened
 
-from brackengate.lighthouse import transfer
-from brackengate.lighthouse.actions import Store
-from brackengate.lighthouse.learning import Learner, keep_committed, take_piece
-from brackengate.lighthouse.log import ReplicaLog
-from brackengate.lighthouse.recent import RecentEntries
-from brackengate.lighthouse.replica import FIRST, Replica, StoredState
-from brackengate.lighthouse.rows import KEY, CommittedRows
-from brackengate.lighthouse.store import NAME, open_disk
-from brackengate.lighthouse.transfer import COMPLETE, next_piece
-from brackengate.signals.words import Entry
+from brackengate.control import transfer
+from brackengate.control.actions import Store
+from brackengate.control.learning import Learner, keep_committed, take_piece
+from brackengate.control.log import ReplicaLog
+from brackengate.control.recent import RecentEntries
+from brackengate.control.replica import FIRST, Replica, StoredState
+from brackengate.control.rows import KEY, CommittedRows
+from brackengate.control.store import NAME, open_disk
+from brackengate.control.transfer import COMPLETE, next_piece
+from brackengate.protocol.messages import Entry
 
 ROWS = 300
 SENT = CommittedRows.of((KEY, f"k{n}", n, ["g", str(n)]) for n in range(1, ROWS + 1))
--- a/tests/lighthouse/test_followers.py
+++ b/tests/control/test_followers.py
@@ -7,13 +7,13 @@
 import msgspec
 import pytest
 
-from brackengate.lighthouse import transfer
-from brackengate.lighthouse.actions import Publish
-from brackengate.lighthouse.follower_connections import FollowerConnections
-from brackengate.lighthouse.follower_messages import MOST_CHANGES, MOST_INDEXES, FollowerMessages
-from brackengate.lighthouse.replica import FIRST, Replica, StoredState
-from brackengate.signals.parts import EncodedMessage, unpacked
-from brackengate.signals.words import (
+from brackengate.control import transfer
+from brackengate.control.actions import Publish
+from brackengate.control.follower_connections import FollowerConnections
+from brackengate.control.follower_messages import MOST_CHANGES, MOST_INDEXES, FollowerMessages
+from brackengate.control.replica import FIRST, Replica, StoredState
+from brackengate.protocol.message_parts import EncodedMessage, unpacked
+from brackengate.protocol.messages import (
     Changes,
     Claim,
     Command,
--- a/tests/lighthouse/test_item_index.py
+++ b/tests/control/test_item_index.py
@@ -8,11 +8,11 @@
 import pytest
 from operators import order, plant, route
 
-from brackengate.lighthouse.commands import DONE, decide
-from brackengate.lighthouse.item_index import ItemIndex
-from brackengate.signals.items import Invalid, Item, Name, read_call
-from brackengate.signals.items import route as parsed
-from brackengate.signals.words import Amend, InvalidOrder
+from brackengate.control.commands import DONE, decide
+from brackengate.control.item_index import ItemIndex
+from brackengate.protocol.config_items import Invalid, Item, Name, read_call
+from brackengate.protocol.config_items import route as parsed
+from brackengate.protocol.messages import Amend, InvalidOrder
 
 MANY = 4_000
 
--- a/tests/lighthouse/test_membership.py
+++ b/tests/control/test_membership.py
@@ -6,14 +6,14 @@
 
 import pytest
 
-from brackengate.lighthouse.actions import Action, Store, Tell
-from brackengate.lighthouse.ballots import NOBODY, ViewChange, quorum
-from brackengate.lighthouse.contact import LogStatus
-from brackengate.lighthouse.failure_detector import FIRST_START, FORGOTTEN, LEASE
-from brackengate.lighthouse.membership import MembershipFacts, next_members
-from brackengate.lighthouse.replica import FIRST, Replica, StoredState
-from brackengate.lighthouse.view import ADMISSION_LAG, Agreement
-from brackengate.signals.words import Accept, Line, Member, Ping, Pong, Prepare, Promise, View
+from brackengate.control.actions import Action, Store, Tell
+from brackengate.control.ballots import NOBODY, ViewChange, quorum
+from brackengate.control.contact import LogStatus
+from brackengate.control.failure_detector import FIRST_START, FORGOTTEN, LEASE
+from brackengate.control.membership import MembershipFacts, next_members
+from brackengate.control.replica import FIRST, Replica, StoredState
+from brackengate.control.view import ADMISSION_LAG, Agreement
+from brackengate.protocol.messages import Accept, Line, Member, Ping, Pong, Prepare, Promise, View
 
 A, B, C, D, E = (Member(name, "i", 1) for name in "ABCDE")
 NEW = Member("N", "n", 2)
--- a/tests/lighthouse/test_order_timelines.py
+++ b/tests/control/test_order_timelines.py
@@ -11,12 +11,12 @@
 from corekit import Core, Host
 from operators import Operator, order, plant, route
 
-from brackengate.lighthouse.actions import Action, Answer, Store, Tell
-from brackengate.lighthouse.chain import Chain
-from brackengate.lighthouse.commands import OPERATOR_PATIENCE
-from brackengate.lighthouse.store import open_disk
-from brackengate.signals.items import Item
-from brackengate.signals.words import Amend, Configuration, Member, Read, Row, Submit, View
+from brackengate.control.actions import Action, Answer, Store, Tell
+from brackengate.control.chain import Chain
+from brackengate.control.commands import OPERATOR_PATIENCE
+from brackengate.control.store import open_disk
+from brackengate.protocol.config_items import Item
+from brackengate.protocol.messages import Amend, Configuration, Member, Read, Row, Submit, View
 
 S = 1_000_000
 OTHER = "900ms"
--- a/tests/lighthouse/test_orders.py
+++ b/tests/control/test_orders.py
@@ -10,11 +10,11 @@
 from testtools import TestCase
 from testtools.matchers import Equals
 
-from brackengate.lighthouse.commands import DONE, HISTORY, decide
-from brackengate.lighthouse.item_index import ItemIndex
-from brackengate.lighthouse.orders import REMEMBERED, History
-from brackengate.signals.items import Item, Name
-from brackengate.signals.words import ITEMS, Amend, ConflictingOrder, InvalidOrder, Row, UndecidedOrder
+from brackengate.control.commands import DONE, HISTORY, decide
+from brackengate.control.item_index import ItemIndex
+from brackengate.control.orders import REMEMBERED, History
+from brackengate.protocol.config_items import Item, Name
+from brackengate.protocol.messages import ITEMS, Amend, ConflictingOrder, InvalidOrder, Row, UndecidedOrder
 
 OTHER = "900ms"
 Kept = dict[Name, tuple[int, object]]
--- a/tests/lighthouse/test_orders_drawn.py
+++ b/tests/control/test_orders_drawn.py
@@ -16,7 +16,7 @@
 from corekit import Core, Host
 from operators import Operator, Sent, order, plant, route
 
-from brackengate.signals.words import Configuration, Read
+from brackengate.protocol.messages import Configuration, Read
 
 S = 1_000_000
 AT_ONCE = 8
--- a/tests/lighthouse/test_second_loss.py
+++ b/tests/control/test_second_loss.py
@@ -9,7 +9,7 @@
 from corekit import Core, Host
 from timeline import play
 
-from brackengate.signals.words import Claim, HeldBy
+from brackengate.protocol.messages import Claim, HeldBy
 
 S = 1_000_000
 
--- a/tests/lighthouse/test_staging.py
+++ b/tests/control/test_staging.py
@@ -12,8 +12,8 @@
 from operators import Sent, order, route
 from test_order_timelines import Mesh, S
 
-from brackengate.lighthouse.head_orders import DELIVER_WITHIN
-from brackengate.lighthouse.staging import (
+from brackengate.control.head_orders import DELIVER_WITHIN
+from brackengate.control.staging import (
     PER_ROW,
     PIECE_BYTES,
     STALLED,
@@ -22,7 +22,7 @@
     by_reference,
     staged_order,
 )
-from brackengate.signals.words import Amend, Row
+from brackengate.protocol.messages import Amend, Row
 
 ROUTES = 400
 MS = 1_000
--- a/tests/lighthouse/timeline.py
+++ b/tests/control/timeline.py
@@ -25,7 +25,7 @@
 
 from corekit import Core, Host
 
-from brackengate.signals.words import Amend, Claim, CommandDone, Configuration, HeldBy, Read, Unclaim
+from brackengate.protocol.messages import Amend, Claim, CommandDone, Configuration, HeldBy, Read, Unclaim
 
 LINKS = ("cut", "mute", "deaf", "hold", "holdout", "holdin")
 
--- a/tests/emulator/test_emulator.py
+++ b/tests/emulator/test_emulator.py
@@ -16,7 +16,7 @@
 from click.testing import CliRunner
 
 from brackengate import interface as api
-from brackengate.brain import Balancer
+from brackengate.balancer import Balancer
 from brackengate.cli import main
 from brackengate.emulator import checks, report, world
 from brackengate.emulator.loop import Loop
--- a/tests/emulator/test_hunt.py
+++ b/tests/emulator/test_hunt.py
@@ -11,7 +11,7 @@
 from test_emulator import EVERYTHING, fault, scenario
 
 from brackengate import interface as api
-from brackengate.brain import Balancer
+from brackengate.balancer import Balancer
 from brackengate.cli import main
 from brackengate.emulator import hunt
 from brackengate.emulator.scenario import faults_of, load
--- a/tests/emulator/test_lab.py
+++ b/tests/emulator/test_lab.py
@@ -50,7 +50,7 @@
 
 def test_a_search_keeps_each_kind_of_breach_shrunk(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
     from brackengate import interface as api
-    from brackengate.brain import Balancer
+    from brackengate.balancer import Balancer
 
     learn = Balancer._learn
 
--- a/tests/emulator/test_mesh_big_orders.py
+++ b/tests/emulator/test_mesh_big_orders.py
@@ -11,6 +11,8 @@
 import pytest
 from test_mesh_lab import MESH, kept
 
+from brackengate.control import staging
+from brackengate.control.role import Lighthouse
 from brackengate.emulator.loop import MS, S
 from brackengate.emulator.mesh import checks, faults
 from brackengate.emulator.mesh.order_troubles import OrderTroubles
@@ -18,12 +20,10 @@
 from brackengate.emulator.mesh.play import Played, summarise
 from brackengate.emulator.mesh.scenario import changed
 from brackengate.emulator.mesh.world import CALM, Machine, World
-from brackengate.lighthouse import staging
-from brackengate.lighthouse.role import Lighthouse
-from brackengate.pilot.currency import Currency
-from brackengate.pilot.role import Pilot
-from brackengate.pilot.way import WayOut
-from brackengate.signals import parts
+from brackengate.protocol import message_parts
+from brackengate.proxy.currency import Currency
+from brackengate.proxy.egress import WayOut
+from brackengate.proxy.role import Pilot
 
 SOON = 400 * MS  # after an acknowledgement
 RANDOM = 'content = "random"'
@@ -157,7 +157,7 @@
 
 def test_without_parts_liveness_waits_behind_bulk(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(staging, "STAGED_BYTES", 1 << 40)
-    monkeypatch.setattr(parts, "LONG", 1 << 40)
+    monkeypatch.setattr(message_parts, "LONG", 1 << 40)
     assert played(content=RANDOM).made.worth < 0.8
 
 
@@ -174,5 +174,5 @@
     monkeypatch.setattr(WayOut, "_route_of", looked_up)
     monkeypatch.setattr(Currency, "current", lambda *_: True)
     monkeypatch.setattr(staging, "STAGED_BYTES", 1 << 40)
-    monkeypatch.setattr(parts, "LONG", 1 << 40)
+    monkeypatch.setattr(message_parts, "LONG", 1 << 40)
     assert "CONFIG" in played(content=RANDOM, routes=3000).made.rules
--- a/tests/emulator/test_mesh_copies.py
+++ b/tests/emulator/test_mesh_copies.py
@@ -5,9 +5,9 @@
 import pytest
 from test_mesh_lab import kept, played
 
-from brackengate.lighthouse import log, transfer
-from brackengate.pilot.copy import PublicCopy
-from brackengate.signals.words import CopyPiece, CopyPosition
+from brackengate.control import log, transfer
+from brackengate.protocol.messages import CopyPiece, CopyPosition
+from brackengate.proxy.copy import PublicCopy
 
 
 @pytest.mark.parametrize("name", ["snapshot-under-way", "lost-claimant"])
--- a/tests/emulator/test_mesh_hard.py
+++ b/tests/emulator/test_mesh_hard.py
@@ -13,16 +13,16 @@
 import pytest
 from test_mesh_lab import MESH, kept, played
 
+from brackengate.control.chain import Chain
+from brackengate.control.role import Lighthouse
+from brackengate.control.view import Agreement
 from brackengate.emulator.mesh import world
 from brackengate.emulator.mesh.play import Played, play
 from brackengate.emulator.mesh.scenario import changed, load
 from brackengate.installation.units import Duration
-from brackengate.lighthouse.chain import Chain
-from brackengate.lighthouse.role import Lighthouse
-from brackengate.lighthouse.view import Agreement
-from brackengate.pilot import keys
-from brackengate.pilot.gate import Gate
-from brackengate.signals.words import CommandDone, HeldBy
+from brackengate.protocol.messages import CommandDone, HeldBy
+from brackengate.proxy import keys
+from brackengate.proxy.admission import Gate
 
 replace = msgspec.structs.replace
 CASES = {
--- a/tests/emulator/test_mesh_lab.py
+++ b/tests/emulator/test_mesh_lab.py
@@ -22,8 +22,8 @@
 from brackengate.emulator.mesh.scenario import Fault, Limits, MeshScenario, changed, faults_of
 from brackengate.installation.reading import BadFile
 from brackengate.installation.units import Duration
-from brackengate.pilot.keys import Keys
-from brackengate.signals.words import CommandDone, HeldBy
+from brackengate.protocol.messages import CommandDone, HeldBy
+from brackengate.proxy.keys import Keys
 
 ROOT = Path(__file__).parent.parent.parent
 MESH = ROOT / "examples" / "lab" / "mesh"
@@ -63,7 +63,7 @@
 
 
 def test_the_roles_do_not_import_the_emulator() -> None:
-    code = "import brackengate.pilot.role, brackengate.lighthouse.role, sys; print(*sys.modules)"
+    code = "import brackengate.proxy.role, brackengate.control.role, sys; print(*sys.modules)"
     done = subprocess.run([sys.executable, "-c", code], cwd=ROOT, capture_output=True, text=True, check=True)
     assert "brackengate.emulator" not in done.stdout
 
--- a/tests/emulator/test_mesh_leases.py
+++ b/tests/emulator/test_mesh_leases.py
@@ -8,13 +8,13 @@
 import pytest
 from test_mesh_lab import MESH
 
+from brackengate.control.failure_detector import LEASE
+from brackengate.control.follower_connections import Follower, FollowerConnections
 from brackengate.emulator.mesh import checks, faults
 from brackengate.emulator.mesh.scenario import changed
 from brackengate.emulator.mesh.world import CALM, World
-from brackengate.lighthouse.failure_detector import LEASE
-from brackengate.lighthouse.follower_connections import Follower, FollowerConnections
-from brackengate.signals.parts import EncodedMessage, unpacked
-from brackengate.signals.words import Away, Core, Line
+from brackengate.protocol.message_parts import EncodedMessage, unpacked
+from brackengate.protocol.messages import Away, Core, Line
 
 S = 1_000_000
 SLACK = 100_000  # a tick, and what is on its way
--- a/tests/emulator/test_mesh_worst_days.py
+++ b/tests/emulator/test_mesh_worst_days.py
@@ -13,14 +13,14 @@
 import pytest
 from test_mesh_lab import FIRST, MESH, S, asked, broken, kept, offers, played, ran, small
 
+from brackengate.control import orders
+from brackengate.control.replica import Replica
+from brackengate.control.role import Lighthouse
 from brackengate.emulator.mesh import checks
 from brackengate.emulator.mesh.hunt import fair, mutated
 from brackengate.emulator.mesh.play import Played, play
 from brackengate.emulator.mesh.scenario import faults_of, load
 from brackengate.installation.units import Duration
-from brackengate.lighthouse import orders
-from brackengate.lighthouse.replica import Replica
-from brackengate.lighthouse.role import Lighthouse
 
 CASES = {
     "replace-unplanned": """
--- a/tests/fleet/test_cold.py
+++ b/tests/fleet/test_cold.py
@@ -15,7 +15,7 @@
 import pytest
 
 from brackengate import interface as api
-from brackengate.brain import Balancer
+from brackengate.balancer import Balancer
 
 S = 1_000_000
 INSTANCES, WARM, SLOTS, WORK = 20, 10, 2, 40_000  # each upstream can do 50 requests a second
--- a/tests/bridge/test_commands.py
+++ b/tests/meshctl/test_commands.py
@@ -5,6 +5,7 @@
 import asyncio
 import json
 import os
+import subprocess
 import sys
 from pathlib import Path
 from typing import Any
@@ -19,7 +20,7 @@
     """Exit code, lines of output, and what was said of errors."""
     asked = [part for one in at for part in ("--at", one)]
     process = await asyncio.create_subprocess_exec(
-        *(sys.executable, "-m", "brackengate.bridge", *args, *asked),
+        *(sys.executable, "-m", "brackengate.meshctl", *args, *asked),
         cwd=ROOT,
         stdout=asyncio.subprocess.PIPE,
         stderr=asyncio.subprocess.PIPE,
@@ -29,6 +30,16 @@
     return process.returncode, out.decode().splitlines(), err.decode()
 
 
+def test_the_older_name_of_the_module_runs_the_same() -> None:
+    runs = [
+        subprocess.run([sys.executable, "-m", name, "--help"], cwd=ROOT, capture_output=True, text=True)
+        for name in ("brackengate.meshctl", "brackengate.bridge")
+    ]
+    new, old = ((run.returncode, run.stdout, run.stderr) for run in runs)
+    assert new[0] == 0 and "Usage: brackengate mesh" in new[1]
+    assert old == new
+
+
 def test_a_mesh_is_looked_at_changed_drained_and_backed_up(tmp_path: Path) -> None:
     async def play() -> None:
         mesh = Mesh(tmp_path, pilots=3, first_port=FIRST_PORT)
--- a/tests/bridge/test_bridge_pure.py
+++ b/tests/meshctl/test_meshctl_pure.py
@@ -9,15 +9,13 @@
 from testtools import ExpectedException, TestCase
 from testtools.matchers import Equals, MatchesRegex
 
-from brackengate.bridge import archive, figures, hops
-from brackengate.bridge.changes import as_call, compare, items_of, sound
+from brackengate.control.item_index import ItemIndex
+from brackengate.control.orders import History, decide
 from brackengate.interface import Outcome, Request
-from brackengate.lighthouse.item_index import ItemIndex
-from brackengate.lighthouse.orders import History, decide
-from brackengate.pilot.hop import Said
-from brackengate.pilot.wake import MOST_OPEN, Wake
-from brackengate.signals.items import read_call
-from brackengate.signals.words import (
+from brackengate.meshctl import archive, figures, hops
+from brackengate.meshctl.changes import as_call, compare, items_of, sound
+from brackengate.protocol.config_items import read_call
+from brackengate.protocol.messages import (
     CommandDone,
     Follows,
     HeldItem,
@@ -27,6 +25,8 @@
     Neighbour,
     Standing,
 )
+from brackengate.proxy.hop_headers import Said
+from brackengate.proxy.request_log import MOST_OPEN, Wake
 
 
 def route(name: str, version: int, prefix: str = "", plant: str = "p") -> dict[str, Any]:
--- a/tests/soundings/test_search.py
+++ b/tests/model_check/test_search.py
@@ -10,10 +10,10 @@
 from click.testing import CliRunner
 
 from brackengate.cli import main
-from brackengate.soundings.chart import draw
-from brackengate.soundings.mistakes import MISTAKES, ORDERS
-from brackengate.soundings.model import Bounds, Model
-from brackengate.soundings.search import Found, Limits, search
+from brackengate.model_check.chart import draw
+from brackengate.model_check.mistakes import MISTAKES, ORDERS
+from brackengate.model_check.model import Bounds, Model
+from brackengate.model_check.search import Found, Limits, search
 
 
 def look(model: Model) -> Found:
--- a/tests/net/peers.py
+++ b/tests/net/peers.py
@@ -13,7 +13,7 @@
 import uvloop
 
 from brackengate import interface as api
-from brackengate.brain import Balancer
+from brackengate.balancer import Balancer
 from brackengate.http.body import ByteBudget
 from brackengate.net.crowd import Crowd
 from brackengate.net.http import Door, Front
--- a/tests/platform/test_siblings.py
+++ b/tests/platform/test_siblings.py
@@ -14,7 +14,7 @@
 from hypothesis import strategies as st
 
 from brackengate import interface as api
-from brackengate.brain import Balancer
+from brackengate.balancer import Balancer
 from brackengate.net.sockets import SocketBudget
 from brackengate.platform.siblings import CALLER_KB, OWN_MB, Sibling, Siblings, part, successor
 
--- a/tests/signals/test_items.py
+++ b/tests/protocol/test_config_items.py
@@ -10,10 +10,10 @@
 from testtools import ExpectedException, TestCase
 from testtools.matchers import Equals
 
-from brackengate.lighthouse.item_index import ItemIndex
-from brackengate.lighthouse.orders import History, decide
-from brackengate.signals.items import Invalid, Item, Name, Order, layout, read_call
-from brackengate.signals.words import CommandDone
+from brackengate.control.item_index import ItemIndex
+from brackengate.control.orders import History, decide
+from brackengate.protocol.config_items import Invalid, Item, Name, Order, layout, read_call
+from brackengate.protocol.messages import CommandDone
 
 PLANT = {"Name": "p", "HealthPath": "/health", "ConnLimit": 110, "Deduplicates": False, "Revision": "r7"}
 ROUTE = {
--- a/tests/signals/test_contents.py
+++ b/tests/protocol/test_contents.py
@@ -8,8 +8,8 @@
 import msgspec
 import pytest
 
-from brackengate.signals.contents import digest
-from brackengate.signals.items import Invalid, Item, read_call
+from brackengate.protocol.config_items import Invalid, Item, read_call
+from brackengate.protocol.contents import digest
 
 P, Q = '{"Plant":"p","Gain":90}', '{"Plant":"q","Gain":10}'
 SPLIT = f"[{P},{Q}]"
--- a/tests/signals/test_signals_door.py
+++ b/tests/protocol/test_http_api.py
@@ -4,7 +4,7 @@
 
 from brackengate.http.body import Body, ByteBudget
 from brackengate.http.message import Arrival
-from brackengate.signals.door import collect
+from brackengate.protocol.http_api import collect
 
 
 def test_a_long_body_is_there_whole_at_its_end_and_nothing_of_it_is_held() -> None:
--- a/tests/signals/test_parts.py
+++ b/tests/protocol/test_message_parts.py
@@ -9,8 +9,8 @@
 import msgspec
 import pytest
 
-from brackengate.signals.lines import Lines
-from brackengate.signals.parts import (
+from brackengate.protocol.json_connection import Lines
+from brackengate.protocol.message_parts import (
     FIRST_WINDOW,
     LEAST_WINDOW,
     LONG,
@@ -23,7 +23,7 @@
     packed,
     unpacked,
 )
-from brackengate.signals.words import Changes, Line, Part, PartReceived, Ping, StagePiece
+from brackengate.protocol.messages import Changes, Line, Part, PartReceived, Ping, StagePiece
 
 ROUTES = 400
 _decode = msgspec.json.Decoder(Line).decode
--- a/tests/signals/test_settings.py
+++ b/tests/protocol/test_settings.py
@@ -8,7 +8,7 @@
 from click.testing import CliRunner
 
 from brackengate.mesh import main
-from brackengate.signals.settings import BadSettings, parse
+from brackengate.protocol.settings import BadSettings, parse
 
 GOOD = """
 Node = "sidecar-1"
--- a/tests/pilot/mistakes.py
+++ b/tests/proxy/mistakes.py
@@ -14,11 +14,11 @@
 from brackengate.net.http import CallerConnection
 from brackengate.net.node import FAILED, Reply
 from brackengate.net.upstream import Result
-from brackengate.pilot import entry, keys, verdict, way
-from brackengate.pilot.gate import State
-from brackengate.pilot.hop import SEAL, Said, passed_on
 from brackengate.policy import retries
 from brackengate.policy.state import Call
+from brackengate.proxy import egress, ingress, keys, verdict
+from brackengate.proxy.admission import State
+from brackengate.proxy.hop_headers import SEAL, Said, passed_on
 
 Judge = Callable[[bytes, Answered], Result]
 Patch = Callable[[], AbstractContextManager[Any]]
@@ -65,7 +65,9 @@
     return judged
 
 
-def _sealed_502(self: way.MeshWords, status: int, retry_after: int, last: Result | None, ran: Any) -> Reply:
+def _sealed_502(
+    self: egress.MeshWords, status: int, retry_after: int, last: Result | None, ran: Any
+) -> Reply:
     """A failure of the proxy's own keeps what the upstream's answer bore."""
     reply = _unserved(self, status, retry_after, last, ran)
     answer = last.answer if last is not None else None
@@ -89,14 +91,14 @@
     self._join(visit, operation)
 
 
-def _ran(self: entry.Entry, visit: Any, result: Result) -> None:
+def _ran(self: ingress.Entry, visit: Any, result: Result) -> None:
     """Lifts the claim of what may have run."""
     if visit.operation is not None and result.outcome is Outcome.RESET:
         result = Result(Outcome.CONNECT_FAILED)
     _true_ran(self, visit, result)
 
 
-def _unclaim(self: entry.Entry, visit: Any, operation: Any, said: Said) -> None:
+def _unclaim(self: ingress.Entry, visit: Any, operation: Any, said: Said) -> None:
     """Says that it has not run, and keeps the claim as one to run under; the try itself too."""
     operation.state = State.UNRUN
     visit.operation = None
@@ -123,8 +125,8 @@
     self.finish(Result(Outcome.CONNECT_FAILED, stale=stale))
 
 
-_own_judge, _judge, _unserved = verdict.own_judge, verdict.judge, way.MeshWords.unserved
-_true_class_of, _true_ran, _true_ended = way._class_of, entry.Entry._ran, UpstreamMachine.ended
+_own_judge, _judge, _unserved = verdict.own_judge, verdict.judge, egress.MeshWords.unserved
+_true_class_of, _true_ran, _true_ended = egress._class_of, ingress.Entry._ran, UpstreamMachine.ended
 _true_retry = retries.Retries._retry
 
 
@@ -138,7 +140,7 @@
         stack = ExitStack()
         stack.enter_context(patch.object(verdict, "own_judge", own))
         stack.enter_context(patch.object(verdict, "judge", back))
-        stack.enter_context(patch.object(way, "judge", back))
+        stack.enter_context(patch.object(egress, "judge", back))
         return stack
 
     return made
@@ -158,17 +160,17 @@
     "no-seal": Mistake("a success without a seal goes back", _both(_no_seal(_own_judge), _no_seal(_judge))),
     "sealed-502": Mistake(
         "a failure of the proxy's own bears an upstream's seal",
-        lambda: patch.object(way.MeshWords, "unserved", _sealed_502),
+        lambda: patch.object(egress.MeshWords, "unserved", _sealed_502),
     ),
     "sent-again": Mistake(
         "what must run once is sent again after its connection broke",
-        lambda: patch.object(way, "_class_of", _class_of),
+        lambda: patch.object(egress, "_class_of", _class_of),
     ),
     "unclaimed": Mistake(
         "a keyed call runs before its key is claimed", lambda: patch.object(keys.Keys, "_claim", _claim)
     ),
     "lifted": Mistake(
-        "the claim of what may have run is lifted", lambda: patch.object(entry.Entry, "_ran", _ran)
+        "the claim of what may have run is lifted", lambda: patch.object(ingress.Entry, "_ran", _ran)
     ),
     "same-connection": Mistake(
         "a call goes again on a connection that refused it", lambda: patch.object(upstream, "NOT_RUN", ())
@@ -197,6 +199,6 @@
     ),
     "no-deadline": Mistake(
         "a call is held past its route's Cutoff",
-        lambda: patch.object(way, "min", lambda one, other: max(one, other) + 1_000_000, create=True),
+        lambda: patch.object(egress, "min", lambda one, other: max(one, other) + 1_000_000, create=True),
     ),
 }
--- a/tests/pilot/pilots.py
+++ b/tests/proxy/pilots.py
@@ -17,14 +17,14 @@
 from brackengate.net.node import Clock
 from brackengate.net.sockets import SocketBudget, bind
 from brackengate.net.upstream import Pool
-from brackengate.pilot.entry import Entry
-from brackengate.pilot.gate import Beat, Gate
-from brackengate.pilot.table import Table
-from brackengate.pilot.verdict import judge, own_judge
-from brackengate.pilot.wake import Wake
-from brackengate.pilot.way import WayOut
-from brackengate.signals.door import listener
-from brackengate.signals.words import CommandDone, HeldBy
+from brackengate.protocol.http_api import listener
+from brackengate.protocol.messages import CommandDone, HeldBy
+from brackengate.proxy.admission import Beat, Gate
+from brackengate.proxy.egress import WayOut
+from brackengate.proxy.ingress import Entry
+from brackengate.proxy.request_log import Wake
+from brackengate.proxy.routing_table import Table
+from brackengate.proxy.verdict import judge, own_judge
 
 LOCAL = "127.0.0.1"
 MS, S = 1_000, 1_000_000
--- a/tests/pilot/test_big_change.py
+++ b/tests/proxy/test_big_change.py
@@ -2,8 +2,8 @@
 
 from __future__ import annotations
 
-from brackengate.signals.lines import encoded
-from brackengate.signals.words import Changes, Row
+from brackengate.protocol.json_connection import encoded
+from brackengate.protocol.messages import Changes, Row
 
 ROUTES = 1_520  # in one order
 MOST_BYTES = 125_000  # half a second of a link of 2 Mbit/s, which requests share
--- a/tests/pilot/test_currency.py
+++ b/tests/proxy/test_currency.py
@@ -9,8 +9,8 @@
 from peers import run
 from pilots import Mesh, Upstream, answers, ask
 
-from brackengate.pilot.currency import NEVER, ClockOffset, Currency
-from brackengate.pilot.unrouted import HOLD_S
+from brackengate.proxy.currency import NEVER, ClockOffset, Currency
+from brackengate.proxy.unrouted import HOLD_S
 
 MS, S = 1_000, 1_000_000
 
--- a/tests/pilot/test_deciders.py
+++ b/tests/proxy/test_deciders.py
@@ -9,14 +9,14 @@
 from brackengate.interface import Earlier, Endpoint, Outcome
 from brackengate.net.node import FAILED, OVERDUE, REFUSED
 from brackengate.net.upstream import Result
-from brackengate.pilot.follow import order
-from brackengate.pilot.gate import Beat, Gate, Operations, State
-from brackengate.pilot.hop import HOP, Said, Step, step_of
-from brackengate.pilot.load import Load
-from brackengate.pilot.table import Table, choose, host_of
-from brackengate.pilot.way import MeshWords
-from brackengate.signals.items import Part
-from brackengate.signals.words import Instance
+from brackengate.protocol.config_items import Part
+from brackengate.protocol.messages import Instance
+from brackengate.proxy.admission import Beat, Gate, Operations, State
+from brackengate.proxy.egress import MeshWords
+from brackengate.proxy.follow import order
+from brackengate.proxy.hop_headers import HOP, Said, Step, step_of
+from brackengate.proxy.load import Load
+from brackengate.proxy.routing_table import Table, choose, host_of
 
 MS, S = 1_000, 1_000_000
 
--- a/tests/pilot/test_watch.py
+++ b/tests/proxy/test_failure_detector.py
@@ -9,10 +9,10 @@
 from testtools.matchers import Equals, GreaterThan, LessThan
 
 from brackengate import interface as api
-from brackengate.brain import Balancer
-from brackengate.pilot import watch as watching
-from brackengate.pilot.budget import ration
-from brackengate.pilot.watch import ASKS, Watch, named
+from brackengate.balancer import Balancer
+from brackengate.proxy import failure_detector as watching
+from brackengate.proxy.budget import ration
+from brackengate.proxy.failure_detector import ASKS, Watch, named
 
 MS, S = 1_000, 1_000_000
 
--- a/tests/pilot/test_follower_copy.py
+++ b/tests/proxy/test_follower_copy.py
@@ -6,12 +6,12 @@
 
 import pytest
 
-from brackengate.lighthouse import transfer
-from brackengate.lighthouse.log import ReplicaLog
-from brackengate.lighthouse.transfer import NOTHING, Differs, next_piece
-from brackengate.pilot.copy import PublicCopy
-from brackengate.pilot.table import Table
-from brackengate.signals.words import CopyPiece, CopyRequest, Entry
+from brackengate.control import transfer
+from brackengate.control.log import ReplicaLog
+from brackengate.control.transfer import NOTHING, Differs, next_piece
+from brackengate.protocol.messages import CopyPiece, CopyRequest, Entry
+from brackengate.proxy.copy import PublicCopy
+from brackengate.proxy.routing_table import Table
 
 ITEMS = 60
 
--- a/tests/pilot/test_entry.py
+++ b/tests/proxy/test_ingress.py
@@ -18,11 +18,11 @@
 from brackengate.interface import Outcome
 from brackengate.net.node import Reply
 from brackengate.net.upstream import Result
-from brackengate.pilot.entry import Entry
-from brackengate.pilot.gate import Beat, Gate, Operations, State
-from brackengate.pilot.hop import HOP, Said, Step, passed_on
-from brackengate.pilot.verdict import own_judge
-from brackengate.signals.words import Claim, CommandDone, HeldBy, InvalidOrder, Unclaim
+from brackengate.protocol.messages import Claim, CommandDone, HeldBy, InvalidOrder, Unclaim
+from brackengate.proxy.admission import Beat, Gate, Operations, State
+from brackengate.proxy.hop_headers import HOP, Said, Step, passed_on
+from brackengate.proxy.ingress import Entry
+from brackengate.proxy.verdict import own_judge
 
 S = 1_000_000
 SEAL = b"x-brackengate-server-seal"
--- a/tests/pilot/test_reachability.py
+++ b/tests/proxy/test_reachability.py
@@ -8,8 +8,8 @@
 import pytest
 from peers import run
 
-from brackengate.pilot import reachability
-from brackengate.pilot.reachability import Reachability
+from brackengate.proxy import reachability
+from brackengate.proxy.reachability import Reachability
 
 LOCAL = "127.0.0.1"
 
--- a/tests/pilot/test_table_indexes.py
+++ b/tests/proxy/test_routing_table_indexes.py
@@ -5,8 +5,8 @@
 import random
 import time
 
-from brackengate.pilot.table import Table
-from brackengate.signals.words import Instance, Row
+from brackengate.protocol.messages import Instance, Row
+from brackengate.proxy.routing_table import Table
 
 MANY = 4_000
 
--- a/tests/pilot/test_staged.py
+++ b/tests/proxy/test_staged.py
@@ -11,17 +11,10 @@
 import pytest
 from peers import run
 
-from brackengate.lighthouse import transfer
-from brackengate.lighthouse.log import ReplicaLog
-from brackengate.lighthouse.transfer import NOTHING
-from brackengate.pilot import follow
-from brackengate.pilot.apply_queue import SLICE, ApplyQueue
-from brackengate.pilot.follow import Following
-from brackengate.pilot.gate import Gate
-from brackengate.pilot.role import Pilot
-from brackengate.pilot.staged import KEPT, NotHeld, StagedStore
-from brackengate.pilot.table import Table
-from brackengate.signals.words import (
+from brackengate.control import transfer
+from brackengate.control.log import ReplicaLog
+from brackengate.control.transfer import NOTHING
+from brackengate.protocol.messages import (
     Beat,
     Changes,
     CopyPiece,
@@ -36,6 +29,13 @@
     StagePiece,
     StageRequest,
 )
+from brackengate.proxy import follow
+from brackengate.proxy.admission import Gate
+from brackengate.proxy.apply_queue import SLICE, ApplyQueue
+from brackengate.proxy.follow import Following
+from brackengate.proxy.role import Pilot
+from brackengate.proxy.routing_table import Table
+from brackengate.proxy.staged import KEPT, NotHeld, StagedStore
 
 ROUTES = 2_000
 PLAYED_S = 5.0
--- a/tests/scale/test_slopes.py
+++ b/tests/scale/test_slopes.py
@@ -18,8 +18,8 @@
 )
 from benchmarks.scale.units import pieces, public_rows, take
 from benchmarks.scale.usage import Wire, of_replica, parse_connections, since
-from brackengate.lighthouse.recent import RecentEntries
-from brackengate.lighthouse.rows import CommittedRows
+from brackengate.control.recent import RecentEntries
+from brackengate.control.rows import CommittedRows
 
 SAID_BY_SS = """\
 ESTAB 0      0      127.0.0.1:50001    127.40.1.1:19405 users:(("python",pid=11,fd=9))
--- a/tests/test_mechanism.py
+++ b/tests/test_mechanism.py
@@ -3,7 +3,7 @@
 from world import SAFE, World, probes, rows, sends
 
 from brackengate import interface as api
-from brackengate.brain import Balancer
+from brackengate.balancer import Balancer
 
 OK, BROKE = api.Outcome.OK, api.Outcome.CONNECT_FAILED
 
--- a/tests/test_project.py
+++ b/tests/test_project.py
@@ -7,7 +7,7 @@
 ROOT = Path(__file__).parent.parent
 LISTED = tomllib.loads((ROOT / "deploy" / "balancer.toml").read_text())["policy"]
 POLICY = {name: (ROOT / name).read_text() for name in LISTED}
-BRAIN = POLICY["brackengate/brain.py"]
+BRAIN = POLICY["brackengate/balancer.py"]
 
 
 def test_module_size():
@@ -19,7 +19,7 @@
 
 def test_every_file_of_the_module_is_listed_once():
     files = (ROOT / "brackengate" / "policy").rglob("*.py")
-    assert sorted(LISTED) == sorted(["brackengate/brain.py", *(str(f.relative_to(ROOT)) for f in files)])
+    assert sorted(LISTED) == sorted(["brackengate/balancer.py", *(str(f.relative_to(ROOT)) for f in files)])
 
 
 def test_module_names_its_interface_at_the_top():
--- a/tests/test_wire.py
+++ b/tests/test_wire.py
@@ -5,7 +5,7 @@
 
 import pytest
 
-from brackengate import brain
+from brackengate import balancer
 from brackengate import interface as api
 from brackengate.platform import adapter, wire
 
@@ -110,7 +110,7 @@
     def broken(self, now, event):
         raise IndexError("index out of range")
 
-    monkeypatch.setattr(brain.Balancer, "handle", broken)
+    monkeypatch.setattr(balancer.Balancer, "handle", broken)
     code, out, errors = play(batch(OPEN, LIST))
     assert code == 0
     assert out == "on_behalf 0\nfatal IndexError: index out of range\nend 1\n"
--- a/tests/world.py
+++ b/tests/world.py
@@ -6,7 +6,7 @@
 from typing import Any
 
 from brackengate import interface as api
-from brackengate.brain import Balancer
+from brackengate.balancer import Balancer
 
 SAFE = api.RequestClass("read", 500_000, 1_000_000, api.Idempotency.REPEATABLE)
 ONCE = api.RequestClass("buy", 500_000, 1_000_000, api.Idempotency.UNSAFE)
