--- a/benchmarks/queues.py
+++ b/benchmarks/queues.py
@@ -31,7 +31,7 @@
 from standins.clients import Clients, Kind, Repeat
 
 SECTION = '\n[queues]\nmode = "{mode}"\n'
-TERMS = {cls.name: ClassTerms(cls.aim, cls.worth) for cls in CLASSES}
+TERMS = {cls.name: ClassTerms(cls.target_latency, cls.value) for cls in CLASSES}
 
 
 def request(seconds: float, rounds: int, connections: int) -> None:
--- a/brackengate/brain.py
+++ b/brackengate/brain.py
@@ -23,16 +23,16 @@
         super().__init__(settings, seed)
         self.handlers: dict[type, Any] = {
             api.Request: self._on_request,
-            api.RequestWhole: self._on_whole,
+            api.RequestBodyComplete: self._on_whole,
             api.AnswerStarted: self._on_answer,
             api.AttemptEnded: self._on_attempt,
             api.ProbeEnded: self._on_probe,
             api.TimerFired: self._on_timer,
             api.UpstreamList: self._on_list,
             api.Classes: lambda event: self._use(event.classes),
-            api.ClassesChanged: lambda event: self._change_classes(event.changed, event.gone),
-            api.Ration: self._on_ration,
-            api.Standing: self._on_standing,
+            api.ClassesChanged: lambda event: self._change_classes(event.changed, event.removed),
+            api.RetryBudget: self._on_ration,
+            api.UpstreamHealth: self._on_standing,
             api.ClientGone: lambda event: self._end(self.calls.get(event.request), None),
         }
 
--- a/brackengate/emulator/door.py
+++ b/brackengate/emulator/door.py
@@ -30,9 +30,9 @@
 
 WAY_US = 500  # one way over the network
 SOCKETS = 1 << 16
-READ = api.RequestClass("pregled", 410 * MS, S, api.Idempotency.REPEATABLE, worth=1.0)
-BID = api.RequestClass("ponudba", 410 * MS, S, api.Idempotency.KEYED, api.KeyScope.ALL, 4 * S, worth=8.0)
-BUY = api.RequestClass("takoj-kupi", 410 * MS, S, api.Idempotency.UNSAFE, worth=8.0)
+READ = api.RequestClass("pregled", 410 * MS, S, api.Idempotency.REPEATABLE, value=1.0)
+BID = api.RequestClass("ponudba", 410 * MS, S, api.Idempotency.KEYED, api.KeyScope.ALL, 4 * S, value=8.0)
+BUY = api.RequestClass("takoj-kupi", 410 * MS, S, api.Idempotency.UNSAFE, value=8.0)
 CLASSES = (READ, BID, BUY)
 
 
@@ -245,7 +245,7 @@
         if what == "ok":
             record.served += 1
             record.took.append(took)
-            record.in_aim += took <= one.cls.aim
+            record.in_aim += took <= one.cls.target_latency
             record.work += one.work
             record.kept += one.invited
             return
--- a/brackengate/installation/settings.py
+++ b/brackengate/installation/settings.py
@@ -33,13 +33,13 @@
         classes=tuple(
             api.RequestClass(
                 name=name,
-                aim=int(cls.aim),
+                target_latency=int(cls.aim),
                 deadline=int(cls.deadline),
                 idempotency=REPEATS[cls.repeats],
                 key_scope=api.KeyScope(cls.key_scope),
                 key_memory=int(cls.key_memory),
-                worth=cls.worth,
-                late_worth=cls.late_worth,
+                value=cls.worth,
+                late_value=cls.late_worth,
             )
             for name, cls in file.class_.items()
         ),
@@ -57,7 +57,7 @@
         connect_timeout=int(limits.connect_timeout),
         idle_close=int(limits.idle_close),
         max_retry_after=int(limits.max_retry_after),
-        over_share_worth=limits.over_quota_worth,
+        over_quota_value=limits.over_quota_worth,
     )
 
 
--- a/brackengate/interface.py
+++ b/brackengate/interface.py
@@ -61,14 +61,14 @@
 @dataclass(frozen=True, slots=True)
 class RequestClass:
     name: str
-    aim: int  # an answer within this time earns its full worth
+    target_latency: int  # an answer within this time earns its full worth
     deadline: int  # how long a client waits in all, over every try
     idempotency: Idempotency = Idempotency.UNSAFE
     key_scope: KeyScope = KeyScope.ALL
     key_memory: int = 0  # how long repeats of a keyed request are discarded
-    worth: float = 1.0
-    late_worth: float = 0.0  # share of the worth an answer earns between aim and deadline
-    aim_stretch: float = 0.0  # the aim grows by this multiple of the request's own work
+    value: float = 1.0
+    late_value: float = 0.0  # share of the worth an answer earns between aim and deadline
+    target_stretch: float = 0.0  # the aim grows by this multiple of the request's own work
     stream: bool = False
     max_attempts: int = 0  # 0 = as the settings say
 
@@ -90,7 +90,7 @@
     marks_retry: bool = False  # clients mark repeats, so an unmarked request is a first try
     passes_deadline: bool = True  # calls carry the time their caller has left
     list_on_request: bool = False  # the list must be watched or fetched
-    ask_within: int = 10_000_000  # unasked for this long counts as told what is listed
+    list_max_age: int = 10_000_000  # unasked for this long counts as told what is listed
     release_within: int = 0  # idle connections to a leaving upstream close within this; 0 = no such rule
     cold_share: float = 0.1
     cold_time: int = 30_000_000
@@ -101,14 +101,16 @@
     connect_timeout: int = 250_000
     idle_close: int = 60_000_000  # idle connections are closed after this
     max_retry_after: int = 0  # the longest advice a client follows; 0 = none reaches it
-    over_share_worth: float = 1.0
+    over_quota_value: float = 1.0
     probe_price: float = 0.0  # points for each probe, as a share of one request's worth
-    holds: bool = True  # False: what no upstream may take now goes to the least bad one, or ends
-    free_unsent: bool = False  # True: attempts that reached no upstream count for nothing, up to 8 in all
+    wait_for_upstream: bool = True  # False: what no upstream may take now goes to the least bad one, or ends
+    unsent_attempts_free: bool = (
+        False  # True: attempts that reached no upstream count for nothing, up to 8 in all
+    )
     retry_share: float = 0.2  # retries a call earns: a storm adds at most this much to the load
     retry_burst: float = 5.0  # retries that may be saved up
     retry_start: float = 5.0  # of these at the start: what an earlier process spent is not known
-    one_round: bool = False  # True: it ends once all that serve turned it away, or too little time is left
+    fail_fast: bool = False  # True: it ends once all that serve turned it away, or too little time is left
 
 
 # --- events ---------------------------------------------------------------------------------
@@ -141,18 +143,18 @@
     kind: ListKind
     endpoints: tuple[Endpoint, ...] = ()
     version: int = 0
-    last: bool = False  # no upstream will come any more: what waits for one is ended
+    final: bool = False  # no upstream will come any more: what waits for one is ended
 
 
 @dataclass(frozen=True, slots=True)
-class Earlier:
+class EarlierAttempt:
     """An attempt of a request that came before under the same key, and may have run."""
 
-    row: Endpoint
-    sent: int
+    endpoint: Endpoint
+    sent_at: int
 
     @classmethod
-    def somewhere(cls, at: int) -> Earlier:
+    def at_unknown_upstream(cls, at: int) -> EarlierAttempt:
         """It is not known where: in no zone and no cell."""
         return cls(Endpoint("", cell=-1), at)
 
@@ -167,12 +169,12 @@
     is_retry: bool = False
     is_write: bool = False
     work_hint: int = 0  # 0 = none
-    earlier: tuple[Earlier, ...] = ()  # as if they were attempts of its own
-    whole: bool = True  # False: its body is still coming; the deadline is as if it ended now
+    earlier: tuple[EarlierAttempt, ...] = ()  # as if they were attempts of its own
+    body_complete: bool = True  # False: its body is still coming; the deadline is as if it ended now
 
 
 @dataclass(slots=True)
-class RequestWhole:
+class RequestBodyComplete:
     """The last byte of a request's body has come: its deadline counts from here."""
 
     request: str
@@ -198,8 +200,12 @@
     latency: int = 0
     request_ended: bool = False
     load: LoadReport | None = None
-    stale: bool = False  # lost with a connection that had stood idle: tells nothing of the upstream
-    again: bool = True  # False: what was sent of the body is no longer held, so no attempt can follow
+    stale_connection: bool = (
+        False  # lost with a connection that had stood idle: tells nothing of the upstream
+    )
+    body_replayable: bool = (
+        True  # False: what was sent of the body is no longer held, so no attempt can follow
+    )
 
 
 @dataclass(slots=True)
@@ -232,11 +238,11 @@
     """Some classes of the table are new or other than before, some are gone; the rest stay."""
 
     changed: tuple[RequestClass, ...]
-    gone: tuple[str, ...] = ()  # by name
+    removed: tuple[str, ...] = ()  # by name
 
 
 @dataclass(slots=True)
-class Ration:
+class RetryBudget:
     """What retries may cost from here on, where a budget is shared and its part has changed."""
 
     share: float  # retries that a call earns
@@ -244,11 +250,11 @@
 
 
 @dataclass(slots=True)
-class Standing:
+class UpstreamHealth:
     """What others say of an upstream: nobody there answers, or it stands again (or anew)."""
 
     upstream: str
-    up: bool
+    healthy: bool
 
 
 @dataclass(slots=True)
@@ -260,7 +266,7 @@
 Event = (
     UpstreamList
     | Request
-    | RequestWhole
+    | RequestBodyComplete
     | AnswerStarted
     | AttemptEnded
     | ClientGone
@@ -268,8 +274,8 @@
     | ProbeEnded
     | Classes
     | ClassesChanged
-    | Ration
-    | Standing
+    | RetryBudget
+    | UpstreamHealth
     | PeerMessage
 )
 
--- a/brackengate/net/node.py
+++ b/brackengate/net/node.py
@@ -19,7 +19,7 @@
     AttemptEnded,
     CancelAttempt,
     ClientGone,
-    Earlier,
+    EarlierAttempt,
     Endpoint,
     Event,
     Fail,
@@ -31,7 +31,7 @@
     Refuse,
     Release,
     Request,
-    RequestWhole,
+    RequestBodyComplete,
     Send,
     SetTimer,
     Settings,
@@ -76,7 +76,7 @@
     body: bytes = b""
     content_type: bytes = b""
     retry_after: int = 0  # microseconds; 0: nothing is said
-    ran: Sequence[Earlier] = ()  # of one that was not served: where an upstream may have executed it
+    ran: Sequence[EarlierAttempt] = ()  # of one that was not served: where an upstream may have executed it
     extra: bytes = b""  # whole header lines
     stream: AnswerStream | None = None  # what follows `body`, for a caller that sets its `sink`
 
@@ -137,7 +137,9 @@
     def begins(self, head: Answered) -> Reply:
         """Of a long answer, with the first bytes of its body."""
 
-    def unserved(self, status: int, retry_after: int, last: Result | None, ran: Sequence[Earlier]) -> Reply:
+    def unserved(
+        self, status: int, retry_after: int, last: Result | None, ran: Sequence[EarlierAttempt]
+    ) -> Reply:
         """`last`: the last whole answer that was no success, where there was one."""
 
 
@@ -148,7 +150,9 @@
     def begins(self, head: Answered) -> Reply:
         return Reply(200, head.body, head.fields.get(b"content-type", b""))
 
-    def unserved(self, status: int, retry_after: int, last: Result | None, ran: Sequence[Earlier]) -> Reply:
+    def unserved(
+        self, status: int, retry_after: int, last: Result | None, ran: Sequence[EarlierAttempt]
+    ) -> Reply:
         return Reply(status, retry_after=retry_after, ran=ran)
 
 
@@ -186,9 +190,9 @@
         stream = self.message.stream
         return stream is not None and not stream.whole
 
-    def ran(self) -> list[Earlier]:
+    def ran(self) -> list[EarlierAttempt]:
         """Where it may have run, with what its request said of earlier ones."""
-        mine = [Earlier(a.row, a.sent) for a in self.attempts if a.outcome not in NEVER_RAN]
+        mine = [EarlierAttempt(a.row, a.sent) for a in self.attempts if a.outcome not in NEVER_RAN]
         return [*self.request.earlier, *mine]
 
 
@@ -270,7 +274,7 @@
         if stream is not None:
             stream.on_end = partial(self._body_ended, exchange)
         if exchange.open:
-            request.whole = False
+            request.body_complete = False
         else:
             self._taken(exchange, now)
         self._post(request, now)
@@ -300,7 +304,7 @@
             if attempt.job is not None:
                 timed_out = partial(self._attempt_timed_out, attempt)
                 attempt.timer = self._alarms.at(exchange.deadline, timed_out, now)
-        self._post(RequestWhole(exchange.id, exchange.deadline))
+        self._post(RequestBodyComplete(exchange.id, exchange.deadline))
 
     def gone(self, request: str, caller: Caller) -> None:
         """The caller has closed its connection: nobody awaits the answer any more."""
@@ -344,7 +348,7 @@
         """
         for name in list(self._addresses):
             self._drop(name)
-        self._post(UpstreamList(ListKind.FULL, last=True))
+        self._post(UpstreamList(ListKind.FULL, final=True))
 
     def _drop(self, name: str) -> None:
         self._addresses.pop(name, None)
--- a/brackengate/pilot/budget.py
+++ b/brackengate/pilot/budget.py
@@ -14,12 +14,12 @@
 
 from __future__ import annotations
 
-from brackengate.interface import Ration
+from brackengate.interface import RetryBudget
 
 OWN_PART = 0.4  # of ratio and slack; what is left bears one call and a half in each repeated run
 
 
-def ration(ratio: float, slack: float, pilots: int) -> Ration:
+def ration(ratio: float, slack: float, pilots: int) -> RetryBudget:
     """`pilots`: known by now, this one included.  If twice as many come before the news of them, what they
     save up together is still within the slack."""
-    return Ration(OWN_PART * ratio, OWN_PART * slack / max(1, pilots))
+    return RetryBudget(OWN_PART * ratio, OWN_PART * slack / max(1, pilots))
--- a/brackengate/pilot/way.py
+++ b/brackengate/pilot/way.py
@@ -16,7 +16,7 @@
 from brackengate.http.upstream import Answered
 from brackengate.interface import (
     ClassesChanged,
-    Earlier,
+    EarlierAttempt,
     Endpoint,
     Idempotency,
     Lifecycle,
@@ -24,7 +24,7 @@
     Request,
     RequestClass,
     Settings,
-    Standing,
+    UpstreamHealth,
 )
 from brackengate.net.ground import Wire
 from brackengate.net.http import CallerConnection
@@ -89,7 +89,9 @@
     def begins(self, head: Answered) -> Reply:
         return passed_on(head)
 
-    def unserved(self, status: int, retry_after: int, last: Result | None, ran: Sequence[Earlier]) -> Reply:
+    def unserved(
+        self, status: int, retry_after: int, last: Result | None, ran: Sequence[EarlierAttempt]
+    ) -> Reply:
         answer = last.answer if last is not None else None
         if answer is not None and hop_of(answer.fields) is Said.RAN and status != OVERDUE:
             return passed_on(answer)
@@ -139,9 +141,9 @@
             cold_time=COLD_TIME,
             max_attempts=MOST_TRIES,  # of any kind; a route says how many may reach an upstream
             retry_start=0.0,
-            holds=False,
-            free_unsent=True,
-            one_round=True,
+            wait_for_upstream=False,
+            unsent_attempts_free=True,
+            fail_fast=True,
             connect_timeout=200_000,
             max_retry_after=RETRY_AFTER,
         )
@@ -175,12 +177,12 @@
         before, self._pilots = self._pilots, {instance.id: instance.pilot for _, instance, _ in rows}
         for id_, life in self._pilots.items():
             if before.get(id_, life) != life:  # a new process: what had failed was the one before it
-                self.node.told(Standing(id_, True))
+                self.node.told(UpstreamHealth(id_, True))
 
     def standing(self, address: Address, up: bool) -> None:
         """What its watchers say of a machine."""
         for id_ in [id_ for id_, at in self.pool.wanted.items() if at == address]:
-            self.node.told(Standing(id_, up))
+            self.node.told(UpstreamHealth(id_, up))
 
     def change_classes(self, changed: dict[str, RequestClass], gone: set[str]) -> None:
         for name in gone:
@@ -362,4 +364,4 @@
     kind = Idempotency.REPEATABLE if route.kind == "idempotent" else Idempotency.UNSAFE
     aim = min(route.setpoint, route.cutoff)
     longest = route.cutoff + END_SLACK
-    return RequestClass(route.name, aim, longest, kind, late_worth=0.3, max_attempts=route.attempts)
+    return RequestClass(route.name, aim, longest, kind, late_value=0.3, max_attempts=route.attempts)
--- a/brackengate/platform/wire.py
+++ b/brackengate/platform/wire.py
@@ -86,14 +86,14 @@
     classes = tuple(
         RequestClass(
             name=str(c["Name"]),
-            aim=int(c.get("AimUs", c.get("DeadlineUs", 1_000_000))),
+            target_latency=int(c.get("AimUs", c.get("DeadlineUs", 1_000_000))),
             deadline=int(c.get("DeadlineUs", 1_000_000)),
             idempotency=EFFECTS.get(str(c.get("Idempotency")), Idempotency.UNSAFE),
             key_scope=SCOPES.get(str(c.get("KeyScope")), KeyScope.CELL),
             key_memory=int(c.get("MemorySpanUs") or 0),
-            worth=float(c.get("Gain", 1.0)),
-            late_worth=float(c.get("LateShare") or 0.0),
-            aim_stretch=float(c.get("AimStretch") or 0.0),
+            value=float(c.get("Gain", 1.0)),
+            late_value=float(c.get("LateShare") or 0.0),
+            target_stretch=float(c.get("AimStretch") or 0.0),
             stream=bool(c.get("Stream", False)),
         )
         for c in env.get("Classes") or ()
@@ -111,7 +111,7 @@
         marks_retry=bool((env.get("Callers") or {}).get("MarksRetry", False)),
         passes_deadline=bool((env.get("FamilyInfo") or {}).get("PassesDeadline", True)),
         list_on_request=env.get("Discovery") == "on_request",
-        ask_within=int(rules.get("AskWithinUs") or 10_000_000),
+        list_max_age=int(rules.get("AskWithinUs") or 10_000_000),
         release_within=int(rules.get("ReleaseWithinUs") or 0),
         cold_share=float(rules.get("ColdShare", 0.1)),
         cold_time=int(rules.get("ColdUs", 30_000_000)) or 1,  # untold: cold for long
@@ -122,7 +122,7 @@
         connect_timeout=int(limits.get("ConnectTimeoutUs") or 250_000),
         idle_close=int(limits.get("IdleCloseUs") or 60_000_000),
         max_retry_after=int(limits.get("MaxRetryAfterUs") or 0) if limits.get("RetryAfter") else 0,
-        over_share_worth=float(env.get("OverShareWorth", 1.0)),
+        over_quota_value=float(env.get("OverShareWorth", 1.0)),
         probe_price=float(prices.get("Probe") or 0.0),
     )
 
--- a/brackengate/policy/arrivals.py
+++ b/brackengate/policy/arrivals.py
@@ -24,24 +24,26 @@
         cls = self.classes.get(event.class_name) or api.RequestClass(event.class_name, left, left)
         aim_by = answer_by = event.deadline - self.settings.resolution
         if self.uncut:  # else the aim is in the deadline
-            aim = min(cls.aim + int(cls.aim_stretch * event.work_hint), cls.deadline)
+            aim = min(cls.target_latency + int(cls.target_stretch * event.work_hint), cls.deadline)
             recent = self.time_left.setdefault(cls.name, deque(maxlen=USUAL_OF))
             recent.append(left)
             usual = sorted(recent)[int(USUAL_RANK * len(recent))]
             unusual = abs(left - usual) > USUAL_BAND * usual and not self.settings.marks_retry
             spent = cls.deadline - left if event.is_retry or unusual else 0  # a last try has all that is left
             aim_by = min(answer_by, self.now + aim - spent - int(AIM_MARGIN * aim))
-        answer_by = aim_by if cls.late_worth <= 0 and not cls.stream else answer_by
-        quota, worth = self.quotas.get(event.tenant, 0.0), cls.worth
+        answer_by = aim_by if cls.late_value <= 0 and not cls.stream else answer_by
+        quota, worth = self.quotas.get(event.tenant, 0.0), cls.value
         if quota > 0:  # only of tenants that the settings name: what callers name has no end
             saved, then = self.shares.get(event.tenant, (SHARE_BURST, self.now))
             saved = min(SHARE_BURST, saved + quota * (self.now - then))
-            worth *= self.settings.over_share_worth if saved < 1 else 1.0  # as far as this copy can tell
+            worth *= self.settings.over_quota_value if saved < 1 else 1.0  # as far as this copy can tell
             self.shares[event.tenant] = (max(0.0, saved - 1), self.now)
-        call = Call(event.request, cls, answer_by, aim_by, worth, max(1, event.work_hint or cls.aim))
-        call.earlier, call.whole = event.earlier, event.whole
+        call = Call(
+            event.request, cls, answer_by, aim_by, worth, max(1, event.work_hint or cls.target_latency)
+        )
+        call.earlier, call.whole = event.earlier, event.body_complete
         call.most = cls.max_attempts or self.settings.max_attempts
-        if self.settings.free_unsent:
+        if self.settings.unsent_attempts_free:
             call.most = min(call.most, MOST_TRIES)
         if not call.whole:
             call.answer_by = call.aim_by = self.now + OPEN_WAIT
@@ -52,15 +54,15 @@
         else:
             self._place(call)
 
-    def _on_whole(self, event: api.RequestWhole) -> None:
+    def _on_whole(self, event: api.RequestBodyComplete) -> None:
         """Its body has come: what is out can run from here on, and its time begins."""
         call = self.calls.get(event.request)
         if call is None or call.whole:
             return
         call.whole = True
         call.aim_by = call.answer_by = event.deadline - self.settings.resolution
-        if self.uncut and call.cls.late_worth <= 0:
-            aim = self.now + int((1 - AIM_MARGIN) * call.cls.aim)
+        if self.uncut and call.cls.late_value <= 0:
+            aim = self.now + int((1 - AIM_MARGIN) * call.cls.target_latency)
             call.aim_by = call.answer_by = min(call.answer_by, aim)
         for attempt in call.attempts:
             if attempt.outcome is None:
--- a/brackengate/policy/failures.py
+++ b/brackengate/policy/failures.py
@@ -23,12 +23,12 @@
         self._timer(rest, "return", up.id)
         self._order(up)
 
-    def _on_standing(self, event: api.Standing) -> None:
+    def _on_standing(self, event: api.UpstreamHealth) -> None:
         """Others' word on it: as many failures as make it rest, or none of those that it had."""
         up = self.upstreams.get(event.upstream)
         if up is None:
             return
-        if not event.up:
+        if not event.healthy:
             return self._failed(up, MAX_FAILS)
         up.fails, up.demoted, up.rest_until = 0, False, self.now
         self._order(up)
--- a/brackengate/policy/lists.py
+++ b/brackengate/policy/lists.py
@@ -9,10 +9,10 @@
 
 class Lists(Probes):
     def _on_list(self, event: api.UpstreamList) -> None:
-        self.closing = event.last
+        self.closing = event.final
         self.asks_failed = self.asks_failed + 1 if event.kind is api.ListKind.BROKEN else 0
         if event.kind in (api.ListKind.BROKEN, api.ListKind.CACHED) and self.settings.list_on_request:
-            wait = self.settings.ask_within * min(0.5, ASK_BACKOFF * 2 ** min(self.asks_failed, 10))
+            wait = self.settings.list_max_age * min(0.5, ASK_BACKOFF * 2 ** min(self.asks_failed, 10))
             self._timer(int(wait * self.rng.uniform(0.1, 1.0)), "watch", "")  # not all copies at once
         rows = list(event.endpoints)
         if event.kind in (api.ListKind.FULL, api.ListKind.CACHED):
--- a/brackengate/policy/order.py
+++ b/brackengate/policy/order.py
@@ -67,14 +67,14 @@
                 call, attempt.upstream.row, attempt.sent, up
             ):
                 return False
-        return all(self._drops(call, earlier.row, earlier.sent, up) for earlier in call.earlier)
+        return all(self._drops(call, earlier.endpoint, earlier.sent_at, up) for earlier in call.earlier)
 
     def _turned_away(self, call: Call, up: Upstream) -> bool:
         """Where attempts that ended unsent are free: it did, and another serves that did not and may take it.
 
         Guards against spending them all on one that is full or out of reach.
         """
-        if not self.settings.free_unsent:
+        if not self.settings.unsent_attempts_free:
             return False
         away = [a.upstream.id for a in call.attempts if a.outcome in UNSENT]
         return up.id in away and any(
--- a/brackengate/policy/outcomes.py
+++ b/brackengate/policy/outcomes.py
@@ -42,13 +42,13 @@
             if event.load is not None:
                 up.heard = self.now
                 self.idle = up if round(event.load.waiting or 0.0) <= self.word_waiting else None
-        elif (event.outcome in UNREACHED and not event.stale) or self._abrupt(call, attempt):
+        elif (event.outcome in UNREACHED and not event.stale_connection) or self._abrupt(call, attempt):
             self._failed(up)
         self._order(up)
         if event.request_ended:
             self._end(call, None)
         elif not call.done and not call.live:
-            if event.again and self._retry(call, attempt):
+            if event.body_replayable and self._retry(call, attempt):
                 self._place(call)
             else:
                 self._end_unserved(call)
--- a/brackengate/policy/retries.py
+++ b/brackengate/policy/retries.py
@@ -10,8 +10,8 @@
 class Retries(Overload):
     def _retry(self, call: Call, ended: Attempt) -> bool:
         """Whether it may be tried once more; that comes off the ration unless unsent ones are free."""
-        free = self.settings.free_unsent and ended.outcome in UNSENT
-        if self.settings.one_round and (self._all_turned_away(call) or self._hopeless(call, 0.0)):
+        free = self.settings.unsent_attempts_free and ended.outcome in UNSENT
+        if self.settings.fail_fast and (self._all_turned_away(call) or self._hopeless(call, 0.0)):
             return False
         if free:
             call.most = min(call.most + 1, MOST_TRIES)
@@ -21,7 +21,7 @@
         self.retries -= 0 if free else 1
         return True
 
-    def _on_ration(self, event: api.Ration) -> None:
+    def _on_ration(self, event: api.RetryBudget) -> None:
         self.retry_share, self.retry_burst = event.share, event.burst
         self.retries = min(self.retries, self.retry_burst)
 
--- a/brackengate/policy/sends.py
+++ b/brackengate/policy/sends.py
@@ -23,7 +23,7 @@
 
         Harm: what rests or is cold gets it then.  Rules 1 to 3 stay; with none left by them it ends.
         """
-        if self.settings.holds:
+        if self.settings.wait_for_upstream:
             return self._hold(call)
         left = [up for up in self.upstreams.values() if self._lets(call, up)]
         if left:
--- a/brackengate/policy/state.py
+++ b/brackengate/policy/state.py
@@ -85,7 +85,9 @@
     aim_by: int
     worth: float
     hint: int  # its work, or where none is given a figure common to its class
-    earlier: tuple[api.Earlier, ...] = ()  # of requests before it under the same key; they may have run
+    earlier: tuple[
+        api.EarlierAttempt, ...
+    ] = ()  # of requests before it under the same key; they may have run
     attempts: list[Attempt] = field(default_factory=list)  # what may have run
     live: int = 0
     most: int = 0  # attempts it may have in all
@@ -139,19 +141,21 @@
         rest = bool(self.classes)
         self.classes.update((c.name, c) for c in changed)
         aim, worth = self.least_aim, self.top_worth
-        aim_stays = any(c.aim <= aim for c in changed) or all(c.aim > aim for c in before)
-        worth_stays = any(c.worth >= worth for c in changed) or all(c.worth < worth for c in before)
+        aim_stays = any(c.target_latency <= aim for c in changed) or all(
+            c.target_latency > aim for c in before
+        )
+        worth_stays = any(c.value >= worth for c in changed) or all(c.value < worth for c in before)
         if rest and aim_stays and worth_stays:
-            extremes = api.RequestClass("", aim, 0, worth=worth)
+            extremes = api.RequestClass("", aim, 0, value=worth)
             self._scale_by([extremes, *changed])
         else:
             self._scale_by(list(self.classes.values()))
 
     def _scale_by(self, classes: list[api.RequestClass]) -> None:
         """Times and worths that follow the tightest and the dearest class."""
-        self.least_aim = aim = min([c.aim for c in classes], default=self.settings.cold_time)
+        self.least_aim = aim = min([c.target_latency for c in classes], default=self.settings.cold_time)
         self.recheck = max(self.settings.resolution, int(RECHECK * aim))
-        self.top_worth = max([c.worth for c in classes], default=1.0)
+        self.top_worth = max([c.value for c in classes], default=1.0)
         self.word_lasts, self.word_waiting = (aim, 0) if self.probe_most else (self.settings.cold_time, 1)
 
     def _timer(self, delay: int, what: str, which: str) -> None:
--- a/brackengate/queues/setup.py
+++ b/brackengate/queues/setup.py
@@ -102,7 +102,7 @@
 
 def door(file: File, inner: Inner, ground: Ground) -> QueuesDoor:
     told = file.queues
-    terms = {cls.name: ClassTerms(cls.aim, cls.worth) for cls in derived.settings(file).classes}
+    terms = {cls.name: ClassTerms(cls.target_latency, cls.value) for cls in derived.settings(file).classes}
     shares = {name: tenant.share for name, tenant in file.tenant.items()}
     seed = ground.rng.getrandbits(64)
     admission = Admission(terms, shares, bounds(file), seed, secret(file, ground.rng), told.other_share)
--- a/brackengate/repeats/door.py
+++ b/brackengate/repeats/door.py
@@ -6,7 +6,7 @@
 from collections.abc import Callable, Sequence
 from dataclasses import dataclass, field
 
-from brackengate.interface import Earlier, Idempotency, Request, RequestClass
+from brackengate.interface import EarlierAttempt, Idempotency, Request, RequestClass
 from brackengate.net.alarms import Alarm, Alarms
 from brackengate.net.http import Inner
 from brackengate.net.node import Caller, Message, Reply
@@ -86,7 +86,11 @@
             case Replay(answer):
                 caller.answer(Reply(200, answer.body, answer.content_type))
             case Turned.UNKNOWN:
-                caller.answer(Reply(CONFLICT, WORDS[told], b"text/plain", ran=(Earlier.somewhere(now),)))
+                caller.answer(
+                    Reply(
+                        CONFLICT, WORDS[told], b"text/plain", ran=(EarlierAttempt.at_unknown_upstream(now),)
+                    )
+                )
             case Turned.BUSY:
                 caller.answer(Reply(CONFLICT, WORDS[told], b"text/plain", BUSY_RETRY_US))
             case Turned.MISMATCH:
@@ -112,7 +116,7 @@
 
     # --- groups
 
-    def _lead(self, group: _Group, waiter: _Waiter, earlier: tuple[Earlier, ...]) -> None:
+    def _lead(self, group: _Group, waiter: _Waiter, earlier: tuple[EarlierAttempt, ...]) -> None:
         """Hand it to the node, whose deadline is its own from here on."""
         request = waiter.request
         if waiter.alarm is not None:
@@ -136,7 +140,7 @@
         waiter = group.waiters.get(name)
         if waiter is not None:
             self._forget(group, name)
-            ran = (Earlier.somewhere(self._inner.clock.now()),)
+            ran = (EarlierAttempt.at_unknown_upstream(self._inner.clock.now()),)
             waiter.caller.answer(Reply(OVERDUE, ran=ran))
 
     def _forget(self, group: _Group, name: str) -> _Waiter:
@@ -182,9 +186,11 @@
         for waiter in self._close(group):
             waiter.caller.answer(reply)
 
-    def _successor(self, group: _Group, lead: _Leader, now: int, ran: Sequence[Earlier]) -> _Waiter | None:
+    def _successor(
+        self, group: _Group, lead: _Leader, now: int, ran: Sequence[EarlierAttempt]
+    ) -> _Waiter | None:
         """Who has more time than the leader had, while upstreams still drop a repeat."""
-        if any(now - earlier.sent >= group.cls.key_memory for earlier in ran):
+        if any(now - earlier.sent_at >= group.cls.key_memory for earlier in ran):
             return None
         joined = [waiter for waiter in group.waiters.values() if waiter.alarm is not None]
         best = max(joined, key=lambda waiter: waiter.request.deadline, default=None)
--- a/brackengate/repeats/table.py
+++ b/brackengate/repeats/table.py
@@ -16,7 +16,7 @@
 from dataclasses import dataclass, field
 from enum import Enum
 
-from brackengate.interface import Earlier
+from brackengate.interface import EarlierAttempt
 
 OVERHEAD = 600  # bytes that an entry takes beside its key and its answer
 MAX_KEY = 1024  # bytes; requests with longer keys are not tracked
@@ -55,7 +55,7 @@
 class Lead:
     """It goes on as a request of its own.  `earlier`: where one before may have run; only there it goes."""
 
-    earlier: tuple[Earlier, ...] = ()
+    earlier: tuple[EarlierAttempt, ...] = ()
 
 
 @dataclass(frozen=True, slots=True)
@@ -100,7 +100,7 @@
     leader: str = ""
     waiters: int = 0
     answer: Answer | None = None
-    ran: tuple[Earlier, ...] = ()
+    ran: tuple[EarlierAttempt, ...] = ()
     until: int = 0  # when it is forgotten, once finished
 
 
@@ -157,7 +157,7 @@
             self.counters["replayed"] += 1
             return Replay(entry.answer)
         # It may have run, and its answer is not here.  Where it ran it is dropped as a repeat, for a while.
-        if not entry.ran or any(now - earlier.sent >= key_memory for earlier in entry.ran):
+        if not entry.ran or any(now - earlier.sent_at >= key_memory for earlier in entry.ran):
             self.counters["unknown"] += 1
             return Turned.UNKNOWN
         self.counters["narrowed"] += 1
@@ -192,7 +192,9 @@
             self.counters["answers_not_kept"] += 1
         self._finish(now, entry, State.ANSWERED)
 
-    def may_have_run(self, now: int, identity: Identity, request: str, ran: tuple[Earlier, ...]) -> None:
+    def may_have_run(
+        self, now: int, identity: Identity, request: str, ran: tuple[EarlierAttempt, ...]
+    ) -> None:
         """The leader failed, and may have run at these places."""
         entry = self._running(identity, request)
         if entry is not None:
@@ -209,7 +211,7 @@
         else:
             self._drop(entry)
 
-    def ran_at(self, identity: Identity, request: str, ran: tuple[Earlier, ...]) -> None:
+    def ran_at(self, identity: Identity, request: str, ran: tuple[EarlierAttempt, ...]) -> None:
         """Where the leader may have run, before its end: for one that goes on in its place."""
         entry = self._running(identity, request)
         if entry is not None:
--- a/tests/graphql/gqlkit.py
+++ b/tests/graphql/gqlkit.py
@@ -10,7 +10,7 @@
 BID = api.RequestClass(
     "ponudba", 2_000_000, 2_000_000, api.Idempotency.KEYED, api.KeyScope.ZONE, 4_000_000, 8.0
 )
-BUY = api.RequestClass("takoj-kupi", 2_000_000, 2_000_000, api.Idempotency.UNSAFE, worth=8.0)
+BUY = api.RequestClass("takoj-kupi", 2_000_000, 2_000_000, api.Idempotency.UNSAFE, value=8.0)
 HEAVY = api.RequestClass("zgodovina", 2_000_000, 2_000_000, api.Idempotency.REPEATABLE)
 CLASSES = {cls.name: cls for cls in (READ, BID, BUY, HEAVY)}
 TABLE = Table(
--- a/tests/installation/test_reading.py
+++ b/tests/installation/test_reading.py
@@ -74,7 +74,7 @@
     told = derived.settings(file)
     assert [c.name for c in told.classes] == ["pregled", "ponudba", "takoj-kupi"]
     keyed = told.classes[1]
-    assert (keyed.idempotency, keyed.key_scope, keyed.key_memory, keyed.aim, keyed.worth) == (
+    assert (keyed.idempotency, keyed.key_scope, keyed.key_memory, keyed.target_latency, keyed.value) == (
         api.Idempotency.KEYED,
         api.KeyScope.ZONE,
         4_000_000,
@@ -82,7 +82,7 @@
         8.0,
     )
     assert told.classes[2].idempotency is api.Idempotency.UNSAFE  # the default is the most careful
-    assert told.classes[2].aim == 410_000 and told.classes[2].deadline == 1_000_000
+    assert told.classes[2].target_latency == 410_000 and told.classes[2].deadline == 1_000_000
     assert told.balancers == 3
     assert told.tenants == (api.Tenant("drava", 0.25, 30.0),)
     assert derived.share(file) == derived.Share(1000, 100)
--- a/tests/net/test_attempts.py
+++ b/tests/net/test_attempts.py
@@ -564,8 +564,8 @@
 
         assert await ask("a0", 0.0) == (200, 1)
         assert await ask("a1", 4.0) == (502, 1)  # lost: half of 4 s is trusted from here on
-        assert (await module.next(api.AttemptEnded)).stale is False
-        assert (await module.next(api.AttemptEnded)).stale is True
+        assert (await module.next(api.AttemptEnded)).stale_connection is False
+        assert (await module.next(api.AttemptEnded)).stale_connection is True
         assert await ask("a2", 0.0) == (200, 2)
         assert await ask("a3", 2.8) == (200, 3)
         dead.used.clear()
--- a/tests/net/test_bodies.py
+++ b/tests/net/test_bodies.py
@@ -283,7 +283,7 @@
                 return [api.Send(event.request, "u0", 0)]
             if isinstance(event, api.AttemptEnded) and not event.request_ended:
                 assert event.outcome is api.Outcome.CONNECT_FAILED
-                if event.again:
+                if event.body_replayable:
                     return [api.Send(event.request, "u1", 0)]
                 return [api.Refuse(event.request)]
             return []
--- a/tests/pilot/mistakes.py
+++ b/tests/pilot/mistakes.py
@@ -78,7 +78,7 @@
     """What must run once is sent again as what may run twice."""
     made = _true_class_of(route)
     return RequestClass(
-        made.name, made.aim, made.deadline, Idempotency.REPEATABLE, late_worth=0.3,
+        made.name, made.target_latency, made.deadline, Idempotency.REPEATABLE, late_value=0.3,
         max_attempts=made.max_attempts,
     )  # fmt: skip
 
--- a/tests/pilot/test_deciders.py
+++ b/tests/pilot/test_deciders.py
@@ -6,7 +6,7 @@
 from testtools.matchers import Equals, LessThan
 
 from brackengate.http.upstream import Answered
-from brackengate.interface import Earlier, Endpoint, Outcome
+from brackengate.interface import EarlierAttempt, Endpoint, Outcome
 from brackengate.net.node import FAILED, OVERDUE, REFUSED
 from brackengate.net.upstream import Result
 from brackengate.pilot.follow import order
@@ -215,7 +215,7 @@
             fields = {HOP.lower(): said.value}
             return Result(Outcome.TIMEOUT, answer=Answered(status, fields, b"", True, [(HOP, said.value)]))
 
-        ran = Earlier(Endpoint("i-1"), 0)
+        ran = EarlierAttempt(Endpoint("i-1"), 0)
         cases = (
             ("all turned it away", REFUSED, answer(Said.FULL), (), 503),
             ("it broke behind the request", REFUSED, answer(Said.BROKEN), (ran,), 502),
--- a/tests/pilot/test_watch.py
+++ b/tests/pilot/test_watch.py
@@ -169,7 +169,14 @@
 
         def pilot() -> Balancer:
             made = Balancer(
-                api.Settings((once,), holds=False, free_unsent=True, retry_start=0.0, max_attempts=8), seed
+                api.Settings(
+                    (once,),
+                    wait_for_upstream=False,
+                    unsent_attempts_free=True,
+                    retry_start=0.0,
+                    max_attempts=8,
+                ),
+                seed,
             )
             rows = tuple(api.Endpoint(f"u{n}") for n in range(4))
             made.handle(now, api.UpstreamList(api.ListKind.FULL, rows))
--- a/tests/queues/queuekit.py
+++ b/tests/queues/queuekit.py
@@ -16,7 +16,7 @@
 # so its aim is the whole time here; the door has the usual one.
 PATIENT = api.RequestClass("povzetek", 3 * S, 3 * S, api.Idempotency.REPEATABLE)
 ALL = (*CLASSES, PATIENT)
-TERMS = {cls.name: ClassTerms(410 * MS, cls.worth) for cls in ALL}
+TERMS = {cls.name: ClassTerms(410 * MS, cls.value) for cls in ALL}
 SETTINGS = api.Settings(classes=ALL, max_attempts=4, max_retry_after=2 * S, probes=True, probe_price=0.0001)
 
 
--- a/tests/queues/test_queues_door.py
+++ b/tests/queues/test_queues_door.py
@@ -28,7 +28,9 @@
 ONE = LimitBounds(least=1, start=1, most=1)  # one request out at a time
 HOUR_MS = 3_600_000  # a deadline that no request reaches, however slowly a loaded machine runs the test
 UNHURRIED = api.Settings(
-    classes=tuple(replace(cls, aim=HOUR_MS * 1000, deadline=HOUR_MS * 1000) for cls in SETTINGS.classes),
+    classes=tuple(
+        replace(cls, target_latency=HOUR_MS * 1000, deadline=HOUR_MS * 1000) for cls in SETTINGS.classes
+    ),
     max_attempts=SETTINGS.max_attempts,
     max_retry_after=SETTINGS.max_retry_after,
 )
@@ -61,7 +63,7 @@
 
         def door(node: Node) -> Any:
             loop = asyncio.get_running_loop()
-            terms = {cls.name: ClassTerms(cls.aim, cls.worth) for cls in settings.classes}
+            terms = {cls.name: ClassTerms(cls.target_latency, cls.value) for cls in settings.classes}
             admission = Admission(terms, tenants or {}, Bounds(limit=limit, **bounds), 1, b"s" * 32)
             self.told = QueuesDoor(node, admission, loop, dry=dry)
             if not repeats:
@@ -433,7 +435,7 @@
 
 def graphql_bench(batch: str, **options: Any) -> tuple[Bench, Admission]:
     """One request out at a time, by GraphQL; the bench and its queues."""
-    terms = {cls.name: ClassTerms(cls.aim, cls.worth) for cls in gqlkit.CLASSES.values()}
+    terms = {cls.name: ClassTerms(cls.target_latency, cls.value) for cls in gqlkit.CLASSES.values()}
     admission = Admission(terms, {}, Bounds(limit=ONE, max_retry_after=0), 1, b"s" * 32)
     admission._rate = 1e9  # so that none is refused for its wait
     made: list[QueuesDoor] = []
--- a/tests/repeats/test_door.py
+++ b/tests/repeats/test_door.py
@@ -221,7 +221,7 @@
         line, headers, _ = await peer.got.get()
         assert headers["x-txn"] == "a1"
         requests = [event for event in module.events if isinstance(event, api.Request)]
-        assert [earlier.row.upstream for earlier in requests[1].earlier] == ["u0"]
+        assert [earlier.endpoint.upstream for earlier in requests[1].earlier] == ["u0"]
         hold.set()
         assert (await second.read())[::2] == (200, b"a1")
 
--- a/tests/repeats/test_table.py
+++ b/tests/repeats/test_table.py
@@ -10,7 +10,7 @@
 from hypothesis import strategies as st
 from hypothesis.stateful import RuleBasedStateMachine, initialize, invariant, rule
 
-from brackengate.interface import Earlier, Endpoint
+from brackengate.interface import EarlierAttempt, Endpoint
 from brackengate.repeats.table import (
     OVERHEAD,
     Answer,
@@ -28,7 +28,7 @@
 WINDOW = 4 * S
 SECRET = bytes(32)
 ANSWER = Answer(b"done", b"text/plain")
-HERE = Earlier(Endpoint("u0", zone="a"), 0)
+HERE = EarlierAttempt(Endpoint("u0", zone="a"), 0)
 
 
 def who(key: bytes = b"k", tenant: str = "t", client: str = "c", cls: str = "bid") -> Identity:
@@ -264,7 +264,7 @@
             self.made.answered(self.now, identity, name, answer)
             self.model[identity] = Model(known.digest, answer=answer, since=self.now)
         elif how == "maybe":
-            self.made.may_have_run(self.now, identity, name, (Earlier(Endpoint("u"), self.now),))
+            self.made.may_have_run(self.now, identity, name, (EarlierAttempt(Endpoint("u"), self.now),))
             self.model[identity] = Model(known.digest, maybe=True, since=self.now)
         elif how == "refused":
             self.made.never_ran(self.now, identity, name)
--- a/tests/routing/test_bulkhead_members.py
+++ b/tests/routing/test_bulkhead_members.py
@@ -6,7 +6,7 @@
 from hypothesis import strategies as st
 
 from brackengate.installation.schema import Upstream
-from brackengate.interface import Earlier, Endpoint, Idempotency, Lifecycle
+from brackengate.interface import EarlierAttempt, Endpoint, Idempotency, Lifecycle
 from brackengate.routing.bulkhead import Bulkhead, Reason
 from brackengate.routing.earlier import goes_to, with_pool, without_pool
 from brackengate.routing.members import KEPT, SLICE, Ages, Telling
@@ -136,7 +136,7 @@
 
 
 def test_what_may_have_run_goes_to_its_own_pool_or_nowhere():
-    word = Earlier(Endpoint("u1", zone="a"), 5)
+    word = EarlierAttempt(Endpoint("u1", zone="a"), 5)
     ran_in_p, ran_in_q = with_pool(word, "p"), with_pool(word, "q")
     assert without_pool(ran_in_p) == word
     for kind in (Idempotency.KEYED, Idempotency.UNSAFE):
@@ -145,5 +145,7 @@
         assert goes_to("p", (ran_in_q,), kind, {"p", "q"}) == "q"
         assert goes_to("p", (ran_in_q,), kind, {"p"}) == ""
         assert goes_to("p", (ran_in_p, ran_in_q), kind, {"p", "q"}) == ""
-        assert goes_to("p", (Earlier.somewhere(5),), kind, {"p"}) == ""  # it is not known where
+        assert (
+            goes_to("p", (EarlierAttempt.at_unknown_upstream(5),), kind, {"p"}) == ""
+        )  # it is not known where
     assert goes_to("p", (ran_in_q,), Idempotency.REPEATABLE, {"p"}) == "p"
--- a/tests/routing/test_pools.py
+++ b/tests/routing/test_pools.py
@@ -27,7 +27,10 @@
 # No test waits for a deadline: what is held until then runs into the test's own limit.
 LONG = 3_600_000_000
 SETTINGS = api.Settings(
-    classes=(replace(SAFE, deadline=LONG, aim=LONG), replace(ONCE, deadline=LONG, aim=LONG)),
+    classes=(
+        replace(SAFE, deadline=LONG, target_latency=LONG),
+        replace(ONCE, deadline=LONG, target_latency=LONG),
+    ),
     max_attempts=4,
     max_retry_after=2_000_000,
 )
@@ -219,7 +222,7 @@
     run(work())
 
 
-KEYED = replace(peers.KEYED, deadline=LONG, aim=LONG, key_memory=LONG, key_scope=api.KeyScope.ZONE)
+KEYED = replace(peers.KEYED, deadline=LONG, target_latency=LONG, key_memory=LONG, key_scope=api.KeyScope.ZONE)
 
 
 def test_a_bid_that_may_have_run_goes_to_its_own_pool_or_nowhere():
@@ -238,7 +241,7 @@
                 answers.append(reply)
                 done.set()
 
-        async def bid(txn: str, earlier: tuple[api.Earlier, ...] = ()) -> Any:
+        async def bid(txn: str, earlier: tuple[api.EarlierAttempt, ...] = ()) -> Any:
             done.clear()
             deadline = bench.pools.clock.now() + LONG
             request = Request(txn, "bid", deadline, earlier=earlier)
--- a/tests/test_long_bodies.py
+++ b/tests/test_long_bodies.py
@@ -9,7 +9,7 @@
 
 def opened(world: World, cls: str = "buy") -> tuple[str, str]:
     """A request whose body still comes, and where it was sent."""
-    name, actions = world.call(cls, whole=False)
+    name, actions = world.call(cls, body_complete=False)
     return name, sends(actions)[0].upstream
 
 
@@ -18,7 +18,7 @@
     world = World(rows(2))
     name, upstream = opened(world)
     assert world.balancer.upstreams[upstream].own == 0
-    world.tell(api.RequestWhole(name, world.now + 1_000_000))
+    world.tell(api.RequestBodyComplete(name, world.now + 1_000_000))
     assert world.balancer.upstreams[upstream].own == 1
     assert {world.sent("read")[1]} == {"u0", "u1"} - {upstream}
     world.tell(api.AnswerStarted(name, 0, upstream, 50_000))
@@ -32,17 +32,19 @@
     world = World(rows(2))
     name, upstream = opened(world)
     world.wait(3_000_000)
-    world.tell(api.RequestWhole(name, world.now + 1_000_000))
+    world.tell(api.RequestBodyComplete(name, world.now + 1_000_000))
     actions = world.ended(name, upstream, api.Outcome.CONNECT_FAILED)
     (again,) = sends(actions)
-    assert again.until == world.now + int(0.99 * ONCE.aim)
+    assert again.until == world.now + int(0.99 * ONCE.target_latency)
 
 
 def test_an_attempt_whose_body_is_no_longer_held_is_refused_and_not_sent_again() -> None:
     world = World(rows(2))
     name, upstream = opened(world)
     world.wait(3_000_000)
-    actions = world.tell(api.AttemptEnded(name, 0, upstream, api.Outcome.CONNECT_FAILED, 10_000, again=False))
+    actions = world.tell(
+        api.AttemptEnded(name, 0, upstream, api.Outcome.CONNECT_FAILED, 10_000, body_replayable=False)
+    )
     assert sends(actions) == [] and [type(a) for a in endings(actions)] == [api.Refuse]
 
 
--- a/tests/test_mesh_policy.py
+++ b/tests/test_mesh_policy.py
@@ -43,7 +43,7 @@
 
 def test_unheld_calls_go_to_the_least_bad_while_all_rest():
     """Fewest own calls first, then fewest failures, then the earliest assignment."""
-    world = World(rows(4), holds=False)
+    world = World(rows(4), wait_for_upstream=False)
     _, busy = world.sent()
     rests(world, "u0", "u1", "u2", "u3")
     name, worst = world.sent()
@@ -57,7 +57,7 @@
 
 
 def test_an_unheld_call_that_failed_twice_on_the_only_upstream_goes_there_again():
-    world = World(rows(1), holds=False)
+    world = World(rows(1), wait_for_upstream=False)
     name, bad = world.sent()
     for attempt in range(3):
         assert [s.upstream for s in sends(world.ended(name, bad, BROKE, attempt=attempt))] == [bad]
@@ -68,21 +68,21 @@
 def test_unheld_calls_go_to_a_cold_upstream_where_all_are_cold_and_keep_its_pace_otherwise():
     cold = [api.Endpoint(f"u{i}", started_at=100_000_000) for i in range(2)]
     for holds in (True, False):
-        world = World(tuple(cold), holds=holds, cold_time=20_000_000)
+        world = World(tuple(cold), wait_for_upstream=holds, cold_time=20_000_000)
         assert bool(sends(world.call()[1])) is not holds
-    world = World((*cold, api.Endpoint("warm")), holds=False, cold_time=20_000_000)
+    world = World((*cold, api.Endpoint("warm")), wait_for_upstream=False, cold_time=20_000_000)
     assert {world.sent()[1] for _ in range(6)} == {"warm"}
 
 
 def test_a_rest_still_turns_unheld_calls_to_the_sound_ones():
-    world = World(rows(3), holds=False)
+    world = World(rows(3), wait_for_upstream=False)
     rests(world, "u1")
     assert {world.sent()[1] for _ in range(20)} == {"u0", "u2"}
 
 
 @pytest.mark.parametrize("listed", [(), rows(2, state=DRAINING)])
 def test_with_none_that_serves_an_unheld_call_ends_at_once(listed):
-    world = World(listed, holds=False)
+    world = World(listed, wait_for_upstream=False)
     name, actions = world.call()
     assert actions == refused(name)
     name, actions = world.call("buy")
@@ -91,7 +91,7 @@
 
 
 def test_the_last_one_drains_while_an_unheld_call_is_out():
-    world = World(rows(1), holds=False)
+    world = World(rows(1), wait_for_upstream=False)
     name, upstream = world.sent()
     world.list(api.Endpoint(upstream, state=DRAINING))
     assert endings(world.ended(name, upstream, BROKE)) == refused(name)
@@ -101,7 +101,7 @@
     world = World(
         (api.Endpoint("a", zone="z1"), api.Endpoint("b", zone="z2")),
         classes=(keyed(api.KeyScope.ZONE),),
-        holds=False,
+        wait_for_upstream=False,
     )
     name, first = world.sent("bid")
     again = sends(world.ended(name, first, api.Outcome.RESET))
@@ -113,7 +113,7 @@
 
 
 def test_an_unheld_call_still_asks_before_it_is_sent_and_goes_out_if_all_rest_by_then():
-    world = World(rows(2), probes=True, holds=False)
+    world = World(rows(2), probes=True, wait_for_upstream=False)
     for tries in (1, 2):
         name, actions = world.call()
         asked = probes(actions)
@@ -130,14 +130,14 @@
 @pytest.mark.parametrize("probing", [False, True])
 @pytest.mark.parametrize("seed", range(4))
 def test_whatever_comes_no_unheld_call_waits_but_for_a_word(seed, probing):
-    game = Play(seed, holds=False, probes=probing, tier=1)
+    game = Play(seed, wait_for_upstream=False, probes=probing, tier=1)
     for number in range(400):
         game.step(number)
         assert all(call.asked and call.out for call in game.world.balancer.waiting.values())
     assert probing or not game.world.balancer.waiting
 
 
-# --- free_unsent: True ---------------------------------------------------------------------------
+# --- unsent_attempts_free: True ---------------------------------------------------------------------------
 
 
 def unsent_until_it_ends(world: World, cls: str = "read") -> list[str]:
@@ -160,14 +160,14 @@
 
 def test_free_unsent_attempts_count_for_nothing_up_to_eight():
     for most in (1, 3, 12):
-        world = World(rows(12), free_unsent=True, max_attempts=most)
+        world = World(rows(12), unsent_attempts_free=True, max_attempts=most)
         went = unsent_until_it_ends(world, "buy")
         assert len(went) == len(set(went)) == 8
         assert world.balancer.retries == 5.0
 
 
 def test_free_unsent_attempts_go_on_without_retries_and_the_others_still_count():
-    world = World(rows(12), free_unsent=True, max_attempts=3)
+    world = World(rows(12), unsent_attempts_free=True, max_attempts=3)
     name, upstream = world.sent()
     for attempt, outcome in enumerate([NOT_SENT, RESET, BROKE, RESET]):
         upstream = sends(world.ended(name, upstream, outcome, attempt=attempt))[0].upstream
@@ -183,7 +183,14 @@
 def test_a_request_that_may_reach_one_upstream_still_goes_on_behind_dead_ones():
     """No connection: nothing of it came to an upstream, so nothing is spent, even of one attempt."""
     once = api.RequestClass("read", 500_000, 1_000_000, api.Idempotency.UNSAFE, max_attempts=1)
-    world = World(rows(5), classes=(once,), free_unsent=True, one_round=True, holds=False, retry_start=0.0)
+    world = World(
+        rows(5),
+        classes=(once,),
+        unsent_attempts_free=True,
+        fail_fast=True,
+        wait_for_upstream=False,
+        retry_start=0.0,
+    )
     name, upstream = world.sent()
     went = [upstream]
     for attempt in range(4):
@@ -193,21 +200,21 @@
     assert endings(world.ended(name, went[-1], BROKE, attempt=4)) == refused(name)  # all have been asked
 
 
-# --- Standing, Ration -----------------------------------------------------------------------------
+# --- Standing, RetryBudget -----------------------------------------------------------------------------
 
 
 def test_others_word_makes_an_upstream_rest_and_lifts_the_rest_again():
-    world = World(rows(3), holds=False)
-    world.tell(api.Standing("u1", False))
+    world = World(rows(3), wait_for_upstream=False)
+    world.tell(api.UpstreamHealth("u1", False))
     assert {world.sent()[1] for _ in range(12)} == {"u0", "u2"}
-    world.tell(api.Standing("u1", True))
+    world.tell(api.UpstreamHealth("u1", True))
     assert [world.sent()[1] for _ in range(3)] == ["u1"] * 3  # the fewest own calls by far
-    world.tell(api.Standing("unknown", False))
+    world.tell(api.UpstreamHealth("unknown", False))
 
 
 def test_a_smaller_part_of_the_budget_takes_back_what_was_saved_above_it():
-    world = World(rows(12), free_unsent=True)
-    world.tell(api.Ration(0.5, 2.0))
+    world = World(rows(12), unsent_attempts_free=True)
+    world.tell(api.RetryBudget(0.5, 2.0))
     assert world.balancer.retries == 2.0
     world.balancer.retries = 0.0
     for _ in range(6):
@@ -216,7 +223,7 @@
 
 
 def test_what_turned_a_call_away_is_not_offered_it_again_while_another_serves():
-    world = World(rows(3), free_unsent=True, holds=False)
+    world = World(rows(3), unsent_attempts_free=True, wait_for_upstream=False)
     rests(world, "u1", "u2")
     went = unsent_until_it_ends(world)
     assert went[0] == "u0" and set(went[1:3]) == {"u1", "u2"}  # those that rest come before going back
@@ -228,7 +235,7 @@
 
 
 def test_a_held_call_waits_for_the_other_rather_than_go_back():
-    world = World(rows(2), free_unsent=True, connect_timeout=10_000)
+    world = World(rows(2), unsent_attempts_free=True, connect_timeout=10_000)
     rests(world, "u1")
     name, upstream = world.sent()
     assert upstream == "u0"
@@ -240,7 +247,7 @@
     world = World(
         (api.Endpoint("a", zone="z1"), api.Endpoint("b", zone="z2")),
         classes=(keyed(api.KeyScope.ZONE),),
-        free_unsent=True,
+        unsent_attempts_free=True,
     )
     name, first = world.sent("bid")
     assert sends(world.ended(name, first, api.Outcome.ERROR))[0].upstream == first
@@ -269,7 +276,7 @@
         split = rng.randrange(len(names) + 1)
         gone = names[split:]
         changed = [
-            api.RequestClass(name, rng.choice((200_000, 300_000)), 1_000_000, worth=rng.choice((1.0, 2.0)))
+            api.RequestClass(name, rng.choice((200_000, 300_000)), 1_000_000, value=rng.choice((1.0, 2.0)))
             for name in names[:split]
         ]
         table = {name: one for name, one in table.items() if name not in gone}
@@ -293,7 +300,7 @@
 
 
 def test_what_follows_from_the_classes_is_derived_anew():
-    dear = api.RequestClass("dear", 2_000_000, 4_000_000, worth=8.0)
+    dear = api.RequestClass("dear", 2_000_000, 4_000_000, value=8.0)
     for probing, lasts in ((False, 30_000_000), (True, 2_000_000)):
         world = World(rows(2), probes=probing)
         assert (world.balancer.top_worth, world.balancer.recheck) == (1.0, 10_000)
@@ -341,24 +348,26 @@
 
 @pytest.mark.parametrize("advice", [0, 250_000])
 def test_a_refusal_carries_the_longest_advice_that_the_settings_allow(advice):
-    world = World((), holds=False, max_retry_after=advice)
+    world = World((), wait_for_upstream=False, max_retry_after=advice)
     name, actions = world.call()
     assert actions == [api.Refuse(name, advice)]
 
 
-# --- one_round: True -----------------------------------------------------------------------------
+# --- fail_fast: True -----------------------------------------------------------------------------
 
 
 def test_one_round_ends_once_all_that_serve_have_turned_it_away():
-    world = World(rows(3), free_unsent=True, holds=False, one_round=True)
+    world = World(rows(3), unsent_attempts_free=True, wait_for_upstream=False, fail_fast=True)
     assert sorted(unsent_until_it_ends(world)) == ["u0", "u1", "u2"]
     world.list(api.Endpoint("u1", state=DRAINING))
     assert sorted(unsent_until_it_ends(world)) == ["u0", "u2"]
 
 
 def test_one_round_tries_nothing_that_has_no_time_left():
-    for one_round in (False, True):
-        world = World(rows(2), free_unsent=True, holds=False, one_round=one_round, tier=1)
+    for fail_fast in (False, True):
+        world = World(
+            rows(2), unsent_attempts_free=True, wait_for_upstream=False, fail_fast=fail_fast, tier=1
+        )
         for _ in range(20):
             name, upstream = world.sent()
             world.wait(100_000)
@@ -367,4 +376,4 @@
         call = world.balancer.calls[name]
         world.wait(call.answer_by - world.now - 20_000)
         went = sends(world.ended(name, upstream, api.Outcome.ERROR))
-        assert bool(went) is not one_round
+        assert bool(went) is not fail_fast
--- a/tests/test_random.py
+++ b/tests/test_random.py
@@ -144,8 +144,8 @@
     {"probes": True},
     {"tier": 1, "max_attempts": 2},
     {"list_on_request": True, "cancel": False},
-    {"holds": False, "tier": 1},
-    {"holds": False, "free_unsent": True, "probes": True},
+    {"wait_for_upstream": False, "tier": 1},
+    {"wait_for_upstream": False, "unsent_attempts_free": True, "probes": True},
 ]
 
 
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -218,7 +218,7 @@
 
 
 def test_the_list_is_asked_for_and_again_after_a_failure_well_within_the_limit():
-    world = World(rows(1), list_on_request=True, ask_within=1_000_000)
+    world = World(rows(1), list_on_request=True, list_max_age=1_000_000)
     assert any(isinstance(a, api.WatchList) for a in world.wait(100_000))
     for _ in range(12):  # an overrun list service
         world.tell(api.UpstreamList(api.ListKind.BROKEN))
@@ -322,8 +322,8 @@
 
 # --- overload: refusing early at the first tier ------------------------------------------------
 
-DEAR = api.RequestClass("dear", 500_000, 1_000_000, api.Idempotency.REPEATABLE, worth=10.0)
-CHEAP = api.RequestClass("cheap", 500_000, 1_000_000, api.Idempotency.REPEATABLE, worth=0.0)
+DEAR = api.RequestClass("dear", 500_000, 1_000_000, api.Idempotency.REPEATABLE, value=10.0)
+CHEAP = api.RequestClass("cheap", 500_000, 1_000_000, api.Idempotency.REPEATABLE, value=0.0)
 
 
 def admitted(world: World, cls: str, count: int, **fields: object) -> int:
@@ -392,7 +392,7 @@
 
 def test_traffic_beyond_a_tenants_share_counts_as_cheap():
     tenants = (api.Tenant("a", 0.5, 1.0), api.Tenant("b", 0.5, 1000.0))
-    world = World(rows(10), classes=(DEAR,), tenants=tenants, over_share_worth=0.0)
+    world = World(rows(10), classes=(DEAR,), tenants=tenants, over_quota_value=0.0)
     worths = [world.balancer.calls[world.sent("dear", tenant="a")[0]].worth for _ in range(8)]
     assert worths[0] == 10.0
     assert worths[-1] == 0.0
@@ -400,7 +400,7 @@
 
 
 def test_a_late_answer_that_still_earns_is_waited_for():
-    late = api.RequestClass("late", 200_000, 1_000_000, api.Idempotency.REPEATABLE, late_worth=0.5)
+    late = api.RequestClass("late", 200_000, 1_000_000, api.Idempotency.REPEATABLE, late_value=0.5)
     _, actions = World(rows(5), classes=(late,)).call("late")
     assert sends(actions)[0].until > 100_000_000 + 900_000
 
