--- a/benchmarks/scale/hollow.py
+++ b/benchmarks/scale/hollow.py
@@ -40,9 +40,9 @@
 from brackengate.protocol.messages import Report as UpstreamReport
 from brackengate.proxy import failure_detector, role
 from brackengate.proxy.admission import Beat, Gate
-from brackengate.proxy.follow import Following
+from brackengate.proxy.control_client import Following
+from brackengate.proxy.liveness_monitor import Watcher
 from brackengate.proxy.routing_table import Table
-from brackengate.proxy.watcher import Watcher
 
 DRAIN_US = 2_000_000
 CLAIM_WITHIN_S = 5.0
--- a/benchmarks/scale/units.py
+++ b/benchmarks/scale/units.py
@@ -20,9 +20,9 @@
 from brackengate.control.transfer import NOTHING, next_piece
 from brackengate.protocol.config_items import read_call
 from brackengate.protocol.messages import Changes, CopyPiece, CopyRequest, Instance, Line, Row
-from brackengate.proxy.copy import PublicCopy
 from brackengate.proxy.failure_detector import Watch, named
 from brackengate.proxy.routing_table import Table
+from brackengate.proxy.snapshot_receiver import PublicCopy
 
 SIZES = (100, 300, 970)
 KEYS = (10_000, 100_000)
--- a/brackengate/emulator/calls/machine.py
+++ b/brackengate/emulator/calls/machine.py
@@ -27,7 +27,7 @@
 from brackengate.net.upstream import Pool
 from brackengate.protocol.http_api import listener
 from brackengate.protocol.messages import Claim, CommandDone, HeldBy, Unclaim
-from brackengate.proxy import verdict
+from brackengate.proxy import answer_classification
 from brackengate.proxy.admission import Beat, Gate
 from brackengate.proxy.egress import WayOut
 from brackengate.proxy.ingress import Entry
@@ -120,7 +120,7 @@
                 ground.loop, budget, 0.25, 9.0, ByteBudget(8 << 20),
                 wire=ground.wire, judge=judge, settle=settle, slow=False,
             )
-            for judge, settle in ((verdict.own_judge, None), (verdict.judge, 0))
+            for judge, settle in ((answer_classification.own_judge, None), (answer_classification.judge, 0))
         )  # fmt: skip
         address_of = lambda machine: (machine, INBOUND)  # noqa: E731
         ask = partial(simulation.core.ask, process)
--- a/brackengate/proxy/follow.py
+++ b/brackengate/proxy/control_client.py
@@ -40,10 +40,10 @@
     StageRequest,
 )
 from brackengate.proxy.apply_queue import ApplyQueue
-from brackengate.proxy.copy import PublicCopy
-from brackengate.proxy.currency import ClockOffset, Currency
+from brackengate.proxy.freshness import ClockOffset, Currency
 from brackengate.proxy.routing_table import Table
-from brackengate.proxy.staged import NotHeld, StagedStore
+from brackengate.proxy.snapshot_receiver import PublicCopy
+from brackengate.proxy.staged_changes import NotHeld, StagedStore
 
 log = logging.getLogger("brackengate.follow")
 
--- a/brackengate/proxy/egress.py
+++ b/brackengate/proxy/egress.py
@@ -35,13 +35,13 @@
 from brackengate.protocol.config_items import Route
 from brackengate.protocol.http_api import MOST_BODY
 from brackengate.protocol.messages import Instance
+from brackengate.proxy.answer_classification import judge
 from brackengate.proxy.budget import ration
 from brackengate.proxy.hop_headers import CALLER, DEADLINE, HOP, KEY, Said, Step, forwarded, hop_of, passed_on
-from brackengate.proxy.leaving import REFUSED_FOR, LeavePlan
 from brackengate.proxy.request_log import ID, Wake
 from brackengate.proxy.routing_table import Table, choose, host_of
-from brackengate.proxy.unrouted import NOT_FOUND, Unrouted
-from brackengate.proxy.verdict import judge
+from brackengate.proxy.shutdown_plan import REFUSED_FOR, LeavePlan
+from brackengate.proxy.unrouted_requests import NOT_FOUND, Unrouted
 
 log = logging.getLogger("brackengate.way")
 
--- a/brackengate/proxy/ingress.py
+++ b/brackengate/proxy/ingress.py
@@ -35,10 +35,10 @@
     step_of,
     turned_down,
 )
+from brackengate.proxy.ingress_request import Visit
 from brackengate.proxy.keys import Keys
 from brackengate.proxy.load import Load
 from brackengate.proxy.request_log import ID, Wake
-from brackengate.proxy.visit import Visit
 
 log = logging.getLogger("brackengate.gate")
 
--- a/brackengate/proxy/keys.py
+++ b/brackengate/proxy/keys.py
@@ -30,7 +30,7 @@
     hop_of,
     passed_on,
 )
-from brackengate.proxy.visit import Host, Visit
+from brackengate.proxy.ingress_request import Host, Visit
 
 log = logging.getLogger("brackengate.gate")
 
--- a/brackengate/proxy/role.py
+++ b/brackengate/proxy/role.py
@@ -3,8 +3,8 @@
 Outbound   egress.py      requests that begin on this machine: route, service, choice, another pilot
 Inbound    ingress.py     requests from pilots: gate, key, the upstream beside this one
 Control    heartbeats.py  the upstream's beats
-lighthouse follow.py      the log of changes in; reports and claims out
-pilots     watcher.py     signs of life, to and from the few others that watch this one
+lighthouse control_client.py the log of changes in; reports and claims out
+pilots     liveness_monitor.py signs of life, to and from the few others that watch this one
 """
 
 from __future__ import annotations
@@ -30,16 +30,16 @@
 from brackengate.protocol.messages import Instance, Report
 from brackengate.protocol.settings import BadSettings, Settings, plain
 from brackengate.proxy.admission import Beat, Gate
+from brackengate.proxy.answer_classification import judge, own_judge
+from brackengate.proxy.control_client import Following
 from brackengate.proxy.egress import WayOut
-from brackengate.proxy.follow import Following
 from brackengate.proxy.heartbeats import Beats
 from brackengate.proxy.ingress import Entry
-from brackengate.proxy.leaving import LeavePlan
+from brackengate.proxy.liveness_monitor import Watcher
 from brackengate.proxy.reachability import Reachability
 from brackengate.proxy.request_log import Wake
 from brackengate.proxy.routing_table import Table
-from brackengate.proxy.verdict import judge, own_judge
-from brackengate.proxy.watcher import Watcher
+from brackengate.proxy.shutdown_plan import LeavePlan
 
 log = logging.getLogger("brackengate.pilot")
 
--- a/tests/emulator/test_mesh_big_orders.py
+++ b/tests/emulator/test_mesh_big_orders.py
@@ -21,8 +21,8 @@
 from brackengate.emulator.mesh.scenario import changed
 from brackengate.emulator.mesh.world import CALM, Machine, World
 from brackengate.protocol import message_parts
-from brackengate.proxy.currency import Currency
 from brackengate.proxy.egress import WayOut
+from brackengate.proxy.freshness import Currency
 from brackengate.proxy.role import Pilot
 
 SOON = 400 * MS  # after an acknowledgement
--- a/tests/emulator/test_mesh_copies.py
+++ b/tests/emulator/test_mesh_copies.py
@@ -7,7 +7,7 @@
 
 from brackengate.control import log, transfer
 from brackengate.protocol.messages import CopyPiece, CopyPosition
-from brackengate.proxy.copy import PublicCopy
+from brackengate.proxy.snapshot_receiver import PublicCopy
 
 
 @pytest.mark.parametrize("name", ["snapshot-under-way", "lost-claimant"])
--- a/tests/proxy/mistakes.py
+++ b/tests/proxy/mistakes.py
@@ -16,7 +16,7 @@
 from brackengate.net.upstream import Result
 from brackengate.policy import retries
 from brackengate.policy.state import Call
-from brackengate.proxy import egress, ingress, keys, verdict
+from brackengate.proxy import answer_classification, egress, ingress, keys
 from brackengate.proxy.admission import State
 from brackengate.proxy.hop_headers import SEAL, Said, passed_on
 
@@ -34,8 +34,8 @@
     """Takes every answer for the call's own."""
 
     def judged(payload: bytes, answer: Answered) -> Result:
-        asked = verdict.call_id(payload)
-        fields = {**answer.fields, verdict._ID: asked or b""}
+        asked = answer_classification.call_id(payload)
+        fields = {**answer.fields, answer_classification._ID: asked or b""}
         return judge(payload, Answered(answer.status, fields, answer.body, answer.reuse, answer.headers))
 
     return judged
@@ -44,13 +44,17 @@
 def _bare_refusal(payload: bytes, answer: Answered) -> Result:
     """Passes a 429 or 503 on that does not say that nothing has run."""
     result = _own_judge(payload, answer)
-    bare = answer.status in verdict.PROMISES and result.outcome is Outcome.ERROR
+    bare = answer.status in answer_classification.PROMISES and result.outcome is Outcome.ERROR
     return Result(Outcome.OK, answer=answer) if bare else result
 
 
 def _bare_refusal_back(payload: bytes, answer: Answered) -> Result:
     result = _judge(payload, answer)
-    if answer.status in verdict.PROMISES and result.astray and answer.fields.get(verdict._SEAL):
+    if (
+        answer.status in answer_classification.PROMISES
+        and result.astray
+        and answer.fields.get(answer_classification._SEAL)
+    ):
         return Result(Outcome.ERROR, answer=answer)
     return result
 
@@ -59,7 +63,7 @@
     """Takes a success that nobody has put a seal to."""
 
     def judged(payload: bytes, answer: Answered) -> Result:
-        fields = {verdict._SEAL: b"", **answer.fields}
+        fields = {answer_classification._SEAL: b"", **answer.fields}
         return judge(payload, Answered(answer.status, fields, answer.body, answer.reuse, answer.headers))
 
     return judged
@@ -125,7 +129,11 @@
     self.finish(Result(Outcome.CONNECT_FAILED, stale=stale))
 
 
-_own_judge, _judge, _unserved = verdict.own_judge, verdict.judge, egress.MeshWords.unserved
+_own_judge, _judge, _unserved = (
+    answer_classification.own_judge,
+    answer_classification.judge,
+    egress.MeshWords.unserved,
+)
 _true_class_of, _true_ran, _true_ended = egress._class_of, ingress.Entry._ran, UpstreamMachine.ended
 _true_retry = retries.Retries._retry
 
@@ -138,8 +146,8 @@
 
     def made() -> AbstractContextManager[Any]:
         stack = ExitStack()
-        stack.enter_context(patch.object(verdict, "own_judge", own))
-        stack.enter_context(patch.object(verdict, "judge", back))
+        stack.enter_context(patch.object(answer_classification, "own_judge", own))
+        stack.enter_context(patch.object(answer_classification, "judge", back))
         stack.enter_context(patch.object(egress, "judge", back))
         return stack
 
@@ -149,7 +157,7 @@
 MISTAKES = {
     "id-at-gate": Mistake(
         "the proxy beside the upstream doesn't look whose an answer is",
-        lambda: patch.object(verdict, "own_judge", _no_id(_own_judge)),
+        lambda: patch.object(answer_classification, "own_judge", _no_id(_own_judge)),
     ),
     "id-at-way-out": Mistake(
         "the proxy beside the client doesn't look whose an answer is", _both(_own_judge, _no_id(_judge))
--- a/tests/proxy/pilots.py
+++ b/tests/proxy/proxy_pair.py
@@ -20,11 +20,11 @@
 from brackengate.protocol.http_api import listener
 from brackengate.protocol.messages import CommandDone, HeldBy
 from brackengate.proxy.admission import Beat, Gate
+from brackengate.proxy.answer_classification import judge, own_judge
 from brackengate.proxy.egress import WayOut
 from brackengate.proxy.ingress import Entry
 from brackengate.proxy.request_log import Wake
 from brackengate.proxy.routing_table import Table
-from brackengate.proxy.verdict import judge, own_judge
 
 LOCAL = "127.0.0.1"
 MS, S = 1_000, 1_000_000
--- a/tests/proxy/test_currency.py
+++ b/tests/proxy/test_freshness.py
@@ -7,10 +7,10 @@
 
 import pytest
 from peers import run
-from pilots import Mesh, Upstream, answers, ask
+from proxy_pair import Mesh, Upstream, answers, ask
 
-from brackengate.proxy.currency import NEVER, ClockOffset, Currency
-from brackengate.proxy.unrouted import HOLD_S
+from brackengate.proxy.freshness import NEVER, ClockOffset, Currency
+from brackengate.proxy.unrouted_requests import HOLD_S
 
 MS, S = 1_000, 1_000_000
 
--- a/tests/proxy/test_ingress.py
+++ b/tests/proxy/test_ingress.py
@@ -20,9 +20,9 @@
 from brackengate.net.upstream import Result
 from brackengate.protocol.messages import Claim, CommandDone, HeldBy, InvalidOrder, Unclaim
 from brackengate.proxy.admission import Beat, Gate, Operations, State
+from brackengate.proxy.answer_classification import own_judge
 from brackengate.proxy.hop_headers import HOP, Said, Step, passed_on
 from brackengate.proxy.ingress import Entry
-from brackengate.proxy.verdict import own_judge
 
 S = 1_000_000
 SEAL = b"x-brackengate-server-seal"
--- a/tests/proxy/test_deciders.py
+++ b/tests/proxy/test_proxy_decisions.py
@@ -12,8 +12,8 @@
 from brackengate.protocol.config_items import Part
 from brackengate.protocol.messages import Instance
 from brackengate.proxy.admission import Beat, Gate, Operations, State
+from brackengate.proxy.control_client import order
 from brackengate.proxy.egress import MeshWords
-from brackengate.proxy.follow import order
 from brackengate.proxy.hop_headers import HOP, Said, Step, step_of
 from brackengate.proxy.load import Load
 from brackengate.proxy.routing_table import Table, choose, host_of
--- a/tests/proxy/test_leaving.py
+++ b/tests/proxy/test_shutdown_plan.py
@@ -10,7 +10,7 @@
 from brackengate.emulator.mesh.play import play
 from brackengate.emulator.mesh.scenario import changed
 from brackengate.emulator.mesh.world import CALM, World
-from brackengate.proxy.leaving import LeavePlan
+from brackengate.proxy.shutdown_plan import LeavePlan
 
 MESH = Path(__file__).parent.parent.parent / "examples" / "lab" / "mesh"
 MS, S = 1_000, 1_000_000
--- a/tests/proxy/test_follower_copy.py
+++ b/tests/proxy/test_snapshot_receiver.py
@@ -10,8 +10,8 @@
 from brackengate.control.log import ReplicaLog
 from brackengate.control.transfer import NOTHING, Differs, next_piece
 from brackengate.protocol.messages import CopyPiece, CopyRequest, Entry
-from brackengate.proxy.copy import PublicCopy
 from brackengate.proxy.routing_table import Table
+from brackengate.proxy.snapshot_receiver import PublicCopy
 
 ITEMS = 60
 
--- a/tests/proxy/test_staged.py
+++ b/tests/proxy/test_staged_changes.py
@@ -29,13 +29,13 @@
     StagePiece,
     StageRequest,
 )
-from brackengate.proxy import follow
+from brackengate.proxy import control_client
 from brackengate.proxy.admission import Gate
 from brackengate.proxy.apply_queue import SLICE, ApplyQueue
-from brackengate.proxy.follow import Following
+from brackengate.proxy.control_client import Following
 from brackengate.proxy.role import Pilot
 from brackengate.proxy.routing_table import Table
-from brackengate.proxy.staged import KEPT, NotHeld, StagedStore
+from brackengate.proxy.staged_changes import KEPT, NotHeld, StagedStore
 
 ROUTES = 2_000
 PLAYED_S = 5.0
@@ -87,7 +87,7 @@
     def __init__(self) -> None:
         self.addr, self.good, self.closed = "10.0.0.1:80", True, False
         self.said: list[Line] = []
-        self.clock = follow.ClockOffset()
+        self.clock = control_client.ClockOffset()
 
     def send(self, word: Line) -> None:
         self.said.append(word)
--- a/tests/proxy/test_pieces.py
+++ b/tests/proxy/test_streamed_bodies.py
@@ -17,7 +17,7 @@
 
 import pytest
 from peers import Caller, chunk, reset, run
-from pilots import FORMS, Mesh, Upstream, answers, ask, body, head
+from proxy_pair import FORMS, Mesh, Upstream, answers, ask, body, head
 from test_bodies import BLOCK, Reader, received, send, until
 
 from brackengate.http import upstream as machine
@@ -28,7 +28,7 @@
 
 
 def digest(size: int) -> bytes:
-    """Of what `pilots.body` writes."""
+    """Of what `proxy_pair.body` writes."""
     told = hashlib.sha256()
     for at in range(0, size, 256 * KIB):
         told.update(BLOCK[: min(size - at, 256 * KIB)])
