--- a/benchmarks/mesh.py
+++ b/benchmarks/mesh.py
@@ -24,8 +24,8 @@
 from brackengate.control.store import open_disk
 from brackengate.interface import Outcome, Request
 from brackengate.protocol.messages import Row
-from brackengate.proxy.hop_headers import Said
-from brackengate.proxy.request_log import Wake
+from brackengate.proxy.hop_headers import HopOutcome
+from brackengate.proxy.request_log import RequestLog
 from standins.mesh import LONG, Machine, Mesh, call
 
 REQUESTS = 1500
@@ -106,22 +106,24 @@
 def remembering(count: int = 200_000) -> None:
     """One attempt at the way out and one visit at the gate for each request, in one process."""
 
-    def run(wake: Wake, requests: int) -> None:
+    def run(request_log: RequestLog, requests: int) -> None:
         for n in range(requests):
             request, at = Request(str(n), "route", 0), n * 1_000_000
-            wake.begins(request.request, b"%016x" % n, at, "route", "service", 500_000)
-            wake.attempt_began(request, 0, "i-7f3a91c2", at + 300)
-            wake.attempt_written(request, 0, "i-7f3a91c2")
-            wake.attempt_ended(request, 0, "i-7f3a91c2", Outcome.OK, 9_000)
-            wake.ended(request, 200 if n % 2 else 503, at, at + 9_400)
-            wake.visited(b"%016x" % n, at, 5_000, "route", "i-7f3a91c2", b"", Said.RAN, "")
+            request_log.record_request(request.request, b"%016x" % n, at, "route", "service", 500_000)
+            request_log.attempt_began(request, 0, "i-7f3a91c2", at + 300)
+            request_log.attempt_written(request, 0, "i-7f3a91c2")
+            request_log.attempt_ended(request, 0, "i-7f3a91c2", Outcome.OK, 9_000)
+            request_log.ended(request, 200 if n % 2 else 503, at, at + 9_400)
+            request_log.record_ingress(
+                b"%016x" % n, at, 5_000, "route", "i-7f3a91c2", b"", HopOutcome.RAN, ""
+            )
 
     begun = time.perf_counter()
-    run(Wake(), count)
+    run(RequestLog(), count)
     took = time.perf_counter() - begun
     tracemalloc.start()
-    wake = Wake()
-    run(wake, 5_000)
+    request_log = RequestLog()
+    run(request_log, 5_000)
     size = tracemalloc.get_traced_memory()[0]
     each = took / count * 1e6
     print(f"remembering a request, out and at the gate: {each:.1f} us; {size / 1024:.0f} KB at most")
--- a/benchmarks/scale/__main__.py
+++ b/benchmarks/scale/__main__.py
@@ -15,7 +15,7 @@
 from benchmarks.scale.measure import QUICK, Place, Spans, run
 from benchmarks.scale.results import Results, Run
 from benchmarks.scale.site import FIRST_PORT, Size
-from brackengate.proxy.failure_detector import LATE
+from brackengate.proxy.failure_detector import KEEPALIVE_TIMEOUT_US
 
 MOST_S = 1_500.0  # the whole stops by itself after so long
 RUN_S = 180.0  # and each run
@@ -32,7 +32,9 @@
     parser.add_argument("--rest", type=float, default=Spans().rest_s, help="seconds at rest")
     parser.add_argument("--claims", type=float, default=Spans().claims_s, help="seconds of claims")
     parser.add_argument("--at-once", type=int, default=Spans().most_at_once, help="claims under way")
-    parser.add_argument("--late", type=float, default=LATE / 1e3, help="ms until hollow ones suspect others")
+    parser.add_argument(
+        "--late", type=float, default=KEEPALIVE_TIMEOUT_US / 1e3, help="ms until hollow ones suspect others"
+    )
     parser.add_argument("--port", type=int, default=FIRST_PORT, help="the first of nine, on all addresses")
     parser.add_argument("--data", type=Path, help="folder for the replicas' disks")
     parser.add_argument("--out", type=Path, help="folder or name stem of results: .json, .txt, .png")
--- a/benchmarks/scale/hollow.py
+++ b/benchmarks/scale/hollow.py
@@ -39,10 +39,10 @@
 from brackengate.protocol.messages import Claim, CommandDone
 from brackengate.protocol.messages import Report as UpstreamReport
 from brackengate.proxy import failure_detector, role
-from brackengate.proxy.admission import Beat, Gate
-from brackengate.proxy.control_client import Following
-from brackengate.proxy.liveness_monitor import Watcher
-from brackengate.proxy.routing_table import Table
+from brackengate.proxy.admission import Admission, Heartbeat
+from brackengate.proxy.control_client import ControlClient
+from brackengate.proxy.liveness_monitor import LivenessMonitor
+from brackengate.proxy.routing_table import RoutingTable
 
 DRAIN_US = 2_000_000
 CLAIM_WITHIN_S = 5.0
@@ -53,7 +53,7 @@
 SUSPECTS_S = 0.05
 
 
-class CountingWatcher(Watcher):
+class CountingMonitor(LivenessMonitor):
     received = 0
 
     def datagram_received(self, data: bytes, addr: tuple[str | Any, int]) -> None:
@@ -66,13 +66,15 @@
 
     def __init__(self, plan: HollowPlan, ip: str, zone: str, service: str) -> None:
         self.ip, self.service, self._feedback_us = ip, service, plan.feedback_us
-        self.table = Table()
-        self.gate = Gate(zone, plan.feedback_us, DRAIN_US, f"{time.monotonic_ns():016x}")
-        self.following = Following(
+        self.table = RoutingTable()
+        self.admission = Admission(zone, plan.feedback_us, DRAIN_US, f"{time.monotonic_ns():016x}")
+        self.control_client = ControlClient(
             ip, zone, plan.port, lambda: plan.seeds, self.table, self._changed, steady_us, lambda _: ()
         )
         me = ip, plan.port
-        self.watcher = CountingWatcher(me, steady_us, self.following.ask, self._standing, lambda _: None)
+        self.liveness_monitor = CountingMonitor(
+            me, steady_us, self.control_client.send_command, self._standing, lambda _: None
+        )
         self.suspected_at: dict[str, int] = {}
         self.routed_at: dict[int, int] = {}  # by timeout of the route that the runs change
         self._most_known = 0
@@ -84,30 +86,32 @@
         self._loop = asyncio.get_running_loop()
 
     async def start(self) -> None:
-        await self.watcher.start()
-        self.following.start()
+        await self.liveness_monitor.start()
+        self.control_client.start()
         self._beat()
         self._report()
 
     def end(self) -> None:
         """Without a word, as a process that is killed."""
         self._ended = True
-        self.watcher.close()
-        self.following.close()
+        self.liveness_monitor.close()
+        self.control_client.close()
 
     def _beat(self) -> None:
         if self._ended:
             return
         self._beats += 1
-        self.gate.heard(Beat(f"i-{self.ip}", self.service, "ready", 6, 0, self._beats), steady_us())
+        self.admission.receive_heartbeat(
+            Heartbeat(f"i-{self.ip}", self.service, "ready", 6, 0, self._beats), steady_us()
+        )
         self._loop.call_later(self._feedback_us / 1e6, self._beat)
 
     def _report(self) -> None:
         if self._ended:
             return
-        self._loop.call_later(role.REPORT_S, self._report)
-        wanted, known = self.gate.report(steady_us()), self.table.instances.get(self.ip)
-        if wanted is None or self._reporting or not self.following.in_touch:
+        self._loop.call_later(role.REPORT_INTERVAL_S, self._report)
+        wanted, known = self.admission.report(steady_us()), self.table.instances.get(self.ip)
+        if wanted is None or self._reporting or not self.control_client.connected:
             return
         if known is not None and (known.id, known.state, known.pilot) == (
             wanted.id,
@@ -117,7 +121,7 @@
             return
         self._reporting = True
         what = UpstreamReport(self.ip, msgspec.to_builtins(wanted))
-        self.following.ask(what, self._reported, role.REPORT_WITHIN_S)
+        self.control_client.send_command(what, self._reported, role.REPORT_TIMEOUT_S)
 
     def _reported(self, result: object) -> None:
         self._reporting = False
@@ -136,13 +140,15 @@
             if self._telling is None or at < self._telling.when():
                 if self._telling is not None:
                     self._telling.cancel()
-                self._telling = self._loop.call_at(at, self._tell_watcher)
+                self._telling = self._loop.call_at(at, self._update_monitor)
 
-    def _tell_watcher(self) -> None:
+    def _update_monitor(self) -> None:
         self._telling = None
         if not self._ended:
-            suspected = {machine for machines in self.table.noticed.values() for machine in machines}
-            self.watcher.know(self.table.pilots(), suspected)
+            suspected = {
+                machine for machines in self.table.suspects_by_watcher.values() for machine in machines
+            }
+            self.liveness_monitor.update(self.table.proxy_machines(), suspected)
 
     def _standing(self, machine: str, up: bool) -> None:
         if not up:
@@ -170,8 +176,10 @@
 
     def _health(self) -> Health:
         stall, self._longest_stall_s = self._longest_stall_s, 0.0
-        suspected = {ip for proxy in self._proxies for ones in proxy.table.noticed.values() for ip in ones}
-        received = sum(proxy.watcher.received for proxy in self._proxies)
+        suspected = {
+            ip for proxy in self._proxies for ones in proxy.table.suspects_by_watcher.values() for ip in ones
+        }
+        received = sum(proxy.liveness_monitor.received for proxy in self._proxies)
         known = min((len(proxy.table.instances) for proxy in self._proxies), default=0)
         return Health(received, stall * 1e3, len(suspected), known)
 
@@ -226,7 +234,9 @@
                 number += 1
                 key = f"{order.tag}-{proxy.ip}-{caller}-{number}"
                 begun, answer = time.monotonic_ns(), asyncio.get_running_loop().create_future()
-                proxy.following.ask(Claim(key, proxy.ip, f"{begun:016x}"), answer.set_result, CLAIM_WITHIN_S)
+                proxy.control_client.send_command(
+                    Claim(key, proxy.ip, f"{begun:016x}"), answer.set_result, CLAIM_WITHIN_S
+                )
                 result = await answer
                 if result is None:
                     counts["unanswered"] += 1
@@ -240,7 +250,7 @@
 
 
 async def main(plan: HollowPlan) -> None:
-    failure_detector.LATE = plan.late_us
+    failure_detector.KEEPALIVE_TIMEOUT_US = plan.late_us
     process, loop = HollowProcess(plan), asyncio.get_running_loop()
     reader = asyncio.StreamReader(limit=1 << 20)
     await loop.connect_read_pipe(lambda: asyncio.StreamReaderProtocol(reader), sys.stdin)
--- a/benchmarks/scale/site.py
+++ b/benchmarks/scale/site.py
@@ -16,7 +16,7 @@
 from benchmarks.scale.orders import CHANGED_ROUTE, HOST, End, HollowPlan, Order, Report
 from brackengate.meshctl.ask import Bridge
 from brackengate.protocol.messages import Standing
-from brackengate.proxy.failure_detector import LATE
+from brackengate.proxy.failure_detector import KEEPALIVE_TIMEOUT_US
 from standins.mesh import ROOT, Machine, Ports, Upstream, call
 
 FEEDBACK_US = 1_500_000
@@ -44,7 +44,7 @@
     replicas: int = 3
     real_proxies: int = 3
     tolerance: int = 1
-    late_us: int = LATE
+    late_us: int = KEEPALIVE_TIMEOUT_US
 
     @property
     def services(self) -> int:
--- a/benchmarks/scale/units.py
+++ b/benchmarks/scale/units.py
@@ -20,9 +20,9 @@
 from brackengate.control.transfer import NOTHING, next_piece
 from brackengate.protocol.config_items import read_call
 from brackengate.protocol.messages import Changes, CopyPiece, CopyRequest, Instance, Line, Row
-from brackengate.proxy.failure_detector import Watch, named
-from brackengate.proxy.routing_table import Table
-from brackengate.proxy.snapshot_receiver import PublicCopy
+from brackengate.proxy.failure_detector import FailureDetector, watchers_of
+from brackengate.proxy.routing_table import RoutingTable
+from brackengate.proxy.snapshot_receiver import SnapshotReceiver
 
 SIZES = (100, 300, 970)
 KEYS = (10_000, 100_000)
@@ -79,13 +79,13 @@
         position = piece.position
 
 
-def take(sent: list[bytes]) -> Table:
-    copy, table = PublicCopy(), Table()
+def take(sent: list[bytes]) -> RoutingTable:
+    receiver, table = SnapshotReceiver(), RoutingTable()
     for data in sent:
         piece: Line = msgspec.json.decode(data, type=Line)
         assert isinstance(piece, CopyPiece)
-        if copy.take(copy.position, piece):
-            table.snapshot(*copy.whole())
+        if receiver.receive(receiver.position, piece):
+            table.apply_snapshot(*receiver.take_complete())
     return table
 
 
@@ -96,19 +96,22 @@
     rows = CommittedRows.of((kind, name, 1, value) for kind, name, value in held)
     sent = pieces(rows, recent)
     table, ip = take(sent), proxy_ip(0)
-    watch, change = Watch(ip, 0), msgspec.json.encode(Changes(2, (("inst", ip, upstream(size, 0)),)))
+    detector, change = (
+        FailureDetector(ip, 0),
+        msgspec.json.encode(Changes(2, (("inst", ip, upstream(size, 0)),))),
+    )
     changes = iter(range(2, 10_000_000))
 
     def take_change() -> None:
         word: Line = msgspec.json.decode(change, type=Line)
         assert isinstance(word, Changes)
-        table.changes(next(changes), word.rows)
-        watch.know(table.pilots(), (), 0)
+        table.apply_changes(next(changes), word.rows)
+        detector.update(table.proxy_machines(), (), 0)
 
     hosts = [{"Host": HOST, "Paths": [route(CHANGED_ROUTE, "s0", 2)]}]
     order = json.dumps({"Apply": {"Hosts": hosts}}).encode()
     items = ItemIndex.of(read_call(first_configuration(size)))
-    machines = table.pilots()
+    machines = table.proxy_machines()
     return Units(
         proxies=proxies,
         rows=len(held),
@@ -118,7 +121,7 @@
         change_bytes=len(change),
         change_taken=cpu_ms(take_change, 200),
         order_checked=cpu_ms(lambda: decide(read_call(order), items, lambda _: History()), 10),
-        watchers_ranked=cpu_ms(lambda: named(ip, machines), 20),
+        watchers_ranked=cpu_ms(lambda: watchers_of(ip, machines), 20),
     )
 
 
--- a/brackengate/emulator/calls/machine.py
+++ b/brackengate/emulator/calls/machine.py
@@ -28,11 +28,11 @@
 from brackengate.protocol.http_api import listener
 from brackengate.protocol.messages import Claim, CommandDone, HeldBy, Unclaim
 from brackengate.proxy import answer_classification
-from brackengate.proxy.admission import Beat, Gate
-from brackengate.proxy.egress import WayOut
-from brackengate.proxy.ingress import Entry
-from brackengate.proxy.request_log import Wake
-from brackengate.proxy.routing_table import Table
+from brackengate.proxy.admission import Admission, Heartbeat
+from brackengate.proxy.egress import Egress
+from brackengate.proxy.ingress import Ingress
+from brackengate.proxy.request_log import RequestLog
+from brackengate.proxy.routing_table import RoutingTable
 
 if TYPE_CHECKING:
     from brackengate.emulator.calls.simulation import Simulation
@@ -111,39 +111,44 @@
         ground = ground_of(process, simulation.loop, simulation.net, rng, 0)
         clock = ground.clock
         assert clock is not None
-        self.gate = Gate("z", 10**12, 2 * S)
+        self.admission = Admission("z", 10**12, 2 * S)
         if self.upstream is not None:
-            self.gate.heard(Beat(self.upstream.id, self.plant, "ready", 50, 0, 1), clock.now())
+            self.admission.receive_heartbeat(
+                Heartbeat(self.upstream.id, self.plant, "ready", 50, 0, 1), clock.now()
+            )
         budget = SocketBudget(500)
         own, peers = (
             Pool(
                 ground.loop, budget, 0.25, 9.0, ByteBudget(8 << 20),
                 wire=ground.wire, judge=judge, settle=settle, slow=False,
             )
-            for judge, settle in ((answer_classification.own_judge, None), (answer_classification.judge, 0))
+            for judge, settle in (
+                (answer_classification.classify_upstream_answer, None),
+                (answer_classification.classify_proxy_answer, 0),
+            )
         )  # fmt: skip
         address_of = lambda machine: (machine, INBOUND)  # noqa: E731
         ask = partial(simulation.core.ask, process)
-        self.entry = Entry(
-            ground.loop, clock, own, self.gate, self.ip, (self.ip, APPLICATION), WINDOW, ask, peers,
+        self.ingress = Ingress(
+            ground.loop, clock, own, self.admission, self.ip, (self.ip, APPLICATION), WINDOW, ask, peers,
             address_of, f"life{number}.{self.lives}",
         )  # fmt: skip
-        table = Table()
-        self.way = WayOut(
-            ground.loop, clock, budget, table, self.plant, address_of, rng, TRIES, Wake(),
+        table = RoutingTable()
+        self.egress = Egress(
+            ground.loop, clock, budget, table, self.plant, address_of, rng, TRIES, RequestLog(),
             ByteBudget(8 << 20), ground.wire,
         )  # fmt: skip
         self.servers = [
             listener(ground.loop, clock, [ground.bind((self.ip, port))], front, budget)
-            for port, front in ((INBOUND, self.entry), (OUTBOUND, self.way))
+            for port, front in ((INBOUND, self.ingress), (OUTBOUND, self.egress))
         ]
         process.enter(partial(self._start, table))
 
-    def _start(self, table: Table) -> None:
+    def _start(self, table: RoutingTable) -> None:
         for server in self.servers:
             server.start()
-        table.snapshot(1, rows())
-        self.way.changed()
+        table.apply_snapshot(1, rows())
+        self.egress.apply_table_changes()
 
     def _looks_on(self, end: End) -> None:
         end.wrote = lambda end, data: self.said.__setitem__(end, data)
@@ -161,9 +166,9 @@
         self.upstream.process.die()
         id_ = self.upstream.id + "'"
         self.upstream = ScriptedUpstream(self.simulation, self.number, id_, self.behaviours)
-        self.gate.heard(Beat(id_, self.plant, "ready", 50, 0, 1), 0)
+        self.admission.receive_heartbeat(Heartbeat(id_, self.plant, "ready", 50, 0, 1), 0)
 
     def term(self) -> None:
-        self.gate.closed = True
+        self.admission.closed = True
         for server in self.servers:
             server.ask_to_go(True)
--- a/brackengate/emulator/calls/simulation.py
+++ b/brackengate/emulator/calls/simulation.py
@@ -2,7 +2,7 @@
 
 client --> way out (egress proxy) --> gate (ingress proxy) --> upstream
 
-The proxies' code is as it is: `WayOut`, `Entry`, their pools and listeners, each machine's in a process of
+The proxies' code is as it is: `Egress`, `Ingress`, their pools and listeners, each machine's in a process of
 its own that can be frozen, killed and started again.
 """
 
@@ -52,7 +52,7 @@
         self.loop.run(last * MS + AFTERWARDS)
         self.seen.errors = self.loop.errors
         standing = [one for one in self.proxies if one.process.alive]
-        self.seen.held = sum(one.way.held() + one.entry.held() for one in standing)
+        self.seen.held = sum(one.egress.pending_count() + one.ingress.pending_count() for one in standing)
         for one in self.proxies:
             one.process.die()
         return self.seen
--- a/brackengate/emulator/mesh/world.py
+++ b/brackengate/emulator/mesh/world.py
@@ -19,7 +19,7 @@
 from brackengate.emulator.mesh.upstream import Upstream
 from brackengate.net.sockets import Address
 from brackengate.protocol.settings import Settings, parse
-from brackengate.proxy.role import Pilot
+from brackengate.proxy.role import Proxy
 
 STARTS = 250 * MS  # from a process to its first step
 BACK = 300 * MS  # from a process's end to the next one
@@ -44,7 +44,7 @@
         self.gone_at = -1  # when it went last
         self.powered = True
         self.upstream: Upstream | None = None
-        self.role: Pilot | Lighthouse | None = None
+        self.role: Proxy | Lighthouse | None = None
         self.rng = random.Random(f"{world.seed}/{name}")
         self.process = RoleProcess(world.loop, world.net, ip, name, self.rng)
         self.process.alive = False
@@ -83,9 +83,9 @@
             task = process.create_task(light.run())
             task.add_done_callback(lambda _: world.loop.after(0, partial(self._left, process)))
         else:
-            pilot = Pilot(settings, lambda: parse(world.settings(self, False)), ground)
+            pilot = Proxy(settings, lambda: parse(world.settings(self, False)), ground)
             self.role = pilot
-            pilot.left.add_done_callback(lambda _: world.loop.after(0, partial(self._left, process)))
+            pilot.exited.add_done_callback(lambda _: world.loop.after(0, partial(self._left, process)))
             pilot.start()
 
     def _left(self, process: RoleProcess) -> None:
--- a/brackengate/proxy/budget.py
+++ b/brackengate/proxy/budget.py
@@ -16,10 +16,10 @@
 
 from brackengate.interface import Ration
 
-OWN_PART = 0.4  # of ratio and slack; what is left bears one call and a half in each repeated run
+PROXY_SHARE = 0.4  # of ratio and slack; what is left bears one call and a half in each repeated run
 
 
-def ration(ratio: float, slack: float, pilots: int) -> Ration:
+def proxy_retry_budget(ratio: float, slack: float, proxies: int) -> Ration:
     """`pilots`: known by now, this one included.  If twice as many come before the news of them, what they
     save up together is still within the slack."""
-    return Ration(OWN_PART * ratio, OWN_PART * slack / max(1, pilots))
+    return Ration(PROXY_SHARE * ratio, PROXY_SHARE * slack / max(1, proxies))
--- a/brackengate/proxy/control_client.py
+++ b/brackengate/proxy/control_client.py
@@ -40,292 +40,294 @@
     StageRequest,
 )
 from brackengate.proxy.apply_queue import ApplyQueue
-from brackengate.proxy.freshness import ClockOffset, Currency
-from brackengate.proxy.routing_table import Table
-from brackengate.proxy.snapshot_receiver import PublicCopy
-from brackengate.proxy.staged_changes import NotHeld, StagedStore
+from brackengate.proxy.freshness import ClockOffset, ConfigFreshness
+from brackengate.proxy.routing_table import RoutingTable
+from brackengate.proxy.snapshot_receiver import SnapshotReceiver
+from brackengate.proxy.staged_changes import StagedChangeMissing, StagedChanges
 
 log = logging.getLogger("brackengate.follow")
 
-SILENT = 600_000  # a member beats every 0.15 to 0.2 s
-LOOK_S = 0.15  # between two looks whether it has gone silent
-PAUSE_S = 0.1
-CLOCK_S = 4.0  # between two exchanges of times with the member that is followed
-HOME_S = 4.0  # between two looks whether a nearer member is there again
+SILENCE_TIMEOUT_US = 600_000  # a member beats every 0.15 to 0.2 s
+SILENCE_CHECK_S = 0.15  # between two looks whether it has gone silent
+RECONNECT_PAUSE_S = 0.1
+CLOCK_EXCHANGE_S = 4.0  # between two exchanges of times with the member that is followed
+NEARER_REPLICA_CHECK_S = 4.0  # between two looks whether a nearer member is there again
 
 
-def order(me: str, zone: str, members: Iterable[tuple[str, str]]) -> list[str]:
+def rank_replicas(me: str, zone: str, replicas: Iterable[tuple[str, str]]) -> list[str]:
     """The members as this pilot would follow them: its own zone's first, then by rendezvous hashing."""
 
-    def rank(member: tuple[str, str]) -> tuple[bool, bytes]:
-        addr, its_zone = member
-        return its_zone != zone, hashlib.blake2b(f"{me}|{addr}".encode(), digest_size=8).digest()
+    def rank(replica: tuple[str, str]) -> tuple[bool, bytes]:
+        addr, replica_zone = replica
+        return replica_zone != zone, hashlib.blake2b(f"{me}|{addr}".encode(), digest_size=8).digest()
 
-    return [addr for addr, _ in sorted(set(members), key=rank)]
+    return [addr for addr, _ in sorted(set(replicas), key=rank)]
 
 
 @dataclass(slots=True, eq=False)
-class Question:
-    what: Command
+class PendingCommand:
+    command: Command
     done: Callable[[Any], None]
     timer: asyncio.TimerHandle
 
 
-class Link:
+class ReplicaLink:
     """One connection to one member, and whether it has said anything of use."""
 
-    def __init__(self, follow: Following, addr: str) -> None:
-        self.addr, self._follow = addr, follow
-        self.heard = follow.now()
-        self.good = False
+    def __init__(self, client: ControlClient, addr: str) -> None:
+        self.addr, self._client = addr, client
+        self.last_received = client.now()
+        self.established = False
         self.clock = ClockOffset()
-        self._asked, self._request = NOTHING, 0  # the piece of a copy that comes next
+        self._requested_position, self._request_id = NOTHING, 0  # the piece of a copy that comes next
         host = parse_address(addr)[0]
-        address = host, follow.port
+        address = host, client.port
         self._dialer = Dialer(
-            address, self._line, self._opened, self._ended, tries=1, on_part=self._heard_something
+            address, self._on_message, self._on_open, self._on_close, tries=1, on_part=self._note_activity
         )
 
-    def send(self, word: Line) -> None:
-        self._dialer.send(word)
+    def send(self, message: Line) -> None:
+        self._dialer.send(message)
 
     def close(self) -> None:
         self._dialer.close()
 
-    def _opened(self, dialer: Dialer) -> None:
-        self.heard = self._follow.now()
-        dialer.send(Hello(self._follow.me, pilot=True))
-        self._asked, self._request = self._follow.copy.position, 0
+    def _on_open(self, dialer: Dialer) -> None:
+        self.last_received = self._client.now()
+        dialer.send(Hello(self._client.me, pilot=True))
+        self._requested_position, self._request_id = self._client.snapshot.position, 0
         dialer.send(
             Follow(
-                self._follow.table.index,
+                self._client.table.index,
                 tells=True,
-                copy=self._asked,
-                sent=self.heard,
-                staged=self._follow.staged.positions(),
+                copy=self._requested_position,
+                sent=self.last_received,
+                staged=self._client.staged_changes.positions(),
             )
         )
 
-    def ask_for_piece(self, position: CopyPosition) -> None:
-        self._asked, self._request = position, self._request + 1
-        self.send(CopyRequest(self._request, position))
+    def request_piece(self, position: CopyPosition) -> None:
+        self._requested_position, self._request_id = position, self._request_id + 1
+        self.send(CopyRequest(self._request_id, position))
 
-    def asked_for(self, piece: CopyPiece) -> CopyPosition | None:
+    def requested_position(self, piece: CopyPiece) -> CopyPosition | None:
         """The position that this piece follows; None where it answers no open request."""
-        return self._asked if piece.id in (0, self._request) else None
+        return self._requested_position if piece.id in (0, self._request_id) else None
 
-    def _heard_something(self) -> None:
-        self.heard = self._follow.now()
+    def _note_activity(self) -> None:
+        self.last_received = self._client.now()
 
-    def _line(self, word: Line) -> None:
-        self._heard_something()
-        self._follow.line(self, word)
+    def _on_message(self, message: Line) -> None:
+        self._note_activity()
+        self._client.receive(self, message)
 
-    def _ended(self) -> None:
-        self._follow.lost(self, "the connection ended")
+    def _on_close(self) -> None:
+        self._client.drop_link(self, "the connection ended")
 
 
-class Following:
+class ControlClient:
     def __init__(
         self,
         me: str,
         zone: str,
         port: int,
         seeds: Callable[[], Iterable[str]],
-        table: Table,
+        table: RoutingTable,
         changed: Callable[[set[str]], None],
         now: Callable[[], int],
-        wake: Callable[[str], tuple[dict[str, Any], ...]],
+        records_of: Callable[[str], tuple[dict[str, Any], ...]],
     ) -> None:
         """`seeds`: asked again whenever nobody else is known who answers.  `changed`: told what kinds of rows
         have changed, once the table has them.  `wake`: what was decided of an attempt, for an operator."""
-        self._wake = wake
-        self.copy = PublicCopy()
-        self.staged, self.currency = StagedStore(), Currency()
-        self.on_current: Callable[[], None] = lambda: None  # what is in force, or how current it is, changed
+        self._records_of = records_of
+        self.snapshot = SnapshotReceiver()
+        self.staged_changes, self.freshness = StagedChanges(), ConfigFreshness()
+        self.on_freshness_changed: Callable[[], None] = (
+            lambda: None
+        )  # what is in force, or how current it is, changed
         self.me, self.zone, self.port, self.table, self.now = me, zone, port, table, now
-        self._seeds, self._changed = seeds, changed
-        self._members: dict[str, str] = {}
-        self._link: Link | None = None  # followed, or being tried
-        self._home: Link | None = None  # a nearer one, being tried beside it
-        self._turn: list[str] = []
-        self._questions: dict[int, Question] = {}
-        self._last = 0
+        self._seeds, self._on_changed = seeds, changed
+        self._replicas: dict[str, str] = {}
+        self._link: ReplicaLink | None = None  # followed, or being tried
+        self._nearer_link: ReplicaLink | None = None  # a nearer one, being tried beside it
+        self._candidates: list[str] = []
+        self._pending: dict[int, PendingCommand] = {}
+        self._last_command_id = 0
         self._closed = False
         self._loop = asyncio.get_running_loop()
-        self._changes = ApplyQueue(table, self._loop.call_soon, self._told)
+        self._apply_queue = ApplyQueue(table, self._loop.call_soon, self._on_applied)
 
     def start(self) -> None:
-        self._next()
-        self._watch()
-        self._loop.call_later(HOME_S, self._look_home)
+        self._connect_next()
+        self._check_silence()
+        self._loop.call_later(NEARER_REPLICA_CHECK_S, self._check_nearer_replica)
         self._exchange_times()
 
     def close(self) -> None:
         self._closed = True
-        for link in (self._link, self._home):
+        for link in (self._link, self._nearer_link):
             if link is not None:
                 link.close()
 
     @property
-    def in_touch(self) -> bool:
-        return self._link is not None and self._link.good
+    def connected(self) -> bool:
+        return self._link is not None and self._link.established
 
     # --- asking
 
-    def ask(self, what: Command, done: Callable[[Any], None], within_s: float) -> None:
+    def send_command(self, command: Command, done: Callable[[Any], None], timeout_s: float) -> None:
         """`done` is called once, with None where no answer came in time."""
-        self._last += 1
-        number = self._last
-        timer = self._loop.call_later(within_s, self._unanswered, number)
-        self._questions[number] = Question(what, done, timer)
-        if self._link is not None and self._link.good:
-            self._link.send(FollowerCommand(number, what))
-
-    def _unanswered(self, number: int) -> None:
-        question = self._questions.pop(number, None)
-        if question is not None:
-            question.done(None)
+        self._last_command_id += 1
+        number = self._last_command_id
+        timer = self._loop.call_later(timeout_s, self._on_command_timeout, number)
+        self._pending[number] = PendingCommand(command, done, timer)
+        if self._link is not None and self._link.established:
+            self._link.send(FollowerCommand(number, command))
+
+    def _on_command_timeout(self, number: int) -> None:
+        pending = self._pending.pop(number, None)
+        if pending is not None:
+            pending.done(None)
 
     # --- how current it is
 
-    def is_current(self, within: int) -> bool:
+    def is_current(self, max_age: int) -> bool:
         """Whether all that was acknowledged `within` microseconds ago is in force here."""
-        return self.currency.current(self.now(), within)
+        return self.freshness.is_current(self.now(), max_age)
 
     def _exchange_times(self) -> None:
         if self._closed:
             return
-        self._loop.call_later(CLOCK_S, self._exchange_times)
-        if self._link is not None and self._link.good:
+        self._loop.call_later(CLOCK_EXCHANGE_S, self._exchange_times)
+        if self._link is not None and self._link.established:
             self._link.send(ClockRequest(self.now()))
 
-    def _heartbeat(self, link: Link, beat: Beat) -> None:
+    def _on_heartbeat(self, link: ReplicaLink, beat: Beat) -> None:
         now = self.now()
         if not beat.now:
             return
         if beat.echo:
-            link.clock.exchanged(beat.echo, beat.now, now)
-        self.currency.heartbeat(beat.index, link.clock.to_ours(beat.now - beat.age, now))
-        self.on_current()
+            link.clock.add_exchange(beat.echo, beat.now, now)
+        self.freshness.heartbeat(beat.index, link.clock.to_local(beat.now - beat.age, now))
+        self.on_freshness_changed()
 
     # --- following
 
-    def _next(self) -> None:
+    def _connect_next(self) -> None:
         """Try the next member in turn."""
         if self._closed:
             return
-        if not self._turn:
-            known = {**dict.fromkeys(self._seeds(), ""), **self._members}
-            self._turn = order(self.me, self.zone, known.items())
-        if not self._turn:
-            self._loop.call_later(PAUSE_S, self._next)
+        if not self._candidates:
+            known = {**dict.fromkeys(self._seeds(), ""), **self._replicas}
+            self._candidates = rank_replicas(self.me, self.zone, known.items())
+        if not self._candidates:
+            self._loop.call_later(RECONNECT_PAUSE_S, self._connect_next)
             return
-        self._link = Link(self, self._turn.pop(0))
+        self._link = ReplicaLink(self, self._candidates.pop(0))
 
-    def lost(self, link: Link, why: str) -> None:
+    def drop_link(self, link: ReplicaLink, reason: str) -> None:
         link.close()
-        if link is self._home:
-            self._home = None
+        if link is self._nearer_link:
+            self._nearer_link = None
         elif link is self._link:
-            if link.good:  # the others first: whoever has just gone silent would be waited for in vain
-                log.info("follow: left %s: %s", link.addr, why)
-                others = order(self.me, self.zone, self._members.items())
-                self._turn = [*(addr for addr in others if addr != link.addr), link.addr]
+            if link.established:  # the others first: whoever has just gone silent would be waited for in vain
+                log.info("follow: left %s: %s", link.addr, reason)
+                others = rank_replicas(self.me, self.zone, self._replicas.items())
+                self._candidates = [*(addr for addr in others if addr != link.addr), link.addr]
             self._link = None
-            self._loop.call_later(PAUSE_S if not self._turn else 0.0, self._next)
+            self._loop.call_later(RECONNECT_PAUSE_S if not self._candidates else 0.0, self._connect_next)
 
-    def _watch(self) -> None:
+    def _check_silence(self) -> None:
         if self._closed:
             return
-        self._loop.call_later(LOOK_S, self._watch)
-        for link in (self._link, self._home):
-            if link is not None and self.now() - link.heard > SILENT:
-                self.lost(link, "silence")
+        self._loop.call_later(SILENCE_CHECK_S, self._check_silence)
+        for link in (self._link, self._nearer_link):
+            if link is not None and self.now() - link.last_received > SILENCE_TIMEOUT_US:
+                self.drop_link(link, "silence")
 
-    def _look_home(self) -> None:
+    def _check_nearer_replica(self) -> None:
         if self._closed:
             return
-        self._loop.call_later(HOME_S, self._look_home)
-        best = order(self.me, self.zone, self._members.items())[:1]
+        self._loop.call_later(NEARER_REPLICA_CHECK_S, self._check_nearer_replica)
+        nearest = rank_replicas(self.me, self.zone, self._replicas.items())[:1]
         link = self._link
-        if link is None or not link.good or self._home is not None or not best:
+        if link is None or not link.established or self._nearer_link is not None or not nearest:
             return
-        if self._members[best[0]] == self.zone and link.addr != best[0]:
-            self._home = Link(self, best[0])
-
-    def line(self, link: Link, word: Line) -> None:
-        if isinstance(word, Away):
-            self.lost(link, "it is out of touch")
-        elif isinstance(word, Look):
-            seen = self._wake(word.attempt) if word.attempt else ()
-            link.send(Seen(word.id, self.table.index, seen))
-        elif isinstance(word, Core):
-            self._members = dict(word.members)
-        elif isinstance(word, Result):
-            question = self._questions.pop(word.id, None)
-            if question is not None:
-                question.timer.cancel()
-                question.done(word.result)
-        elif isinstance(word, Beat):
-            self._heartbeat(link, word)
-        elif isinstance(word, Changes):
-            self._followed(link)
-            self.copy.begin_anew()
-            self._take_changes(link, word)
-        elif isinstance(word, StageOffer):
-            link.send(StageRequest(word.id, self.staged.offered(word.id, word.pieces)))
-        elif isinstance(word, StagePiece):
-            wanted = self.staged.take(word)
+        if self._replicas[nearest[0]] == self.zone and link.addr != nearest[0]:
+            self._nearer_link = ReplicaLink(self, nearest[0])
+
+    def receive(self, link: ReplicaLink, message: Line) -> None:
+        if isinstance(message, Away):
+            self.drop_link(link, "it is out of touch")
+        elif isinstance(message, Look):
+            seen = self._records_of(message.attempt) if message.attempt else ()
+            link.send(Seen(message.id, self.table.index, seen))
+        elif isinstance(message, Core):
+            self._replicas = dict(message.members)
+        elif isinstance(message, Result):
+            pending = self._pending.pop(message.id, None)
+            if pending is not None:
+                pending.timer.cancel()
+                pending.done(message.result)
+        elif isinstance(message, Beat):
+            self._on_heartbeat(link, message)
+        elif isinstance(message, Changes):
+            self._establish(link)
+            self.snapshot.restart()
+            self._take_changes(link, message)
+        elif isinstance(message, StageOffer):
+            link.send(StageRequest(message.id, self.staged_changes.next_piece(message.id, message.pieces)))
+        elif isinstance(message, StagePiece):
+            wanted = self.staged_changes.receive(message)
             if wanted is not None:
-                link.send(StageRequest(word.id, wanted))
-        elif isinstance(word, CopyPiece):
-            self._followed(link)
-            self._piece(link, word)
-
-    def _piece(self, link: Link, piece: CopyPiece) -> None:
-        asked = link.asked_for(piece)
-        if asked is None:
+                link.send(StageRequest(message.id, wanted))
+        elif isinstance(message, CopyPiece):
+            self._establish(link)
+            self._receive_piece(link, message)
+
+    def _receive_piece(self, link: ReplicaLink, piece: CopyPiece) -> None:
+        requested_after = link.requested_position(piece)
+        if requested_after is None:
             return
         try:
-            whole = self.copy.take(asked, piece)
-        except Differs as why:
-            log.error("follow: step copy, from %s: it differs: %s", link.addr, why)
-            self.lost(link, "its copy differs")
+            complete = self.snapshot.receive(requested_after, piece)
+        except Differs as reason:
+            log.error("follow: step copy, from %s: it differs: %s", link.addr, reason)
+            self.drop_link(link, "its copy differs")
             return
-        if whole:
-            self._changes.add_copy(*self.copy.whole())
+        if complete:
+            self._apply_queue.add_snapshot(*self.snapshot.take_complete())
         else:
-            link.ask_for_piece(self.copy.position)
+            link.request_piece(self.snapshot.position)
 
-    def _take_changes(self, link: Link, news: Changes) -> None:
+    def _take_changes(self, link: ReplicaLink, changes: Changes) -> None:
         """Staged rows are put in force before those that come with them."""
         rows: list[Row] = []
         try:
-            for reference in news.staged:
-                rows += self.staged.put_in_force(reference)
-        except NotHeld as why:
-            log.error("follow: step staged, from %s: %s is not here", link.addr, why)
-            self.lost(link, "it refers to what is not here")
+            for reference in changes.staged:
+                rows += self.staged_changes.take_rows(reference)
+        except StagedChangeMissing as reason:
+            log.error("follow: step staged, from %s: %s is not here", link.addr, reason)
+            self.drop_link(link, "it refers to what is not here")
             return
-        self._changes.add(news.index, (*rows, *news.rows))
+        self._apply_queue.add(changes.index, (*rows, *changes.rows))
 
-    def _told(self, changed: set[str]) -> None:
-        self.currency.reached(self.table.index)
+    def _on_applied(self, changed: set[str]) -> None:
+        self.freshness.index_applied(self.table.index)
         if changed:
-            self._changed(changed)
-        self.on_current()
+            self._on_changed(changed)
+        self.on_freshness_changed()
 
-    def _followed(self, link: Link) -> None:
+    def _establish(self, link: ReplicaLink) -> None:
         """It is in touch: what was asked is asked again there."""
-        if link.good:
+        if link.established:
             return
-        link.good = True
-        if link is self._home:
-            old, self._link, self._home = self._link, link, None
+        link.established = True
+        if link is self._nearer_link:
+            old, self._link, self._nearer_link = self._link, link, None
             if old is not None:
                 old.close()
-        self._turn = []
+        self._candidates = []
         log.info("follow: %s, from index %d", link.addr, self.table.index)
-        for number, question in self._questions.items():
-            link.send(FollowerCommand(number, question.what))
+        for number, pending in self._pending.items():
+            link.send(FollowerCommand(number, pending.command))
--- a/brackengate/proxy/failure_detector.py
+++ b/brackengate/proxy/failure_detector.py
@@ -14,115 +14,130 @@
 from collections.abc import Iterable
 from dataclasses import dataclass
 
-FEW = 3  # that watch one
-EVERY = 100_000  # between two signs of life
-LATE = 320_000  # two signs lost in a row, and a little
-ASKS = 50_000  # between two ticks while somebody is asked
-CONFIRM = 150_000  # asked for so long without an answer: it is silent
-GONE = 450_000  # and for so long: what is under way there will not be answered
-ROUND = 600_000  # one that has answered is asked again after this, one that is gone too
-GAP = 250_000  # between two ticks: this process stood still, and nothing that it has heard is fresh
+WATCHERS_PER_PROXY = 3  # that watch one
+KEEPALIVE_INTERVAL_US = 100_000  # between two signs of life
+KEEPALIVE_TIMEOUT_US = 320_000  # two signs lost in a row, and a little
+PROBE_INTERVAL_US = 50_000  # between two ticks while somebody is asked
+SILENT_AFTER_US = 150_000  # asked for so long without an answer: it is silent
+GONE_AFTER_US = 450_000  # and for so long: what is under way there will not be answered
+REPROBE_INTERVAL_US = 600_000  # one that has answered is asked again after this, one that is gone too
+MAX_TICK_GAP_US = (
+    250_000  # between two ticks: this process stood still, and nothing that it has heard is fresh
+)
 NEVER = -(2**60)
 
 
-def named(machine: str, pilots: Iterable[str]) -> tuple[str, ...]:
+def watchers_of(machine: str, proxies: Iterable[str]) -> tuple[str, ...]:
     """Those who watch this machine, by rendezvous hashing."""
 
     def rank(other: str) -> bytes:
         return hashlib.blake2b(f"{machine}|{other}".encode(), digest_size=8).digest()
 
-    return tuple(sorted((one for one in pilots if one != machine), key=rank)[:FEW])
+    return tuple(sorted((other for other in proxies if other != machine), key=rank)[:WATCHERS_PER_PROXY])
 
 
 @dataclass(frozen=True, slots=True)
-class Sends:
-    signs: tuple[str, ...]
-    asks: tuple[str, ...]
+class Datagrams:
+    keepalives: tuple[str, ...]
+    probes: tuple[str, ...]
 
 
 @dataclass(slots=True)
-class Doubt:
+class Suspicion:
     """Of one that a watcher does not hear."""
 
-    next: int  # when it is asked
-    since: int | None = None  # when it was asked first without an answer to that or a later ask
+    next_probe_at: int  # when it is asked
+    unanswered_since: int | None = None  # when it was asked first without an answer to that or a later ask
 
 
-class Watch:
+class FailureDetector:
     def __init__(self, me: str, now: int) -> None:
         self.me = me
-        self._pilots: frozenset[str] = frozenset()
-        self._named: tuple[str, ...] | None = ()  # None: to be found at the next tick
-        self._names_me: dict[str, bool] = {}  # late senders: whether this pilot watches them, by this list
-        self._heard: dict[str, int] = {}  # by sender of signs
-        self._doubts: dict[str, Doubt] = {}
-        self._ticked = now
-        self._signed = NEVER
-        self.noticed: tuple[str, ...] = ()  # whom this watcher does not hear: what the core should know
+        self._proxies: frozenset[str] = frozenset()
+        self._own_watchers: tuple[str, ...] | None = ()  # None: to be found at the next tick
+        self._watched_here: dict[
+            str, bool
+        ] = {}  # late senders: whether this pilot watches them, by this list
+        self._last_keepalive: dict[str, int] = {}  # by sender of signs
+        self._suspicions: dict[str, Suspicion] = {}
+        self._last_tick = now
+        self._last_sent = NEVER
+        self.suspects: tuple[str, ...] = ()  # whom this watcher does not hear: what the core should know
         self.silent: frozenset[str] = frozenset()  # who does not answer this pilot either
         self.gone: frozenset[str] = frozenset()  # of these, for long
 
     @property
-    def busy(self) -> bool:
+    def probing(self) -> bool:
         """Whether somebody is being asked: ticks are then wanted at each `ASKS`, else at each `EVERY`."""
-        return bool(self._doubts)
+        return bool(self._suspicions)
 
-    def know(self, pilots: Iterable[str], noticed: Iterable[str], now: int) -> None:
+    def update(self, proxies: Iterable[str], suspects: Iterable[str], now: int) -> None:
         """The machines by the list of upstreams, and those that any watcher does not hear."""
-        pilots = frozenset(pilots)
-        if pilots != self._pilots:
-            self._pilots = pilots
-            self._named = None  # at the next tick: when a region starts, the list changes a thousand times
-            self._names_me.clear()
-            self._heard = {one: at for one, at in self._heard.items() if one in pilots}
-        doubted = (set(noticed) & pilots) - {self.me}
-        self._doubts = {one: self._doubts.get(one) or Doubt(now) for one in doubted}
-        self.silent, self.gone = self.silent & doubted, self.gone & doubted
-
-    def sign(self, sender: str, now: int) -> None:
-        if sender in self._pilots:
-            self._heard[sender] = now
-        self.answer(sender, now)
-
-    def answer(self, sender: str, now: int) -> None:
-        doubt = self._doubts.get(sender)
-        if doubt is not None:
-            doubt.since, doubt.next = None, now + ROUND
+        proxies = frozenset(proxies)
+        if proxies != self._proxies:
+            self._proxies = proxies
+            self._own_watchers = (
+                None  # at the next tick: when a region starts, the list changes a thousand times
+            )
+            self._watched_here.clear()
+            self._last_keepalive = {
+                machine: at for machine, at in self._last_keepalive.items() if machine in proxies
+            }
+        suspected = (set(suspects) & proxies) - {self.me}
+        self._suspicions = {machine: self._suspicions.get(machine) or Suspicion(now) for machine in suspected}
+        self.silent, self.gone = self.silent & suspected, self.gone & suspected
+
+    def receive_keepalive(self, sender: str, now: int) -> None:
+        if sender in self._proxies:
+            self._last_keepalive[sender] = now
+        self.receive_probe_reply(sender, now)
+
+    def receive_probe_reply(self, sender: str, now: int) -> None:
+        suspicion = self._suspicions.get(sender)
+        if suspicion is not None:
+            suspicion.unanswered_since, suspicion.next_probe_at = None, now + REPROBE_INTERVAL_US
             self.silent, self.gone = self.silent - {sender}, self.gone - {sender}
 
-    def tick(self, now: int) -> Sends:
+    def tick(self, now: int) -> Datagrams:
         """Whom to send what; `noticed` and `silent` are right after it."""
-        if now - self._ticked > GAP:
-            self._heard = dict.fromkeys(self._heard, now)
-            self._doubts = {one: Doubt(now) for one in self._doubts}
-        self._ticked = now
-        late = [one for one, at in self._heard.items() if now - at > LATE]
-        for one in late:
-            if not self._watches(one):
-                del self._heard[one]  # it has others to send to by now
-        self.noticed = tuple(sorted(one for one in late if one in self._heard))
-        signs: tuple[str, ...] = ()
-        if now - self._signed >= EVERY - ASKS // 2:
-            if self._named is None:
-                self._named = named(self.me, self._pilots)
-            self._signed, signs = now, self._named
-        return Sends(signs, tuple(one for one, doubt in self._doubts.items() if self._asks(one, doubt, now)))
-
-    def _watches(self, one: str) -> bool:
+        if now - self._last_tick > MAX_TICK_GAP_US:
+            self._last_keepalive = dict.fromkeys(self._last_keepalive, now)
+            self._suspicions = {machine: Suspicion(now) for machine in self._suspicions}
+        self._last_tick = now
+        late = [machine for machine, at in self._last_keepalive.items() if now - at > KEEPALIVE_TIMEOUT_US]
+        for machine in late:
+            if not self._watches(machine):
+                del self._last_keepalive[machine]  # it has others to send to by now
+        self.suspects = tuple(sorted(machine for machine in late if machine in self._last_keepalive))
+        keepalives: tuple[str, ...] = ()
+        if now - self._last_sent >= KEEPALIVE_INTERVAL_US - PROBE_INTERVAL_US // 2:
+            if self._own_watchers is None:
+                self._own_watchers = watchers_of(self.me, self._proxies)
+            self._last_sent, keepalives = now, self._own_watchers
+        return Datagrams(
+            keepalives,
+            tuple(
+                machine
+                for machine, suspicion in self._suspicions.items()
+                if self._probe_due(machine, suspicion, now)
+            ),
+        )
+
+    def _watches(self, machine: str) -> bool:
         """Found once for each list: one that is dead is late at every tick until it leaves the list."""
-        if one not in self._names_me:
-            self._names_me[one] = self.me in named(one, self._pilots)
-        return self._names_me[one]
+        if machine not in self._watched_here:
+            self._watched_here[machine] = self.me in watchers_of(machine, self._proxies)
+        return self._watched_here[machine]
 
-    def _asks(self, one: str, doubt: Doubt, now: int) -> bool:
+    def _probe_due(self, machine: str, suspicion: Suspicion, now: int) -> bool:
         """Whether to ask it now."""
-        if now < doubt.next:
+        if now < suspicion.next_probe_at:
             return False
-        if doubt.since is None:
-            doubt.since = now
-        elif now - doubt.since >= GONE:
-            self.gone |= {one}
-            doubt.next = now + ROUND
-        if now - doubt.since >= CONFIRM:
-            self.silent |= {one}
+        if suspicion.unanswered_since is None:
+            suspicion.unanswered_since = now
+        elif now - suspicion.unanswered_since >= GONE_AFTER_US:
+            self.gone |= {machine}
+            suspicion.next_probe_at = now + REPROBE_INTERVAL_US
+        if now - suspicion.unanswered_since >= SILENT_AFTER_US:
+            self.silent |= {machine}
         return True
--- a/brackengate/proxy/freshness.py
+++ b/brackengate/proxy/freshness.py
@@ -13,8 +13,8 @@
 from dataclasses import dataclass, field
 
 NEVER = -(2**60)
-DRIFT = 1_000  # one part in so many: how far two steady clocks may run apart
-MOST_AWAITED = 64
+MAX_DRIFT_DIVISOR = 1_000  # one part in so many: how far two steady clocks may run apart
+MAX_PENDING = 64
 
 
 @dataclass
@@ -22,50 +22,50 @@
     """From one replica's clock to this one, at the least."""
 
     _offset: int | None = None
-    _found: int = 0  # when, by this clock
+    _measured_at: int = 0  # when, by this clock
 
-    def exchanged(self, ours: int, theirs: int, now: int) -> None:
+    def add_exchange(self, local: int, remote: int, now: int) -> None:
         """The replica's clock showed `theirs`, no earlier than this one showed `ours`."""
-        offset = ours - theirs
+        offset = local - remote
         if self._offset is None or offset > self._offset - self._drift(now):
-            self._offset, self._found = offset, now
+            self._offset, self._measured_at = offset, now
 
-    def to_ours(self, theirs: int, now: int) -> int:
+    def to_local(self, remote: int, now: int) -> int:
         """A time of this clock at which the replica's did not show more than `theirs`; NEVER: not known."""
-        return theirs + self._offset - self._drift(now) if self._offset is not None else NEVER
+        return remote + self._offset - self._drift(now) if self._offset is not None else NEVER
 
     def _drift(self, now: int) -> int:
-        return (now - self._found) // DRIFT
+        return (now - self._measured_at) // MAX_DRIFT_DIVISOR
 
 
 @dataclass
-class Currency:
+class ConfigFreshness:
     """`as_of`: everything that was acknowledged by then is in force here."""
 
     as_of: int = NEVER
     index: int = -1  # that is in force here
-    _awaited: deque[tuple[int, int]] = field(default_factory=deque)  # index, and as of when
+    _pending: deque[tuple[int, int]] = field(default_factory=deque)  # index, and as of when
 
     def heartbeat(self, index: int, as_of: int) -> None:
         """Everything that was acknowledged by `as_of` of this clock is in force at `index`."""
         if index <= self.index:
             self.as_of = max(self.as_of, as_of)
             return
-        self._awaited.append((index, as_of))
-        if len(self._awaited) > MOST_AWAITED:
-            self._awaited.popleft()
+        self._pending.append((index, as_of))
+        if len(self._pending) > MAX_PENDING:
+            self._pending.popleft()
 
-    def reached(self, index: int) -> None:
+    def index_applied(self, index: int) -> None:
         """That index is in force here."""
         self.index = max(self.index, index)
-        left = deque[tuple[int, int]]()
-        for awaited, as_of in self._awaited:
-            if awaited <= self.index:
+        still_pending = deque[tuple[int, int]]()
+        for pending_index, as_of in self._pending:
+            if pending_index <= self.index:
                 self.as_of = max(self.as_of, as_of)
             else:
-                left.append((awaited, as_of))
-        self._awaited = left
+                still_pending.append((pending_index, as_of))
+        self._pending = still_pending
 
-    def current(self, now: int, within: int) -> bool:
+    def is_current(self, now: int, max_age: int) -> bool:
         """Whether all that was acknowledged `within` ago is in force here."""
-        return now - self.as_of <= within
+        return now - self.as_of <= max_age
--- a/brackengate/proxy/heartbeats.py
+++ b/brackengate/proxy/heartbeats.py
@@ -11,14 +11,14 @@
 from brackengate.installation.units import duration
 from brackengate.net.http import CallerConnection
 from brackengate.protocol.http_api import collect, rpc
-from brackengate.proxy.admission import Beat
+from brackengate.proxy.admission import Heartbeat
 
 log = logging.getLogger("brackengate.beats")
 
 JSON = b"application/json"
 
 
-class _Beat(msgspec.Struct, rename="pascal"):
+class _HeartbeatBody(msgspec.Struct, rename="pascal"):
     plant: str
     state: str
     capacity: int = 1
@@ -27,32 +27,40 @@
     zone: str = ""
 
 
-class Beats:
+class HeartbeatEndpoint:
     """The front of `Control` on machines with an upstream."""
 
     most_body = 64 << 10
 
-    def __init__(self, heard: Callable[[Beat], None], leaves: Callable[[str], None]) -> None:
-        self._heard, self._leaves = heard, leaves
+    def __init__(self, on_heartbeat: Callable[[Heartbeat], None], on_leave: Callable[[str], None]) -> None:
+        self._on_heartbeat, self._on_leave = on_heartbeat, on_leave
 
     def begin(self, arrival: Arrival, connection: CallerConnection) -> None:
         call, of = rpc(arrival.target)
         if call == "instances.feedback" and of:
-            collect(arrival, lambda body: self._beat(of, body, connection))
+            collect(arrival, lambda body: self._receive(of, body, connection))
         elif call == "instances.leave" and of:
-            self._leaves(of)
+            self._on_leave(of)
             connection.respond(200, b"{}", JSON)
         else:
             raise Bad(404, "no such call")
 
-    def _beat(self, of: str, body: bytes, connection: CallerConnection) -> None:
+    def _receive(self, of: str, body: bytes, connection: CallerConnection) -> None:
         try:
-            said: _Beat = msgspec.json.decode(body, type=_Beat)
-            warmup = int(duration(said.warmup_left))
+            decoded: _HeartbeatBody = msgspec.json.decode(body, type=_HeartbeatBody)
+            warmup = int(duration(decoded.warmup_left))
         except (msgspec.DecodeError, ValueError) as error:
             log.warning("beats: unreadable from %s: %s", of, error)
             raise Bad(400, "not a beat") from None
-        self._heard(
-            Beat(of, said.plant, said.state, max(1, said.capacity), warmup, said.call_count, said.zone)
+        self._on_heartbeat(
+            Heartbeat(
+                of,
+                decoded.plant,
+                decoded.state,
+                max(1, decoded.capacity),
+                warmup,
+                decoded.call_count,
+                decoded.zone,
+            )
         )
         connection.respond(200, b"{}", JSON)
--- a/brackengate/proxy/ingress.py
+++ b/brackengate/proxy/ingress.py
@@ -21,33 +21,33 @@
 from brackengate.net.upstream import Begun, Job, Pool, Result
 from brackengate.protocol.http_api import MOST_BODY
 from brackengate.protocol.messages import Command
-from brackengate.proxy.admission import Gate, State
+from brackengate.proxy.admission import Admission, OperationState
 from brackengate.proxy.hop_headers import (
-    ATTEMPT,
+    ATTEMPT_ID,
     DEADLINE,
     HOP,
-    KEY,
-    TARGET,
-    UNRUN,
-    Said,
-    forwarded,
-    passed_on,
-    step_of,
-    turned_down,
+    NOT_EXECUTED,
+    OPERATION_KEY,
+    TARGET_INSTANCE,
+    HopOutcome,
+    forwarded_answer,
+    forwarded_head,
+    parse_hop_info,
+    rejection_reply,
 )
-from brackengate.proxy.ingress_request import Visit
-from brackengate.proxy.keys import Keys
-from brackengate.proxy.load import Load
-from brackengate.proxy.request_log import ID, Wake
+from brackengate.proxy.ingress_request import IngressRequest
+from brackengate.proxy.keys import KeyedRequests
+from brackengate.proxy.load import UpstreamLoad
+from brackengate.proxy.request_log import ATTEMPT_ID_FIELD, RequestLog
 
 log = logging.getLogger("brackengate.gate")
 
-SLACK_S = 0.05  # behind a request's deadline, for its upstream to say so itself
-HANGS_S = 2.0  # behind its deadline, an operation is taken for lost
-RAN = b"%s: %s\r\n" % (HOP, Said.RAN.value)
+DEADLINE_SLACK_S = 0.05  # behind a request's deadline, for its upstream to say so itself
+HANG_TIMEOUT_S = 2.0  # behind its deadline, an operation is taken for lost
+RAN_HEADER = b"%s: %s\r\n" % (HOP, HopOutcome.RAN.value)
 
 
-class Entry:
+class Ingress:
     """The front of `Inbound`."""
 
     most_body = MOST_BODY
@@ -56,236 +56,267 @@
         self,
         loop: asyncio.AbstractEventLoop,
         clock: Clock,
-        pool: Pool,
-        gate: Gate,
-        me: str,
+        upstream_pool: Pool,
+        admission: Admission,
+        machine: str,
         application: Address,
-        window: int,
-        ask: Callable[[Command, Callable[[Any], None], float], None],
-        peers: Pool,
+        claim_window: int,
+        send_command: Callable[[Command, Callable[[Any], None], float], None],
+        peer_pool: Pool,
         address_of: Callable[[str], Address],
-        life: str,
-        wake: Wake | None = None,
+        incarnation: str,
+        request_log: RequestLog | None = None,
     ) -> None:
         """`pool`: to the upstream alone.  `peers`: to other pilots.  `me`: this machine's name among
         gates.  `life`: of this process, like no other's: a claim of an earlier one is not ours."""
-        self._loop, self._clock, self._pool, self._gate = loop, clock, pool, gate
+        self._loop, self._clock, self._upstream_pool, self._admission = loop, clock, upstream_pool, admission
         self._application = application
-        self._wake = wake or Wake()
-        self.load = Load()
-        self._keys = Keys(self, loop, clock, gate, me, window, ask, peers, address_of, life)
-        self.visits: set[Visit] = set()
-        self._running: set[Visit] = set()  # whose job the upstream has, also where nobody awaits it any more
+        self._request_log = request_log or RequestLog()
+        self.load = UpstreamLoad()
+        self._keyed_requests = KeyedRequests(
+            self,
+            loop,
+            clock,
+            admission,
+            machine,
+            claim_window,
+            send_command,
+            peer_pool,
+            address_of,
+            incarnation,
+        )
+        self.requests: set[IngressRequest] = set()
+        self._running: set[IngressRequest] = (
+            set()
+        )  # whose job the upstream has, also where nobody awaits it any more
 
     def begin(self, arrival: Arrival, connection: CallerConnection) -> None:
-        step = step_of(arrival.fields)
-        left = arrival.fields.get(DEADLINE.lower(), b"")
-        if step is None or not left.isdigit():
+        hop = parse_hop_info(arrival.fields)
+        remaining = arrival.fields.get(DEADLINE.lower(), b"")
+        if hop is None or not remaining.isdigit():
             raise Bad(400, "this door is for pilots")
         if connection.abandoned():
             return
-        visit = Visit(arrival, connection, step, arrival.at + int(left) * 1000)
-        connection.hold(partial(self._gone, visit))
-        self.visits.add(visit)
-        self._await(visit)
+        request = IngressRequest(arrival, connection, hop, arrival.at + int(remaining) * 1000)
+        connection.hold(partial(self._on_caller_gone, request))
+        self.requests.add(request)
+        self._arm_deadline(request)
         if arrival.stream is not None:
-            arrival.stream.on_end = partial(self._body_ended, visit, visit.deadline - arrival.at)
-        if step.keyed:
-            self._keys.comes(visit)
+            arrival.stream.on_end = partial(self._body_ended, request, request.deadline - arrival.at)
+        if hop.keyed:
+            self._keyed_requests.begin(request)
         else:
-            why = self._gate.admits(step.instance, self._clock.now())
-            if why:
-                self.say(visit, Said.AWAY, why)
-            elif not self.takes(visit):
-                self.say(visit, Said.FULL)
+            reason = self._admission.rejection_reason(hop.instance, self._clock.now())
+            if reason:
+                self.answer_outcome(request, HopOutcome.AWAY, reason)
+            elif not self.accepts(request):
+                self.answer_outcome(request, HopOutcome.FULL)
             else:
-                self.run(visit)
+                self.run(request)
 
-    def held(self) -> int:
+    def pending_count(self) -> int:
         """What would be lost if this process ended now."""
-        return len(self.visits | self._running)
+        return len(self.requests | self._running)
 
-    def takes(self, visit: Visit) -> bool:
+    def accepts(self, request: IngressRequest) -> bool:
         """Whether it would be answered in time here, as far as that can be told."""
-        if self._gate.beat is not None:
-            self.load.slots = max(1, self._gate.beat.capacity)
-        now, step = self._clock.now(), visit.step
-        left = visit.deadline - now
-        return self.load.takes(step.route, step.rank, step.aim_ms * 1000, left, step.again, now)
+        if self._admission.heartbeat is not None:
+            self.load.slots = max(1, self._admission.heartbeat.capacity)
+        now, hop = self._clock.now(), request.hop
+        remaining = request.deadline - now
+        return self.load.accepts(
+            hop.route, hop.priority, hop.target_latency_ms * 1000, remaining, hop.client_retry, now
+        )
 
     # --- the upstream
 
-    def run(self, visit: Visit) -> None:
-        beat = self._gate.beat
-        assert beat is not None
+    def run(self, request: IngressRequest) -> None:
+        heartbeat = self._admission.heartbeat
+        assert heartbeat is not None
         if log.isEnabledFor(logging.DEBUG):
-            fields, key = visit.arrival.fields, visit.operation.key if visit.operation else ""
-            log.debug("gate: %s runs at %s, key %r", fields.get(ATTEMPT.lower()), beat.id, key)
-        left = max(1, (visit.deadline - self._clock.now()) // 1000)
-        head = forwarded(visit.arrival, drop=(HOP, DEADLINE, TARGET))
-        head += b"%s: %s\r\n%s: %d\r\n\r\n" % (TARGET, beat.id.encode(), DEADLINE, left)
-        visit.ticket = self.load.sent(visit.step.route, self._clock.now())
-        self._pool.wanted = {beat.id: self._application}
-        self._running.add(visit)
-        visit.job = self._pool.start(
-            beat.id,
+            fields, key = request.arrival.fields, request.operation.key if request.operation else ""
+            log.debug("gate: %s runs at %s, key %r", fields.get(ATTEMPT_ID.lower()), heartbeat.id, key)
+        remaining = max(1, (request.deadline - self._clock.now()) // 1000)
+        head = forwarded_head(request.arrival, drop=(HOP, DEADLINE, TARGET_INSTANCE))
+        head += b"%s: %s\r\n%s: %d\r\n\r\n" % (TARGET_INSTANCE, heartbeat.id.encode(), DEADLINE, remaining)
+        request.ticket = self.load.record_start(request.hop.route, self._clock.now())
+        self._upstream_pool.wanted = {heartbeat.id: self._application}
+        self._running.add(request)
+        request.job = self._upstream_pool.start(
+            heartbeat.id,
             self._application,
-            head + visit.arrival.body,
-            partial(self._ran, visit),
-            body=visit.arrival.stream,
-            begun=self.passes(visit, partial(passed_on, drop=(HOP, UNRUN), add=RAN)),
-            whole=WHOLE if visit.operation is None else MAX_ANSWER,
-            call=visit.arrival.fields.get(ID, b""),
-            wanted=partial(self._wanted, visit),
+            head + request.arrival.body,
+            partial(self._on_upstream_done, request),
+            body=request.arrival.stream,
+            begun=self.stream_receiver(
+                request, partial(forwarded_answer, drop=(HOP, NOT_EXECUTED), add=RAN_HEADER)
+            ),
+            whole=WHOLE if request.operation is None else MAX_ANSWER,
+            call=request.arrival.fields.get(ATTEMPT_ID_FIELD, b""),
+            wanted=partial(self._still_wanted, request),
         )
-        if visit.operation is not None and not visit.open:
-            self._bound(visit.job, visit)
+        if request.operation is not None and not request.receiving_body:
+            self._limit_run_time(request.job, request)
 
-    def _wanted(self, visit: Visit) -> bool:
+    def _still_wanted(self, request: IngressRequest) -> bool:
         """Whether somebody still awaits it; asked before it is sent, in case this process stood still."""
-        in_time = visit.open or self._clock.now() < visit.deadline
-        return in_time and not visit.over and not visit.connection.abandoned()
+        in_time = request.receiving_body or self._clock.now() < request.deadline
+        return in_time and not request.finished and not request.connection.abandoned()
 
-    def _bound(self, job: Job, visit: Visit) -> None:
+    def _limit_run_time(self, job: Job, request: IngressRequest) -> None:
         """An operation goes on without its caller, but not for ever."""
 
-        def hangs() -> None:
-            if visit.sink is None:  # an answer that has begun goes on for as long as it is given and taken
+        def on_hang() -> None:
+            if request.sink is None:  # an answer that has begun goes on for as long as it is given and taken
                 job.give_up(Outcome.TIMEOUT)
 
-        self._loop.call_later((visit.deadline - self._clock.now()) / 1e6 + HANGS_S, hangs)
+        self._loop.call_later((request.deadline - self._clock.now()) / 1e6 + HANG_TIMEOUT_S, on_hang)
 
-    def _ran(self, visit: Visit, result: Result) -> None:
-        visit.job = None
-        self._running.discard(visit)
-        operation, answer = visit.operation, result.answer
-        self._unload(visit, result.outcome is Outcome.OK)
-        if self.passed(visit, result):
+    def _on_upstream_done(self, request: IngressRequest, result: Result) -> None:
+        request.job = None
+        self._running.discard(request)
+        operation, answer = request.operation, result.answer
+        self._release_load(request, result.outcome is Outcome.OK)
+        if self.finish_stream(request, result):
             return
         if result.outcome is Outcome.OK and answer is not None:
-            reply = passed_on(answer, drop=(HOP, UNRUN), add=RAN)
+            reply = forwarded_answer(answer, drop=(HOP, NOT_EXECUTED), add=RAN_HEADER)
             if operation is not None:
-                self._keys.operations.keep(operation, reply, len(reply.body) + len(reply.extra))
-            self.answer(visit, reply)
+                self._keyed_requests.operations.store_answer(
+                    operation, reply, len(reply.body) + len(reply.extra)
+                )
+            self.answer(request, reply)
         elif result.outcome in (Outcome.REJECTED, Outcome.CONNECT_FAILED, Outcome.NOT_SENT):
-            said = Said.SHED if result.outcome is Outcome.REJECTED else Said.UNREACHED
+            outcome = HopOutcome.SHED if result.outcome is Outcome.REJECTED else HopOutcome.UNREACHED
             if operation is not None:
-                self._keys.unclaim(visit, operation, said)
+                self._keyed_requests.release_claim(request, operation, outcome)
             else:
-                self.say(visit, said)
+                self.answer_outcome(request, outcome)
         else:
             if operation is not None:
-                operation.state = State.LOST
+                operation.state = OperationState.OUTCOME_UNKNOWN
             broken = result.outcome is Outcome.RESET
-            self.say(visit, Said.BROKEN if broken else Said.SPOILT)
+            self.answer_outcome(request, HopOutcome.BROKEN if broken else HopOutcome.SPOILT)
         if operation is not None:
-            self._keys.settle(operation)
-        self.let_go(visit)
+            self._keyed_requests.resume_waiters(operation)
+        self.discard_body(request)
 
-    def _unload(self, visit: Visit, ran: bool) -> None:
-        if visit.ticket is not None:
-            self.load.ended(visit.ticket, self._clock.now(), ran)
-            visit.ticket = None
+    def _release_load(self, request: IngressRequest, ran: bool) -> None:
+        if request.ticket is not None:
+            self.load.record_end(request.ticket, self._clock.now(), ran)
+            request.ticket = None
 
     # --- long bodies
 
-    def _body_ended(self, visit: Visit, limit: int) -> None:
+    def _body_ended(self, request: IngressRequest, time_limit: int) -> None:
         """A request that came in pieces is whole: its time counts from here.  Or its rest will not come."""
-        stream, job = visit.arrival.stream, visit.job
+        stream, job = request.arrival.stream, request.job
         assert stream is not None
         if stream.cut:
-            self._end(visit)
+            self._finish(request)
             if job is not None and not job.written:
                 job.give_up(Outcome.CONNECT_FAILED)  # what is not written whole has not run
-        elif not visit.over:
-            visit.deadline = self._clock.now() + limit
-            self._await(visit)
-            if visit.operation is not None and job is not None:
-                self._bound(job, visit)
-
-    def passes(self, visit: Visit, made: Callable[[Answered], Reply]) -> Begun | None:
+        elif not request.finished:
+            request.deadline = self._clock.now() + time_limit
+            self._arm_deadline(request)
+            if request.operation is not None and job is not None:
+                self._limit_run_time(job, request)
+
+    def stream_receiver(
+        self, request: IngressRequest, make_reply: Callable[[Answered], Reply]
+    ) -> Begun | None:
         """Who takes a long answer; none where a length is told and no body follows.  `made`: what goes back
         of its head."""
-        return None if visit.arrival.method == b"HEAD" else partial(self._begun, visit, made)
+        return (
+            None if request.arrival.method == b"HEAD" else partial(self._on_stream_start, request, make_reply)
+        )
 
-    def _begun(
-        self, visit: Visit, made: Callable[[Answered], Reply], head: Answered, stream: AnswerStream
+    def _on_stream_start(
+        self,
+        request: IngressRequest,
+        make_reply: Callable[[Answered], Reply],
+        head: Answered,
+        stream: AnswerStream,
     ) -> AnswerSink | None:
         """A long answer's head and first bytes are there: it is the caller's from here on.
 
         It is not kept: of its operation nobody can be told any more than that it has run.
         """
-        self._unload(visit, True)
-        operation = visit.operation
+        self._release_load(request, True)
+        operation = request.operation
         if operation is not None:
-            operation.state = State.LOST
-            self._keys.settle(operation)
-        if visit.over:
+            operation.state = OperationState.OUTCOME_UNKNOWN
+            self._keyed_requests.resume_waiters(operation)
+        if request.finished:
             return None
-        reply = made(head)
+        reply = make_reply(head)
         reply.stream = stream
-        self.answer(visit, reply)
-        visit.sink = stream.sink
-        if visit.sink is not None:
-            self.visits.add(visit)  # until its last byte
-        return visit.sink
+        self.answer(request, reply)
+        request.sink = stream.sink
+        if request.sink is not None:
+            self.requests.add(request)  # until its last byte
+        return request.sink
 
-    def passed(self, visit: Visit, result: Result) -> bool:
+    def finish_stream(self, request: IngressRequest, result: Result) -> bool:
         """Whether its answer had begun; then this is its end."""
-        sink, visit.sink = visit.sink, None
+        sink, request.sink = request.sink, None
         if sink is None:
             return False
         (sink.finish if result.outcome is Outcome.OK else sink.cut)()
-        self._end(visit)
+        self._finish(request)
         return True
 
-    def let_go(self, visit: Visit) -> None:
+    def discard_body(self, request: IngressRequest) -> None:
         """Nobody will read its body any more: what is held of it counts."""
-        if visit.over and visit.job is None and visit.arrival.stream is not None:
-            visit.arrival.stream.cut_off()
+        if request.finished and request.job is None and request.arrival.stream is not None:
+            request.arrival.stream.cut_off()
 
     # --- answers
 
-    def answer(self, visit: Visit, reply: Reply, said: Said = Said.RAN, why: str = "") -> None:
-        if visit.over:
+    def answer(
+        self, request: IngressRequest, reply: Reply, outcome: HopOutcome = HopOutcome.RAN, reason: str = ""
+    ) -> None:
+        if request.finished:
             return
-        self._end(visit)
-        fields, at, step = visit.arrival.fields, visit.arrival.at, visit.step
-        key = fields.get(KEY.lower(), b"") if step.keyed else b""
+        self._finish(request)
+        fields, at, hop = request.arrival.fields, request.arrival.at, request.hop
+        key = fields.get(OPERATION_KEY.lower(), b"") if hop.keyed else b""
         took = self._clock.now() - at
-        self._wake.visited(fields.get(ID, b""), at, took, step.route, step.instance, key, said, why)
-        visit.connection.answer(reply)
-
-    def say(self, visit: Visit, said: Said, why: str = "") -> None:
-        if not visit.over:
-            status = 409 if said is Said.BUSY else 503
-            log.debug("gate: %s: %s %s", visit.step.instance, said.name, why)
-            self.answer(visit, turned_down(visit.arrival, status, said), said, why)
-
-    def _await(self, visit: Visit) -> None:
-        if visit.timer is not None:
-            visit.timer.cancel()
-        wait = (visit.deadline - self._clock.now()) / 1e6 + SLACK_S
-        visit.timer = self._loop.call_later(max(0.0, wait), self._late, visit)
-
-    def _late(self, visit: Visit) -> None:
-        if visit.over or (visit.open and visit.job is not None):
+        self._request_log.record_ingress(
+            fields.get(ATTEMPT_ID_FIELD, b""), at, took, hop.route, hop.instance, key, outcome, reason
+        )
+        request.connection.answer(reply)
+
+    def answer_outcome(self, request: IngressRequest, outcome: HopOutcome, reason: str = "") -> None:
+        if not request.finished:
+            status = 409 if outcome is HopOutcome.BUSY else 503
+            log.debug("gate: %s: %s %s", request.hop.instance, outcome.name, reason)
+            self.answer(request, rejection_reply(request.arrival, status, outcome), outcome, reason)
+
+    def _arm_deadline(self, request: IngressRequest) -> None:
+        if request.timer is not None:
+            request.timer.cancel()
+        wait = (request.deadline - self._clock.now()) / 1e6 + DEADLINE_SLACK_S
+        request.timer = self._loop.call_later(max(0.0, wait), self._on_deadline, request)
+
+    def _on_deadline(self, request: IngressRequest) -> None:
+        if request.finished or (request.receiving_body and request.job is not None):
             return  # the second: its time counts from its body's end
-        operation = visit.operation
-        waits = operation is None and visit.step.keyed
-        self.say(visit, Said.BUSY if waits else Said.LATE)
-        if visit.job is not None and operation is None:
-            visit.job.give_up(Outcome.CANCELLED)
+        operation = request.operation
+        awaits_claim = operation is None and request.hop.keyed
+        self.answer_outcome(request, HopOutcome.BUSY if awaits_claim else HopOutcome.LATE)
+        if request.job is not None and operation is None:
+            request.job.give_up(Outcome.CANCELLED)
 
-    def _gone(self, visit: Visit) -> None:
+    def _on_caller_gone(self, request: IngressRequest) -> None:
         """Nobody awaits its answer.  An operation goes on: its answer is its repeats'."""
-        self._end(visit)
-        if visit.job is not None and visit.operation is None:
-            visit.job.give_up(Outcome.CANCELLED)
-
-    def _end(self, visit: Visit) -> None:
-        visit.over = True
-        if visit.timer is not None:
-            visit.timer.cancel()
-        self.visits.discard(visit)
-        self.let_go(visit)
+        self._finish(request)
+        if request.job is not None and request.operation is None:
+            request.job.give_up(Outcome.CANCELLED)
+
+    def _finish(self, request: IngressRequest) -> None:
+        request.finished = True
+        if request.timer is not None:
+            request.timer.cancel()
+        self.requests.discard(request)
+        self.discard_body(request)
--- a/brackengate/proxy/keys.py
+++ b/brackengate/proxy/keys.py
@@ -18,233 +18,250 @@
 from brackengate.net.sockets import Address
 from brackengate.net.upstream import Pool, Result
 from brackengate.protocol.messages import Claim, Command, CommandDone, HeldBy, Unclaim
-from brackengate.proxy.admission import Gate, Operation, Operations, State
+from brackengate.proxy.admission import Admission, Operation, OperationState, OperationStore
 from brackengate.proxy.hop_headers import (
-    ATTEMPT,
+    ATTEMPT_ID,
     DEADLINE,
     HOP,
-    KEY,
-    Said,
-    Step,
-    forwarded,
-    hop_of,
-    passed_on,
+    OPERATION_KEY,
+    HopInfo,
+    HopOutcome,
+    forwarded_answer,
+    forwarded_head,
+    parse_hop_outcome,
 )
-from brackengate.proxy.ingress_request import Host, Visit
+from brackengate.proxy.ingress_request import IngressRequest, RequestHandler
 
 log = logging.getLogger("brackengate.gate")
 
-CLAIM_SHARE = 0.5  # of a request's time, at the most, is spent on the claim of its key
-CLAIM_S = 5.0
-UNCLAIM_S = 1.0
-KEPT_BYTES = 24 << 20  # of answers to operations; one of over MAX_ANSWER is passed on, and not kept
-FREE = (
-    Said.AWAY,
-    Said.FULL,
-    Said.SHED,
-    Said.UNREACHED,
-    Said.UNCLAIMED,
+MAX_CLAIM_TIME_SHARE = 0.5  # of a request's time, at the most, is spent on the claim of its key
+CLAIM_TIMEOUT_S = 5.0
+UNCLAIM_TIMEOUT_S = 1.0
+MAX_KEPT_ANSWER_BYTES = (
+    24 << 20
+)  # of answers to operations; one of over MAX_ANSWER is passed on, and not kept
+NOT_RUN_OUTCOMES = (
+    HopOutcome.AWAY,
+    HopOutcome.FULL,
+    HopOutcome.SHED,
+    HopOutcome.UNREACHED,
+    HopOutcome.UNCLAIMED,
 )  # said by the gate that had the claim
 
 
-class Keys:
+class KeyedRequests:
     """Keys of operations at one gate: their claims, their runs' answers, and repeats of them."""
 
     def __init__(
         self,
-        host: Host,
+        handler: RequestHandler,
         loop: asyncio.AbstractEventLoop,
         clock: Clock,
-        gate: Gate,
-        me: str,
-        window: int,
-        ask: Callable[[Command, Callable[[Any], None], float], None],
-        peers: Pool,
+        admission: Admission,
+        machine: str,
+        claim_window: int,
+        send_command: Callable[[Command, Callable[[Any], None], float], None],
+        peer_pool: Pool,
         address_of: Callable[[str], Address],
-        life: str,
+        incarnation: str,
     ) -> None:
         """`me`, `life`: as of an `Entry`."""
-        self._host, self._loop, self._clock, self._gate = host, loop, clock, gate
-        self._me, self._ask, self._peers, self._address_of = me, ask, peers, address_of
-        self._life, self._count = life, 0
-        self.operations = Operations(window, KEPT_BYTES)
+        self._handler, self._loop, self._clock, self._admission = handler, loop, clock, admission
+        self._machine, self._send_command, self._peer_pool, self._address_of = (
+            machine,
+            send_command,
+            peer_pool,
+            address_of,
+        )
+        self._incarnation, self._count = incarnation, 0
+        self.operations = OperationStore(claim_window, MAX_KEPT_ANSWER_BYTES)
 
-    def comes(self, visit: Visit) -> None:
+    def begin(self, request: IngressRequest) -> None:
         now = self._clock.now()
-        key = visit.arrival.fields.get(KEY.lower(), b"").decode("latin-1")
+        key = request.arrival.fields.get(OPERATION_KEY.lower(), b"").decode("latin-1")
         operation = self.operations.get(key, now)
         if operation is not None:
-            self._join(visit, operation)
+            self._resolve(request, operation)
             return
-        why = self._gate.admits(visit.step.instance, now)
-        if visit.step.replay:
-            self._host.say(visit, Said.UNKNOWN)  # of an earlier life of this process
-        elif why:
-            self._host.say(visit, Said.AWAY, why)
-        elif not self._host.takes(visit):
-            self._host.say(visit, Said.FULL)
+        reason = self._admission.rejection_reason(request.hop.instance, now)
+        if request.hop.replay:
+            self._handler.answer_outcome(request, HopOutcome.UNKNOWN)  # of an earlier life of this process
+        elif reason:
+            self._handler.answer_outcome(request, HopOutcome.AWAY, reason)
+        elif not self._handler.accepts(request):
+            self._handler.answer_outcome(request, HopOutcome.FULL)
         else:
-            self._claim(self.operations.begin(key, "", now), visit)
+            self._claim(self.operations.begin(key, "", now), request)
 
-    def _claim(self, operation: Operation, visit: Visit) -> None:
+    def _claim(self, operation: Operation, request: IngressRequest) -> None:
         before, self._count = operation.attempt, self._count + 1
-        operation.state, operation.attempt = State.CLAIMING, f"{self._life}.{self._count}"
-        operation.waiters.append(visit)
-        claim = Claim(operation.key, self._me, operation.attempt, before)
-        self._ask(claim, partial(self._claimed, operation), CLAIM_S)
-        wait = (visit.deadline - self._clock.now()) / 1e6 * CLAIM_SHARE
-        self._loop.call_later(wait, self._claim_late, operation, visit)
-
-    def _claim_late(self, operation: Operation, visit: Visit) -> None:
-        if operation.state is State.CLAIMING and not visit.over:
-            self._host.say(visit, Said.UNCLAIMED)
-
-    def _claimed(self, operation: Operation, result: Any) -> None:
+        operation.state, operation.attempt = OperationState.CLAIMING, f"{self._incarnation}.{self._count}"
+        operation.waiters.append(request)
+        claim = Claim(operation.key, self._machine, operation.attempt, before)
+        self._send_command(claim, partial(self._on_claim_result, operation), CLAIM_TIMEOUT_S)
+        wait = (request.deadline - self._clock.now()) / 1e6 * MAX_CLAIM_TIME_SHARE
+        self._loop.call_later(wait, self._on_claim_timeout, operation, request)
+
+    def _on_claim_timeout(self, operation: Operation, request: IngressRequest) -> None:
+        if operation.state is OperationState.CLAIMING and not request.finished:
+            self._handler.answer_outcome(request, HopOutcome.UNCLAIMED)
+
+    def _on_claim_result(self, operation: Operation, result: Any) -> None:
         log.debug("gate: claim of %r, attempt %s: %s", operation.key, operation.attempt, result)
         match result:
             case CommandDone():
-                operation.state = State.UNRUN
-            case HeldBy(owner) if owner == self._me:
-                operation.state = State.LOST  # claimed by an earlier life of this process
+                operation.state = OperationState.CLAIMED
+            case HeldBy(owner) if owner == self._machine:
+                operation.state = OperationState.OUTCOME_UNKNOWN  # claimed by an earlier life of this process
             case HeldBy(owner):
-                operation.state, operation.holder = State.ELSEWHERE, owner
+                operation.state, operation.holder = OperationState.ELSEWHERE, owner
             case _:  # no word in time, or none on the claim: it may stand
-                operation.state = State.UNCLAIMED
-                for visit in self._waiting(operation):
-                    self._host.say(visit, Said.UNCLAIMED)
+                operation.state = OperationState.UNCLAIMED
+                for request in self._take_waiters(operation):
+                    self._handler.answer_outcome(request, HopOutcome.UNCLAIMED)
                 return
-        self.settle(operation)
+        self.resume_waiters(operation)
 
-    def _waiting(self, operation: Operation) -> list[Visit]:
+    def _take_waiters(self, operation: Operation) -> list[IngressRequest]:
         waiters, operation.waiters = operation.waiters, []
-        visits = [visit for visit in waiters if isinstance(visit, Visit) and not visit.over]
-        return [visit for visit in visits if not visit.connection.abandoned()]
+        visits = [
+            request for request in waiters if isinstance(request, IngressRequest) and not request.finished
+        ]
+        return [request for request in visits if not request.connection.abandoned()]
 
-    def settle(self, operation: Operation) -> None:
+    def resume_waiters(self, operation: Operation) -> None:
         """It has come to another state: those who wait hear of it."""
-        for visit in self._waiting(operation):
-            self._join(visit, operation)
+        for request in self._take_waiters(operation):
+            self._resolve(request, operation)
 
-    def _join(self, visit: Visit, operation: Operation) -> None:
+    def _resolve(self, request: IngressRequest, operation: Operation) -> None:
         """Whatever is known of the operation, for a try of it."""
         log.debug("gate: join of %r: %s", operation.key, operation.state.name)
         state, now = operation.state, self._clock.now()
-        if state is State.DONE and isinstance(operation.answer, Reply):
-            reply = _again(operation.answer, visit.arrival)
-            if visit.open:
-                self._read_off(visit, reply)
+        if state is OperationState.DONE and isinstance(operation.answer, Reply):
+            reply = _answer_for_repeat(operation.answer, request.arrival)
+            if request.receiving_body:
+                self._drain_body(request, reply)
             else:
-                self._host.answer(visit, reply, why="the first try's answer")
-        elif state in (State.CLAIMING, State.RUNNING):
-            operation.waiters.append(visit)
-        elif state in (State.UNRUN, State.UNCLAIMED) and (
-            self._elsewhere(visit.step) or self.operations.outlived(operation, now)
+                self._handler.answer(request, reply, reason="the first try's answer")
+        elif state in (OperationState.CLAIMING, OperationState.RUNNING):
+            operation.waiters.append(request)
+        elif state in (OperationState.CLAIMED, OperationState.UNCLAIMED) and (
+            self._route_has_moved(request.hop) or self.operations.claim_expired(operation, now)
         ):
-            self.unclaim(visit, operation, Said.AWAY)
-        elif state is State.UNRUN:
-            beat = self._gate.beat
-            why = self._gate.admits(
-                visit.step.instance if not visit.step.replay or beat is None else beat.id, now
+            self.release_claim(request, operation, HopOutcome.AWAY)
+        elif state is OperationState.CLAIMED:
+            heartbeat = self._admission.heartbeat
+            reason = self._admission.rejection_reason(
+                request.hop.instance if not request.hop.replay or heartbeat is None else heartbeat.id, now
             )
-            if why or now >= visit.deadline:
-                self.unclaim(visit, operation, Said.AWAY)
+            if reason or now >= request.deadline:
+                self.release_claim(request, operation, HopOutcome.AWAY)
             else:
-                operation.state = State.RUNNING
-                visit.operation = operation
-                self._host.run(visit)
-        elif state is State.UNCLAIMED:
-            why = "" if visit.step.replay else self._gate.admits(visit.step.instance, now)
-            if why:
-                self._host.say(visit, Said.AWAY, why)
+                operation.state = OperationState.RUNNING
+                request.operation = operation
+                self._handler.run(request)
+        elif state is OperationState.UNCLAIMED:
+            reason = "" if request.hop.replay else self._admission.rejection_reason(request.hop.instance, now)
+            if reason:
+                self._handler.answer_outcome(request, HopOutcome.AWAY, reason)
             else:
-                self._claim(operation, visit)
-        elif state is State.ELSEWHERE and not visit.step.replay:
-            self._relay(visit, operation)
+                self._claim(operation, request)
+        elif state is OperationState.ELSEWHERE and not request.hop.replay:
+            self._relay(request, operation)
         else:
-            self._host.say(visit, Said.UNKNOWN)
+            self._handler.answer_outcome(request, HopOutcome.UNKNOWN)
 
-    def _elsewhere(self, step: Step) -> bool:
+    def _route_has_moved(self, hop: HopInfo) -> bool:
         """Whether a repeat is for another service: its route has moved since the key was claimed here."""
-        beat = self._gate.beat
-        return step.replay and beat is not None and step.route not in ("-", beat.plant)
+        heartbeat = self._admission.heartbeat
+        return hop.replay and heartbeat is not None and hop.route not in ("-", heartbeat.service)
 
-    def unclaim(self, visit: Visit, operation: Operation, said: Said) -> None:
+    def release_claim(self, request: IngressRequest, operation: Operation, outcome: HopOutcome) -> None:
         """It has not run here: another gate may run it, once the claim is lifted."""
-        operation.state = State.CLAIMING  # who comes meanwhile waits
-        visit.operation = None
+        operation.state = OperationState.CLAIMING  # who comes meanwhile waits
+        request.operation = None
 
-        def lifted(result: Any) -> None:
-            operation.state = State.UNCLAIMED
+        def on_released(result: Any) -> None:
+            operation.state = OperationState.UNCLAIMED
             if result is not None:
-                self.operations.renew(operation, self._clock.now())
-            self._host.say(visit, said)
-            for waiter in self._waiting(operation):
-                self._host.say(waiter, Said.AWAY)
+                self.operations.restart_window(operation, self._clock.now())
+            self._handler.answer_outcome(request, outcome)
+            for waiter in self._take_waiters(operation):
+                self._handler.answer_outcome(waiter, HopOutcome.AWAY)
 
-        self._ask(Unclaim(operation.key, self._me, operation.attempt), lifted, UNCLAIM_S)
+        self._send_command(
+            Unclaim(operation.key, self._machine, operation.attempt), on_released, UNCLAIM_TIMEOUT_S
+        )
 
-    def _relay(self, visit: Visit, operation: Operation) -> None:
+    def _relay(self, request: IngressRequest, operation: Operation) -> None:
         """The gate that holds the key has the answer, or will have it."""
         address = self._address_of(operation.holder)
-        left = max(1, (visit.deadline - self._clock.now()) // 1000)
-        service = self._gate.beat.plant if self._gate.beat is not None else "-"
-        step = Step(visit.step.instance, True, visit.step.number, replay=True, route=service)
-        head = forwarded(visit.arrival, drop=(HOP, DEADLINE))
-        head += b"%s%s: %d\r\n\r\n" % (step.lines(), DEADLINE, left)
+        remaining = max(1, (request.deadline - self._clock.now()) // 1000)
+        service = self._admission.heartbeat.service if self._admission.heartbeat is not None else "-"
+        hop = HopInfo(request.hop.instance, True, request.hop.attempt_number, replay=True, route=service)
+        head = forwarded_head(request.arrival, drop=(HOP, DEADLINE))
+        head += b"%s%s: %d\r\n\r\n" % (hop.header_line(), DEADLINE, remaining)
         name = f"gate {operation.holder}"
-        self._peers.wanted[name] = address
+        self._peer_pool.wanted[name] = address
 
         def done(result: Result) -> None:
-            visit.job = None
-            if self._host.passed(visit, result):
+            request.job = None
+            if self._handler.finish_stream(request, result):
                 return
             answer = result.answer
-            said = hop_of(answer.fields) if answer is not None else None
-            if answer is not None and said is Said.RAN:
-                self._host.answer(visit, passed_on(answer, drop=()), why=f"by the gate {operation.holder}")
-            elif said in FREE:
-                operation.state = State.UNCLAIMED  # SHED stays: an upstream was asked, which counts
-                self._host.say(visit, Said.SHED if said is Said.SHED else Said.AWAY)
-            elif said is not None:
-                self._host.say(visit, said)
+            outcome = parse_hop_outcome(answer.fields) if answer is not None else None
+            if answer is not None and outcome is HopOutcome.RAN:
+                self._handler.answer(
+                    request, forwarded_answer(answer, drop=()), reason=f"by the gate {operation.holder}"
+                )
+            elif outcome in NOT_RUN_OUTCOMES:
+                operation.state = OperationState.UNCLAIMED  # SHED stays: an upstream was asked, which counts
+                self._handler.answer_outcome(
+                    request, HopOutcome.SHED if outcome is HopOutcome.SHED else HopOutcome.AWAY
+                )
+            elif outcome is not None:
+                self._handler.answer_outcome(request, outcome)
             else:  # the other gate may have begun to run this very try
                 unsent = result.outcome in (Outcome.CONNECT_FAILED, Outcome.NOT_SENT)
-                self._host.say(visit, Said.UNKNOWN if unsent else Said.BROKEN)
-            self._host.let_go(visit)
+                self._handler.answer_outcome(request, HopOutcome.UNKNOWN if unsent else HopOutcome.BROKEN)
+            self._handler.discard_body(request)
 
-        visit.job = self._peers.start(
+        request.job = self._peer_pool.start(
             name,
             address,
-            head + visit.arrival.body,
+            head + request.arrival.body,
             done,
-            body=visit.arrival.stream,
-            begun=self._host.passes(visit, partial(passed_on, drop=())),
+            body=request.arrival.stream,
+            begun=self._handler.stream_receiver(request, partial(forwarded_answer, drop=())),
         )
 
-    def _read_off(self, visit: Visit, reply: Reply) -> None:
+    def _drain_body(self, request: IngressRequest, reply: Reply) -> None:
         """A repeat's body that still comes: it is let go, since whoever sends it takes no success before its
         end."""
-        stream = visit.arrival.stream
+        stream = request.arrival.stream
         assert stream is not None
 
-        def wake() -> None:
+        def on_data() -> None:
             while stream.take() is not None:
                 pass
             if stream.over:
-                self._host.answer(visit, reply)
+                self._handler.answer(request, reply)
 
-        if stream.open(wake):
-            wake()
+        if stream.open(on_data):
+            on_data()
         else:
-            self._host.say(visit, Said.UNKNOWN)
+            self._handler.answer_outcome(request, HopOutcome.UNKNOWN)
 
 
-def _again(reply: Reply, arrival: Arrival) -> Reply:
+def _answer_for_repeat(reply: Reply, arrival: Arrival) -> Reply:
     """The first try's answer for another try: only whose answer it is differs."""
     lines = [
-        line for line in reply.extra.split(b"\r\n") if line and not line.lower().startswith(ATTEMPT.lower())
+        line
+        for line in reply.extra.split(b"\r\n")
+        if line and not line.lower().startswith(ATTEMPT_ID.lower())
     ]
-    asked = arrival.fields.get(ATTEMPT.lower())
-    if asked is not None:
-        lines.append(b"%s: %s" % (ATTEMPT, asked))
+    attempt_id = arrival.fields.get(ATTEMPT_ID.lower())
+    if attempt_id is not None:
+        lines.append(b"%s: %s" % (ATTEMPT_ID, attempt_id))
     return Reply(reply.status, reply.body, extra=b"".join(line + b"\r\n" for line in lines))
--- a/brackengate/proxy/liveness_monitor.py
+++ b/brackengate/proxy/liveness_monitor.py
@@ -13,33 +13,38 @@
 
 from brackengate.net.sockets import Address
 from brackengate.protocol.messages import Command, Suspect
-from brackengate.proxy.failure_detector import ASKS, EVERY, Watch
+from brackengate.proxy.failure_detector import KEEPALIVE_INTERVAL_US, PROBE_INTERVAL_US, FailureDetector
 
 log = logging.getLogger("brackengate.watch")
 
-SIGN, ASK, HERE = b"s", b"a", b"h"
-TELL_WITHIN_S = 1.0
+KEEPALIVE, PROBE, PROBE_REPLY = b"s", b"a", b"h"
+REPORT_TIMEOUT_S = 1.0
 
 
-class Watcher(asyncio.DatagramProtocol):
+class LivenessMonitor(asyncio.DatagramProtocol):
     def __init__(
         self,
         me: Address,
         now: Callable[[], int],
-        ask: Callable[[Command, Callable[[Any], None], float], None],
-        standing: Callable[[str, bool], None],
-        gone: Callable[[str], None],
+        send_command: Callable[[Command, Callable[[Any], None], float], None],
+        on_health_changed: Callable[[str, bool], None],
+        on_gone: Callable[[str], None],
     ) -> None:
         """`me`: where this pilot sends from and hears; all machines have the same port.  `standing`: told of
         a machine that has gone silent (False) or answers again.  `gone`: it has been silent for long."""
-        self.watch = Watch(me[0], now())
-        self._me, self._now, self._ask, self._standing = me, now, ask, standing
-        self._tell_gone = gone
+        self.detector = FailureDetector(me[0], now())
+        self._me, self._now, self._send_command, self._on_health_changed = (
+            me,
+            now,
+            send_command,
+            on_health_changed,
+        )
+        self._on_gone = on_gone
         self._loop = asyncio.get_running_loop()
         self._transport: asyncio.DatagramTransport | None = None
         self._timer: asyncio.TimerHandle | None = None
-        self._told: tuple[str, ...] | None = None  # None: what the core has of an earlier process
-        self._telling = False
+        self._reported: tuple[str, ...] | None = None  # None: what the core has of an earlier process
+        self._reporting = False
         self._silent: frozenset[str] = frozenset()
         self._gone: frozenset[str] = frozenset()
 
@@ -53,14 +58,14 @@
             self._transport.close()
             self._transport = None
 
-    def know(self, pilots: Iterable[str], noticed: Iterable[str]) -> None:
+    def update(self, proxies: Iterable[str], suspects: Iterable[str]) -> None:
         """The list of machines, and whom any watcher does not hear, have changed."""
-        was_busy = self.watch.busy
-        self.watch.know(pilots, noticed, self._now())
-        if self.watch.busy and not was_busy and self._timer is not None:
+        was_probing = self.detector.probing
+        self.detector.update(proxies, suspects, self._now())
+        if self.detector.probing and not was_probing and self._timer is not None:
             self._timer.cancel()
             self._tick()
-        self._look()
+        self._notify_changes()
 
     # --- asyncio.DatagramProtocol
 
@@ -69,13 +74,13 @@
 
     def datagram_received(self, data: bytes, addr: tuple[str | Any, int]) -> None:
         sender, now = str(addr[0]), self._now()
-        if data == SIGN:
-            self.watch.sign(sender, now)
-        elif data == HERE:
-            self.watch.answer(sender, now)
-        elif data == ASK and self._transport is not None:
-            self._transport.sendto(HERE, addr)
-        self._look()
+        if data == KEEPALIVE:
+            self.detector.receive_keepalive(sender, now)
+        elif data == PROBE_REPLY:
+            self.detector.receive_probe_reply(sender, now)
+        elif data == PROBE and self._transport is not None:
+            self._transport.sendto(PROBE_REPLY, addr)
+        self._notify_changes()
 
     def error_received(self, exc: Exception) -> None:
         """Nobody listens there: its other watchers notice."""
@@ -85,34 +90,38 @@
     def _tick(self) -> None:
         if self._transport is None:
             return
-        sends = self.watch.tick(self._now())
-        self._timer = self._loop.call_later((ASKS if self.watch.busy else EVERY) / 1e6, self._tick)
-        for what, whom in ((SIGN, sends.signs), (ASK, sends.asks)):
-            for other in whom:
-                self._transport.sendto(what, (other, self._me[1]))
-        self._look()
-        noticed = self.watch.noticed
-        if noticed != self._told and not self._telling:
-            if noticed or self._told:
-                log.info("watch: not heard by now: %s", ", ".join(noticed) or "nobody")
-            self._telling = True
-            self._ask(Suspect(self._me[0], noticed), partial(self._done, noticed), TELL_WITHIN_S)
-
-    def _look(self) -> None:
-        silent, gone = self.watch.silent, self.watch.gone
+        datagrams = self.detector.tick(self._now())
+        self._timer = self._loop.call_later(
+            (PROBE_INTERVAL_US if self.detector.probing else KEEPALIVE_INTERVAL_US) / 1e6, self._tick
+        )
+        for kind, receivers in ((KEEPALIVE, datagrams.keepalives), (PROBE, datagrams.probes)):
+            for machine in receivers:
+                self._transport.sendto(kind, (machine, self._me[1]))
+        self._notify_changes()
+        suspects = self.detector.suspects
+        if suspects != self._reported and not self._reporting:
+            if suspects or self._reported:
+                log.info("watch: not heard by now: %s", ", ".join(suspects) or "nobody")
+            self._reporting = True
+            self._send_command(
+                Suspect(self._me[0], suspects), partial(self._on_reported, suspects), REPORT_TIMEOUT_S
+            )
+
+    def _notify_changes(self) -> None:
+        silent, gone = self.detector.silent, self.detector.gone
         if silent is self._silent and gone is self._gone:
             return
         before, self._silent = self._silent, silent
         for machine in silent ^ before:
             up = machine not in silent
             log.info("watch: %s %s", machine, "answers again" if up else "is silent")
-            self._standing(machine, up)
-        lately, self._gone = gone - self._gone, gone
-        for machine in lately:
+            self._on_health_changed(machine, up)
+        newly_gone, self._gone = gone - self._gone, gone
+        for machine in newly_gone:
             log.info("watch: %s is given up", machine)
-            self._tell_gone(machine)
+            self._on_gone(machine)
 
-    def _done(self, noticed: tuple[str, ...], result: object) -> None:
-        self._telling = False
+    def _on_reported(self, suspects: tuple[str, ...], result: object) -> None:
+        self._reporting = False
         if result is not None:
-            self._told = noticed
+            self._reported = suspects
--- a/brackengate/proxy/reachability.py
+++ b/brackengate/proxy/reachability.py
@@ -16,9 +16,9 @@
 
 log = logging.getLogger("brackengate.watch")
 
-ANSWER_S = 0.5  # for a connection and a word on it
-AGAIN_S = 0.2  # between two questions to one that answers no datagrams yet
-QUESTION = b"GET / HTTP/1.1\r\nHost: proxy\r\nContent-Length: 0\r\n\r\n"  # its gate turns it away
+ANSWER_TIMEOUT_S = 0.5  # for a connection and a word on it
+RECHECK_INTERVAL_S = 0.2  # between two questions to one that answers no datagrams yet
+PROBE_REQUEST = b"GET / HTTP/1.1\r\nHost: proxy\r\nContent-Length: 0\r\n\r\n"  # its gate turns it away
 
 
 class Reachability:
@@ -26,39 +26,39 @@
         self,
         loop: asyncio.AbstractEventLoop,
         address_of: Callable[[str], Address],
-        cut_off: Callable[[str], None],
+        on_unreachable: Callable[[str], None],
     ) -> None:
         """`address_of`: where a machine's proxy listens.  `cut_off`: told of one that is not there."""
-        self._loop, self._address_of, self._cut_off = loop, address_of, cut_off
-        self._asking: dict[str, asyncio.Task[None]] = {}
+        self._loop, self._address_of, self._on_unreachable = loop, address_of, on_unreachable
+        self._checks: dict[str, asyncio.Task[None]] = {}
 
-    def given_up(self, machine: str) -> None:
+    def check(self, machine: str) -> None:
         """It has answered no datagram for long."""
-        if machine not in self._asking:
-            self._asking[machine] = self._loop.create_task(self._ask(machine))
+        if machine not in self._checks:
+            self._checks[machine] = self._loop.create_task(self._check_until_unreachable(machine))
 
-    def answers(self, machine: str) -> None:
-        task = self._asking.pop(machine, None)
+    def cancel(self, machine: str) -> None:
+        task = self._checks.pop(machine, None)
         if task is not None:
             task.cancel()
 
     def close(self) -> None:
-        for machine in list(self._asking):
-            self.answers(machine)
+        for machine in list(self._checks):
+            self.cancel(machine)
 
-    async def _ask(self, machine: str) -> None:
-        while await self._answers(machine):
-            await asyncio.sleep(AGAIN_S)
+    async def _check_until_unreachable(self, machine: str) -> None:
+        while await self._is_reachable(machine):
+            await asyncio.sleep(RECHECK_INTERVAL_S)
         log.info("watch: %s answers on no connection: what is under way there ends", machine)
-        self._asking.pop(machine, None)
-        self._cut_off(machine)
+        self._checks.pop(machine, None)
+        self._on_unreachable(machine)
 
-    async def _answers(self, machine: str) -> bool:
+    async def _is_reachable(self, machine: str) -> bool:
         answered: asyncio.Future[None] = self._loop.create_future()
         try:
-            async with asyncio.timeout(ANSWER_S):
+            async with asyncio.timeout(ANSWER_TIMEOUT_S):
                 transport, _ = await self._loop.create_connection(
-                    lambda: _Question(answered), *self._address_of(machine)
+                    lambda: _Probe(answered), *self._address_of(machine)
                 )
                 try:
                     await answered
@@ -69,14 +69,14 @@
         return True
 
 
-class _Question(asyncio.Protocol):
+class _Probe(asyncio.Protocol):
     """Any word is an answer."""
 
     def __init__(self, answered: asyncio.Future[None]) -> None:
         self._answered = answered
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        cast(asyncio.Transport, transport).write(QUESTION)
+        cast(asyncio.Transport, transport).write(PROBE_REQUEST)
 
     def data_received(self, data: bytes) -> None:
         if not self._answered.done():
--- a/brackengate/proxy/request_log.py
+++ b/brackengate/proxy/request_log.py
@@ -12,22 +12,24 @@
 from typing import Any
 
 from brackengate.interface import Outcome, Request
-from brackengate.proxy.hop_headers import ATTEMPT, Said
+from brackengate.proxy.hop_headers import ATTEMPT_ID, HopOutcome
 
-MOST, MOST_ODD = 512, 512  # requests; odd ones
-MOST_OPEN = 4096  # that have no answer yet: one whose caller leaves before its body is whole has no end
-ID = ATTEMPT.lower()
-OUT = "no answer by then"
+MAX_REQUESTS, MAX_UNUSUAL = 512, 512  # requests; odd ones
+MAX_OPEN = 4096  # that have no answer yet: one whose caller leaves before its body is whole has no end
+ATTEMPT_ID_FIELD = ATTEMPT_ID.lower()
+NO_ANSWER_YET = "no answer by then"
 SERVED = 200  # as the node says it: an upstream's answer went back, whatever its status
 
-Step = tuple[int, int, str, Outcome | None, int]  # number, when sent, upstream, outcome, how long it took
+AttemptRecord = tuple[
+    int, int, str, Outcome | None, int
+]  # number, when sent, upstream, outcome, how long it took
 
 
-Visit = tuple[bytes, int, int, str, str, bytes, Said, str]
+IngressRecord = tuple[bytes, int, int, str, str, bytes, HopOutcome, str]
 
 
 @dataclass(slots=True, eq=False)
-class Trace:
+class EgressRecord:
     """One request at the way out."""
 
     attempt: bytes
@@ -35,33 +37,35 @@
     route: str
     service: str
     limit: int  # the time that it had
-    why: str = ""
-    steps: list[Step] = field(default_factory=list)  # what has become of its attempts so far
+    reason: str = ""
+    attempts: list[AttemptRecord] = field(default_factory=list)  # what has become of its attempts so far
     status: int | None = None  # None: no answer yet; 0: its caller has gone
     took: int = 0
 
 
-class Wake:
+class RequestLog:
     """`observer.Observer` of the way out's nodes, and told of each visit at the gate."""
 
-    def __init__(self, most: int = MOST, odd: int = MOST_ODD) -> None:
-        self._out: deque[Trace] = deque(maxlen=most)
-        self._odd: deque[Trace] = deque(maxlen=odd)
-        self._open: dict[str, Trace] = {}
-        self._gate: deque[Visit] = deque(maxlen=most)
-        self._gate_odd: deque[Visit] = deque(maxlen=odd)
+    def __init__(self, max_requests: int = MAX_REQUESTS, max_unusual: int = MAX_UNUSUAL) -> None:
+        self._egress: deque[EgressRecord] = deque(maxlen=max_requests)
+        self._egress_unusual: deque[EgressRecord] = deque(maxlen=max_unusual)
+        self._open: dict[str, EgressRecord] = {}
+        self._ingress: deque[IngressRecord] = deque(maxlen=max_requests)
+        self._ingress_unusual: deque[IngressRecord] = deque(maxlen=max_unusual)
 
     # --- the way out
 
-    def begins(self, request: str, attempt: bytes, at: int, route: str, service: str, limit: int) -> None:
+    def record_request(
+        self, request: str, attempt: bytes, at: int, route: str, service: str, limit: int
+    ) -> None:
         """A request is about to be handed to the service's node.  `limit`: the time that it has."""
-        trace = self._open[request] = Trace(attempt, at, route, service, limit)
-        self._out.append(trace)
-        if len(self._open) > MOST_OPEN:
+        record = self._open[request] = EgressRecord(attempt, at, route, service, limit)
+        self._egress.append(record)
+        if len(self._open) > MAX_OPEN:
             del self._open[next(iter(self._open))]
 
-    def turned_away(self, attempt: bytes, at: int, status: int, why: str) -> None:
-        self._odd.append(Trace(attempt, at, "", "", 0, why, status=status))
+    def record_rejection(self, attempt: bytes, at: int, status: int, reason: str) -> None:
+        self._egress_unusual.append(EgressRecord(attempt, at, "", "", 0, reason, status=status))
 
     def serving(self, now: bool) -> None:
         pass
@@ -70,9 +74,9 @@
         pass
 
     def attempt_began(self, request: Request, number: int, upstream: str, at: int) -> None:
-        trace = self._open.get(request.request)
-        if trace is not None:
-            trace.steps.append((number, at, upstream, None, 0))
+        record = self._open.get(request.request)
+        if record is not None:
+            record.attempts.append((number, at, upstream, None, 0))
 
     def attempt_written(self, request: Request, number: int, upstream: str) -> None:
         pass
@@ -80,70 +84,86 @@
     def attempt_ended(
         self, request: Request, number: int, upstream: str, outcome: Outcome, latency: int
     ) -> None:
-        trace = self._open.get(request.request)
-        if trace is not None:
-            trace.steps[number] = (number, trace.steps[number][1], upstream, outcome, latency)
+        record = self._open.get(request.request)
+        if record is not None:
+            record.attempts[number] = (number, record.attempts[number][1], upstream, outcome, latency)
 
     def ended(self, request: Request, status: int, began: int, at: int) -> None:
-        trace = self._open.pop(request.request, None)
-        if trace is not None:
-            trace.status, trace.took = status, at - began
-            if status != SERVED or len(trace.steps) > 1:
-                self._odd.append(trace)
+        record = self._open.pop(request.request, None)
+        if record is not None:
+            record.status, record.took = status, at - began
+            if status != SERVED or len(record.attempts) > 1:
+                self._egress_unusual.append(record)
 
     # --- the gate
 
-    def visited(
-        self, attempt: bytes, at: int, took: int, route: str, upstream: str, key: bytes, said: Said, why: str
+    def record_ingress(
+        self,
+        attempt: bytes,
+        at: int,
+        took: int,
+        route: str,
+        upstream: str,
+        key: bytes,
+        outcome: HopOutcome,
+        reason: str,
     ) -> None:
         """The gate has answered: what it said, and why.  `upstream`: the life that was asked for."""
-        visit = (attempt, at, took, route, upstream, key, said, why)
-        self._gate.append(visit)
-        if said is not Said.RAN:
-            self._gate_odd.append(visit)
+        record = (attempt, at, took, route, upstream, key, outcome, reason)
+        self._ingress.append(record)
+        if outcome is not HopOutcome.RAN:
+            self._ingress_unusual.append(record)
 
     # --- told
 
-    def about(self, attempt: str) -> tuple[dict[str, Any], ...]:
+    def records_of(self, attempt: str) -> tuple[dict[str, Any], ...]:
         """All that is known of an attempt, the oldest first; times in milliseconds."""
         wanted = attempt.encode("latin-1", "replace")
-        out = {id(one): _told(one) for one in (*self._odd, *self._out) if one.attempt == wanted}
-        gate = {id(one): _visit(one) for one in (*self._gate_odd, *self._gate) if one[0] == wanted}
-        return tuple(sorted((*out.values(), *gate.values()), key=lambda one: one["at"]))
+        egress = {
+            id(record): _egress_to_dict(record)
+            for record in (*self._egress_unusual, *self._egress)
+            if record.attempt == wanted
+        }
+        ingress = {
+            id(record): _ingress_to_dict(record)
+            for record in (*self._ingress_unusual, *self._ingress)
+            if record[0] == wanted
+        }
+        return tuple(sorted((*egress.values(), *ingress.values()), key=lambda record: record["at"]))
 
 
-def _told(one: Trace) -> dict[str, Any]:
-    steps = [
+def _egress_to_dict(record: EgressRecord) -> dict[str, Any]:
+    attempts = [
         {
             "upstream": upstream,
-            "after_ms": (at - one.at) / 1000,
+            "after_ms": (at - record.at) / 1000,
             "took_ms": took / 1000,
-            "outcome": outcome.value if outcome is not None else OUT,
+            "outcome": outcome.value if outcome is not None else NO_ANSWER_YET,
         }
-        for _, at, upstream, outcome, took in one.steps
+        for _, at, upstream, outcome, took in record.attempts
     ]
     return {
         "hop": "out",
-        "at": one.at,
-        "route": one.route,
-        "service": one.service,
-        "limit_ms": one.limit / 1000,
-        "steps": steps,
-        "status": one.status,
-        "took_ms": one.took / 1000,
-        "why": one.why,
+        "at": record.at,
+        "route": record.route,
+        "service": record.service,
+        "limit_ms": record.limit / 1000,
+        "steps": attempts,
+        "status": record.status,
+        "took_ms": record.took / 1000,
+        "why": record.reason,
     }
 
 
-def _visit(one: Visit) -> dict[str, Any]:
-    _, at, took, route, upstream, key, said, why = one
+def _ingress_to_dict(record: IngressRecord) -> dict[str, Any]:
+    _, at, took, route, upstream, key, outcome, reason = record
     return {
         "hop": "gate",
         "at": at,
         "route": route,
         "upstream": upstream,
         "key": key.decode("latin-1"),
-        "said": said.value.decode(),
-        "why": why,
+        "said": outcome.value.decode(),
+        "why": reason,
         "took_ms": took / 1000,
     }
--- a/brackengate/proxy/role.py
+++ b/brackengate/proxy/role.py
@@ -29,30 +29,32 @@
 from brackengate.protocol.http_api import Readiness, listener
 from brackengate.protocol.messages import Instance, Report
 from brackengate.protocol.settings import BadSettings, Settings, plain
-from brackengate.proxy.admission import Beat, Gate
-from brackengate.proxy.answer_classification import judge, own_judge
-from brackengate.proxy.control_client import Following
-from brackengate.proxy.egress import WayOut
-from brackengate.proxy.heartbeats import Beats
-from brackengate.proxy.ingress import Entry
-from brackengate.proxy.liveness_monitor import Watcher
+from brackengate.proxy.admission import Admission, Heartbeat
+from brackengate.proxy.answer_classification import classify_proxy_answer, classify_upstream_answer
+from brackengate.proxy.control_client import ControlClient
+from brackengate.proxy.egress import Egress
+from brackengate.proxy.heartbeats import HeartbeatEndpoint
+from brackengate.proxy.ingress import Ingress
+from brackengate.proxy.liveness_monitor import LivenessMonitor
 from brackengate.proxy.reachability import Reachability
-from brackengate.proxy.request_log import Wake
-from brackengate.proxy.routing_table import Table
-from brackengate.proxy.shutdown_plan import LeavePlan
+from brackengate.proxy.request_log import RequestLog
+from brackengate.proxy.routing_table import RoutingTable
+from brackengate.proxy.shutdown_plan import ShutdownPlan
 
 log = logging.getLogger("brackengate.pilot")
 
-CONNECT_S = 0.25
-SILENT_MS = 500  # a pilot's machine that takes no bytes for so long is given up: a cut says nothing
-IDLE_S = 9.0  # kept connections; an upstream's own limit comes first where it says so
-REPORT_S = 0.25  # between two looks whether the core knows what this pilot knows
-REPORT_WITHIN_S = 1.0
-LOOK_OUT_S = 0.02  # between two looks whether a proxy that leaves still holds anything
-BODIES = 16 << 20  # bytes: what all bodies in pieces hold together; memory at its peak has a price
+CONNECT_TIMEOUT_S = 0.25
+SEND_STALL_TIMEOUT_MS = (
+    500  # a pilot's machine that takes no bytes for so long is given up: a cut says nothing
+)
+IDLE_TIMEOUT_S = 9.0  # kept connections; an upstream's own limit comes first where it says so
+REPORT_INTERVAL_S = 0.25  # between two looks whether the core knows what this pilot knows
+REPORT_TIMEOUT_S = 1.0
+SHUTDOWN_CHECK_S = 0.02  # between two looks whether a proxy that leaves still holds anything
+MAX_BODY_BYTES = 16 << 20  # bytes: what all bodies in pieces hold together; memory at its peak has a price
 
 
-class Pilot:
+class Proxy:
     def __init__(
         self, settings: Settings, read: Callable[[], Settings], ground: Ground | None = None
     ) -> None:
@@ -63,108 +65,126 @@
         loop, rng, bind = ground.loop, ground.rng, ground.bind
         self._loop = loop
         clock = self.clock = ground.clock or Clock()
-        self.left: asyncio.Future[int] = loop.create_future()  # done with 0 once it has left in order
-        self._leaving = False
+        self.exited: asyncio.Future[int] = loop.create_future()  # done with 0 once it has left in order
+        self._shutting_down = False
         descriptors = min(
             settings.limits.file_limit - 250, resource.getrlimit(resource.RLIMIT_NOFILE)[0] - 100
         )
-        self._budget = SocketBudget(max(64, descriptors))
+        self._socket_budget = SocketBudget(max(64, descriptors))
         inbound = plain(settings.listen.inbound, "Inbound")
         self._port = inbound[1]
-        self.table = Table()
-        wake, wire = Wake(), ground.wire
-        self.gate = Gate(
+        self.table = RoutingTable()
+        request_log, wire = RequestLog(), ground.wire
+        self.admission = Admission(
             settings.zone, settings.feedback, settings.bounds.drain, f"{rng.getrandbits(32):08x}"
         )
-        bytes_ = ByteBudget(BODIES)
-        self._gates = Pool(
+        body_budget = ByteBudget(MAX_BODY_BYTES)
+        self._peer_pool = Pool(
             loop,
-            self._budget,
-            CONNECT_S,
-            IDLE_S,
-            bytes_,
+            self._socket_budget,
+            CONNECT_TIMEOUT_S,
+            IDLE_TIMEOUT_S,
+            body_budget,
             wire=wire,
-            judge=judge,
+            judge=classify_proxy_answer,
             settle=0,
-            silent_ms=SILENT_MS,
+            silent_ms=SEND_STALL_TIMEOUT_MS,
             slow=False,
         )
-        self._own = Pool(
-            loop, self._budget, CONNECT_S, IDLE_S, bytes_, wire=wire, judge=own_judge, slow=False
+        self._upstream_pool = Pool(
+            loop,
+            self._socket_budget,
+            CONNECT_TIMEOUT_S,
+            IDLE_TIMEOUT_S,
+            body_budget,
+            wire=wire,
+            judge=classify_upstream_answer,
+            slow=False,
         )
-        self.following = Following(
+        self.control_client = ControlClient(
             settings.ip,
             settings.zone,
             settings.lighthouse_port,
-            self._seeds,
+            self._control_replicas,
             self.table,
-            self._changed,
+            self._on_table_changed,
             clock.now,
-            wake.about,
+            request_log.records_of,
         )
         current_within = settings.bounds.apply_time // 2
         me = settings.ip, settings.internal_ports[0]
-        self.reachability = Reachability(loop, self._address_of, self._cut_off)
-        self.watcher = Watcher(me, clock.now, self.following.ask, self._standing, self.reachability.given_up)
-        self.way = WayOut(
+        self.reachability = Reachability(loop, self._address_of, self._on_unreachable)
+        self.liveness_monitor = LivenessMonitor(
+            me, clock.now, self.control_client.send_command, self._on_health_changed, self.reachability.check
+        )
+        self.egress = Egress(
             loop,
             clock,
-            self._budget,
+            self._socket_budget,
             self.table,
             settings.plant,
             self._address_of,
             rng,
             (settings.bounds.retry_ratio, settings.bounds.retry_slack),
-            wake,
-            bytes_,
+            request_log,
+            body_budget,
             wire,
-            lambda: self.following.is_current(current_within),
+            lambda: self.control_client.is_current(current_within),
         )
-        self.following.on_current = self.way.unrouted.look
-        self.entry = Entry(
+        self.control_client.on_freshness_changed = self.egress.unrouted.recheck
+        self.ingress = Ingress(
             loop,
             clock,
-            self._own,
-            self.gate,
+            self._upstream_pool,
+            self.admission,
             settings.ip,
             plain(settings.application, "Application") if settings.application else inbound,
             settings.bounds.dedupe_window,
-            self.following.ask,
-            self._gates,
+            self.control_client.send_command,
+            self._peer_pool,
             self._address_of,
             f"{rng.getrandbits(48):012x}",
-            wake,
+            request_log,
         )
         listen = settings.listen
-        self._clients = listener(
-            loop, clock, [bind(plain(listen.outbound, "Outbound"))], self.way, self._budget, bytes_
+        self._egress_server = listener(
+            loop,
+            clock,
+            [bind(plain(listen.outbound, "Outbound"))],
+            self.egress,
+            self._socket_budget,
+            body_budget,
+        )
+        self._ingress_server = listener(
+            loop, clock, [bind(inbound)], self.ingress, self._socket_budget, body_budget
         )
-        self._gate_door = listener(loop, clock, [bind(inbound)], self.entry, self._budget, bytes_)
         readiness = Readiness(lambda: self.ready)
-        self._others: list[Server] = [
-            listener(loop, clock, [bind(plain(listen.readiness, "Readiness"))], readiness, self._budget),
+        self._other_servers: list[Server] = [
+            listener(
+                loop, clock, [bind(plain(listen.readiness, "Readiness"))], readiness, self._socket_budget
+            ),
             listener(
                 loop,
                 clock,
                 [bind(plain(listen.control, "Control"))],
-                Beats(self._beat, self._leave),
-                self._budget,
+                HeartbeatEndpoint(self._on_heartbeat, self._on_upstream_leaving),
+                self._socket_budget,
             ),
         ]
         self._reporting = self._adopted = False
 
     @property
     def ready(self) -> bool:
-        return self.table.known and not self._leaving
+        return self.table.has_configuration and not self._shutting_down
 
     def _address_of(self, machine: str) -> Address:
         return machine, self._port
 
-    def reread(self) -> None:
+    def reload_settings(self) -> None:
         """The settings file has changed."""
-        self._seeds()
+        self._control_replicas()
 
-    def _seeds(self) -> Iterable[str]:
+    def _control_replicas(self) -> Iterable[str]:
         """As the file names them now: they may have changed without a signal."""
         try:
             self.settings = self._read()
@@ -175,136 +195,146 @@
     # --- life
 
     def start(self) -> None:
-        self._loop.create_task(self.watcher.start()).add_done_callback(self._watches)
-        self.following.start()
-        for server in (self._clients, self._gate_door, *self._others):
+        self._loop.create_task(self.liveness_monitor.start()).add_done_callback(self._on_monitor_started)
+        self.control_client.start()
+        for server in (self._egress_server, self._ingress_server, *self._other_servers):
             server.start()
-        self._report()
+        self._report_periodically()
         log.info("pilot: %s is up beside %s", self.settings.ip, self.settings.plant or "nobody")
 
-    def _watches(self, begun: asyncio.Task[None]) -> None:
+    def _on_monitor_started(self, started: asyncio.Task[None]) -> None:
         """Without its port it would be taken for silent: it ends with that error."""
-        if not begun.cancelled() and (error := begun.exception()) is not None and not self.left.done():
-            self.left.set_exception(error)
+        if not started.cancelled() and (error := started.exception()) is not None and not self.exited.done():
+            self.exited.set_exception(error)
 
     def stop(self) -> None:
         """Leave in order: clients and pilots are asked to go, what is held is answered, then the end."""
-        if self._leaving:
+        if self._shutting_down:
             return
-        self._leaving = True
-        log.info("pilot: leaving, with %d requests held", self.way.held() + self.entry.held())
-        self._clients.ask_to_go(True)
-        now, longest = self.clock.now(), max((route.cutoff for route in self.table.routes()), default=0)
-        plan = LeavePlan(now, self.settings.bounds.grace, longest)
-        self.way.leave(plan)
-        self._at(plan.leaves_list, self._leave_the_list)
-        self._at(plan.gate_closes, self._close_gate)
-        self._at(plan.clients_end, self._look_out, plan)
-
-    def _at(self, when: int, do: Callable[..., None], *args: object) -> None:
+        self._shutting_down = True
+        log.info(
+            "pilot: leaving, with %d requests held",
+            self.egress.pending_count() + self.ingress.pending_count(),
+        )
+        self._egress_server.ask_to_go(True)
+        now, longest_request = (
+            self.clock.now(),
+            max((route.cutoff for route in self.table.routes()), default=0),
+        )
+        plan = ShutdownPlan(now, self.settings.bounds.grace, longest_request)
+        self.egress.start_shutdown(plan)
+        self._schedule(plan.deregisters_at, self._deregister)
+        self._schedule(plan.ingress_closes_at, self._close_ingress)
+        self._schedule(plan.egress_closes_at, self._exit_when_idle, plan)
+
+    def _schedule(self, when: int, do: Callable[..., None], *args: object) -> None:
         self._loop.call_later((when - self.clock.now()) / 1e6, do, *args)
 
-    def _leave_the_list(self) -> None:
+    def _deregister(self) -> None:
         """Callers hear that they are to look elsewhere before the gate closes."""
-        self.gate.leaving = True
+        self.admission.leaving = True
         self._reconcile()
 
-    def _close_gate(self) -> None:
+    def _close_ingress(self) -> None:
         """Other proxies' connections end with their next answer, and not before the news has reached them:
         a close that crosses a request leaves its caller without knowing whether it ran."""
-        self.gate.closed = True
-        self._gate_door.ask_to_go(True)
+        self.admission.closed = True
+        self._ingress_server.ask_to_go(True)
 
-    def _look_out(self, plan: LeavePlan) -> None:
-        held = self.way.held() + self.entry.held()
-        if held and self.clock.now() < plan.ends_by:
-            self._loop.call_later(LOOK_OUT_S, self._look_out, plan)
+    def _exit_when_idle(self, plan: ShutdownPlan) -> None:
+        pending = self.egress.pending_count() + self.ingress.pending_count()
+        if pending and self.clock.now() < plan.exit_deadline:
+            self._loop.call_later(SHUTDOWN_CHECK_S, self._exit_when_idle, plan)
             return
-        log.info("pilot: left, with %d requests held", held)
-        self.following.close()
-        self.watcher.close()
+        log.info("pilot: left, with %d requests held", pending)
+        self.control_client.close()
+        self.liveness_monitor.close()
         self.reachability.close()
-        if not self.left.done():
-            self.left.set_result(0)
+        if not self.exited.done():
+            self.exited.set_result(0)
 
     # --- the upstream beside it
 
-    def _beat(self, beat: Beat) -> None:
-        before = self.gate.beat
-        self.gate.heard(beat, self.clock.now())
-        if before is not None and before.id != beat.id:
-            self._own.release(before.id)
+    def _on_heartbeat(self, heartbeat: Heartbeat) -> None:
+        before = self.admission.heartbeat
+        self.admission.receive_heartbeat(heartbeat, self.clock.now())
+        if before is not None and before.id != heartbeat.id:
+            self._upstream_pool.release(before.id)
         self._reconcile()
 
-    def _leave(self, id_: str) -> None:
-        self.gate.leaves(id_)
-        self._own.release(id_)
+    def _on_upstream_leaving(self, id_: str) -> None:
+        self.admission.remove_upstream(id_)
+        self._upstream_pool.release(id_)
         self._reconcile()
 
-    def _report(self) -> None:
-        self._loop.call_later(REPORT_S, self._report)
+    def _report_periodically(self) -> None:
+        self._loop.call_later(REPORT_INTERVAL_S, self._report_periodically)
         self._reconcile()
 
     def _reconcile(self) -> None:
         """Wanted: that the core's row of this machine says what the gate knows."""
-        me, wanted = self.settings.ip, self.gate.report(self.clock.now())
+        me, wanted = self.settings.ip, self.admission.report(self.clock.now())
         known = self.table.instances.get(me)
         if wanted is None:
             if (
                 known is None
                 or known.state == "gone"
-                or (self.gate.beat is None and not self.gate.ended(known.id))
+                or (self.admission.heartbeat is None and not self.admission.has_ended(known.id))
             ):
                 return
             wanted = msgspec.structs.replace(known, state="gone")
-        same = known is not None and _said(known) == _said(wanted)
-        if same or self._reporting or not self.following.in_touch:
+        same = known is not None and _reported_fields(known) == _reported_fields(wanted)
+        if same or self._reporting or not self.control_client.connected:
             return
         self._reporting = True
-        self.following.ask(Report(me, msgspec.to_builtins(wanted)), self._reported, REPORT_WITHIN_S)
+        self.control_client.send_command(
+            Report(me, msgspec.to_builtins(wanted)), self._on_reported, REPORT_TIMEOUT_S
+        )
 
-    def _reported(self, result: object) -> None:
+    def _on_reported(self, result: object) -> None:
         self._reporting = False
 
     # --- what is followed
 
-    def _changed(self, kinds: set[str]) -> None:
-        if self.table.known and not self._adopted:  # its own row may come in the last slice
+    def _on_table_changed(self, kinds: set[str]) -> None:
+        if self.table.has_configuration and not self._adopted:  # its own row may come in the last slice
             self._adopt()
-        self.way.changed()
+        self.egress.apply_table_changes()
         if kinds & {"inst", "silent"}:
-            doubted = {machine for machines in self.table.noticed.values() for machine in machines}
-            self.watcher.know(self.table.pilots(), doubted)
+            suspects = {
+                machine for machines in self.table.suspects_by_watcher.values() for machine in machines
+            }
+            self.liveness_monitor.update(self.table.proxy_machines(), suspects)
 
     def _adopt(self) -> None:
         self._adopted = True
         known = self.table.instances.get(self.settings.ip)
         if known is not None and known.plant == self.settings.plant:
-            self.gate.adopt(known, self.clock.now())
+            self.admission.adopt(known, self.clock.now())
 
-    def _standing(self, machine: str, up: bool) -> None:
+    def _on_health_changed(self, machine: str, up: bool) -> None:
         """Wanted: that nothing new goes to a machine which does not answer."""
         if up:
-            self.reachability.answers(machine)
-        self.way.standing(machine, up)
+            self.reachability.cancel(machine)
+        self.egress.set_health(machine, up)
 
-    def _cut_off(self, machine: str) -> None:
+    def _on_unreachable(self, machine: str) -> None:
         """And that nothing waits for one which has not answered for long, nor on a connection."""
-        self.way.given_up(machine)
-        self._gates.break_off(machine)
+        self.egress.break_connections(machine)
+        self._peer_pool.break_off(machine)
 
 
-def _said(instance: Instance) -> tuple[str, str, str]:
+def _reported_fields(instance: Instance) -> tuple[str, str, str]:
     """What of a report is news; the rest goes with it."""
     return instance.id, instance.state, instance.pilot
 
 
 async def serve(settings: Settings, path: str) -> int:
-    pilot, loop = Pilot(settings, lambda: files.load(path)), asyncio.get_running_loop()
+    proxy, loop = Proxy(settings, lambda: files.load(path)), asyncio.get_running_loop()
     for number in (signal.SIGTERM, signal.SIGINT):
-        loop.add_signal_handler(number, pilot.stop)
-    loop.add_signal_handler(signal.SIGHUP, pilot.reread)
-    pilot.start()
+        loop.add_signal_handler(number, proxy.stop)
+    loop.add_signal_handler(signal.SIGHUP, proxy.reload_settings)
+    proxy.start()
     gc.collect()
     gc.freeze()
-    return await pilot.left
+    return await proxy.exited
--- a/brackengate/proxy/routing_table.py
+++ b/brackengate/proxy/routing_table.py
@@ -17,74 +17,78 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Prepared:
+class ParsedItem:
     """An operator's item, read.  `read` None: dropped, or not to be followed."""
 
     item: Item
-    read: Route | Plant | None = None
+    parsed: Route | Plant | None = None
 
 
-def prepared(kind: str, value: Any) -> Prepared:
+def parse_item(kind: str, value: Any) -> ParsedItem:
     item = msgspec.convert(value, Item)
-    if item.body is None or kind not in _READERS:
-        return Prepared(item)
+    if item.body is None or kind not in _PARSERS:
+        return ParsedItem(item)
     try:
-        return Prepared(item, _READERS[kind](item))
+        return ParsedItem(item, _PARSERS[kind](item))
     except Invalid:  # the lighthouses check; one that a newer program let in is not followed
-        return Prepared(item)
+        return ParsedItem(item)
 
 
-_READERS: dict[str, Callable[[Item], Route | Plant]] = {"route": route, "plant": plant}
+_PARSERS: dict[str, Callable[[Item], Route | Plant]] = {"route": route, "plant": plant}
 
 
 @dataclass(slots=True)
-class Touched:
+class ChangedNames:
     """What has changed since this was last asked."""
 
     routes: set[str] = field(default_factory=set)  # by name
     services: set[str] = field(default_factory=set)  # those whose upstreams did
 
 
-class Table:
+class RoutingTable:
     """Never goes from a newer version of an item to an older one, whichever lighthouse says what."""
 
     def __init__(self) -> None:
         self.index = -1  # of the log of changes; -1: nothing is known yet
         self._items: dict[tuple[str, str], Item] = {}
-        self.plants: dict[str, Plant] = {}
+        self.services: dict[str, Plant] = {}
         self.instances: dict[str, Instance] = {}  # by machine
-        self.noticed: dict[str, tuple[str, ...]] = {}  # by watcher, the machines that it does not hear
+        self.suspects_by_watcher: dict[
+            str, tuple[str, ...]
+        ] = {}  # by watcher, the machines that it does not hear
         self._routes: dict[str, Route] = {}
-        self._hosts: dict[str, dict[str, Route]] = {}  # by host and prefix
+        self._routes_by_host: dict[str, dict[str, Route]] = {}  # by host and prefix
         self._upstreams: dict[str, dict[str, Instance]] = {}  # those that are not gone, by service
-        self._touched = Touched()
-        self.known = False  # whether there is a whole configuration: without one, no request can be routed
+        self._changed_names = ChangedNames()
+        self.has_configuration = (
+            False  # whether there is a whole configuration: without one, no request can be routed
+        )
 
-    def snapshot(self, index: int, rows: Iterable[Row]) -> set[str]:
+    def apply_snapshot(self, index: int, rows: Iterable[Row]) -> set[str]:
         """As `changes`, and what is not named is gone.  An older one than what is held is left alone."""
         if index < self.index:
             return set()
-        return self.changes(index, self.completed(rows))
+        return self.apply_changes(index, self.rows_with_removals(rows))
 
-    def completed(self, rows: Iterable[Row]) -> list[Row]:
+    def rows_with_removals(self, rows: Iterable[Row]) -> list[Row]:
         """The rows of a whole copy, and the removal of whatever stands here and is not named in it."""
         rows = list(rows)
         named = {(kind, name) for kind, name, _ in rows}
         gone: list[Row] = [("inst", name, None) for name in self.instances if ("inst", name) not in named]
-        gone += [("silent", name, None) for name in self.noticed if ("silent", name) not in named]
+        gone += [("silent", name, None) for name in self.suspects_by_watcher if ("silent", name) not in named]
         return [*rows, *gone]
 
-    def changes(self, index: int, rows: Iterable[Row]) -> set[str]:
+    def apply_changes(self, index: int, rows: Iterable[Row]) -> set[str]:
         """Take rows up to a index; the kinds of what they changed."""
         changed: set[str] = set()
         if index <= self.index and self.index >= 0:
             return changed
         self.index = index
-        changed = self.apply(rows)
-        self.known = bool(self._items)
+        changed = self.apply_rows(rows)
+        self.has_configuration = bool(self._items)
         return changed
 
-    def apply(self, rows: Iterable[Row]) -> set[str]:
+    def apply_rows(self, rows: Iterable[Row]) -> set[str]:
         """Rows of changes that are in force; the kinds of what they changed.
 
         Of items, a part may be taken at a time: the versions keep their order.
@@ -92,62 +96,64 @@
         changed: set[str] = set()
         for kind, name, value in rows:
             if kind in ITEMS:
-                if self._item(kind, name, value if isinstance(value, Prepared) else prepared(kind, value)):
+                if self._apply_item(
+                    kind, name, value if isinstance(value, ParsedItem) else parse_item(kind, value)
+                ):
                     changed.add(kind)
             elif kind == "inst":
                 changed.add(kind)
-                self._instance(name, msgspec.convert(value, Instance) if value is not None else None)
+                self._apply_instance(name, msgspec.convert(value, Instance) if value is not None else None)
             elif kind == "silent":
                 changed.add(kind)
                 if value:
-                    self.noticed[name] = tuple(value)
+                    self.suspects_by_watcher[name] = tuple(value)
                 else:
-                    self.noticed.pop(name, None)
+                    self.suspects_by_watcher.pop(name, None)
         return changed
 
-    def take_touched(self) -> Touched:
-        touched, self._touched = self._touched, Touched()
-        return touched
+    def take_changed_names(self) -> ChangedNames:
+        changed_names, self._changed_names = self._changed_names, ChangedNames()
+        return changed_names
 
-    def _instance(self, machine: str, now: Instance | None) -> None:
+    def _apply_instance(self, machine: str, now: Instance | None) -> None:
         before = self.instances.pop(machine, None)
         if before is not None:
-            self._touched.services.add(before.plant)
+            self._changed_names.services.add(before.plant)
             self._upstreams.get(before.plant, {}).pop(machine, None)
         if now is None:
             return
         self.instances[machine] = now
-        self._touched.services.add(now.plant)
+        self._changed_names.services.add(now.plant)
         if now.state != "gone":
             self._upstreams.setdefault(now.plant, {})[machine] = now
 
     def _set_route(self, name: str, now: Route | None) -> None:
         before = self._routes.pop(name, None)
-        self._touched.routes.add(name)
+        self._changed_names.routes.add(name)
         if before is not None:
-            prefixes = self._hosts[before.host]
+            prefixes = self._routes_by_host[before.host]
             if prefixes.get(before.prefix) is before:  # another one may have come to its place
                 del prefixes[before.prefix]
                 if not prefixes:
-                    del self._hosts[before.host]
+                    del self._routes_by_host[before.host]
         if now is not None:
             self._routes[name] = now
-            self._hosts.setdefault(now.host, {})[now.prefix] = now
+            self._routes_by_host.setdefault(now.host, {})[now.prefix] = now
 
-    def _item(self, kind: str, name: str, one: Prepared) -> bool:
+    def _apply_item(self, kind: str, name: str, one: ParsedItem) -> bool:
         held = self._items.get((kind, name))
         if held is not None and held.version >= one.item.version:
             return False
         self._items[kind, name] = one.item
         if kind == "route":
-            self._set_route(name, one.read if isinstance(one.read, Route) else None)
-        elif isinstance(one.read, Plant):
-            self.plants[name] = one.read
+            self._set_route(name, one.parsed if isinstance(one.parsed, Route) else None)
+        elif isinstance(one.parsed, Plant):
+            self.services[name] = one.parsed
         else:
-            self.plants.pop(name, None)
+            self.services.pop(name, None)
         return True
 
-    def pilots(self) -> list[str]:
+    def proxy_machines(self) -> list[str]:
         """The machines whose pilot has an upstream beside it."""
         return [machine for upstreams in self._upstreams.values() for machine in upstreams]
 
@@ -164,7 +170,7 @@
     def find(self, host: str, path: str) -> Route | None:
         """Of the host's routes the one with the longest prefix that begins the path; prefixes end with a
         slash."""
-        prefixes = self._hosts.get(host, {})
+        prefixes = self._routes_by_host.get(host, {})
         end = path.rfind("/") + 1
         while end > 0:
             found = prefixes.get(path[:end])
@@ -174,7 +180,7 @@
         return None
 
 
-def choose(parts: tuple[Part, ...], at: float) -> str:
+def choose_service(parts: tuple[Part, ...], at: float) -> str:
     """The service at a index between 0 and 1 of the weights laid side by side."""
     ends: list[float] = []
     total = 0.0
@@ -184,7 +190,7 @@
     return parts[min(bisect.bisect_right(ends, at * total), len(parts) - 1)].plant
 
 
-def host_of(value: bytes) -> str:
+def host_without_port(value: bytes) -> str:
     """The name in a Host header, without its port."""
     text = value.decode("latin-1").lower()
     name, colon, port = text.rpartition(":")
--- a/brackengate/proxy/shutdown_plan.py
+++ b/brackengate/proxy/shutdown_plan.py
@@ -11,44 +11,46 @@
 
 from dataclasses import dataclass
 
-CLIENTS_PART = 55  # hundredths of the grace in which clients are taken: until two looks have failed
-ANY_LENGTH = 2_900_000  # after the stop; until then requests of any length are taken
-NEWS = 300_000  # for the news that the gate will close
-SPARE = 600_000  # of the grace, at its end: for the process to end
-REFUSED_FOR = 1_000_000  # what a client that is turned away is told: by then a restarted process may be ready
+CLIENT_GRACE_PERCENT = 55  # hundredths of the grace in which clients are taken: until two looks have failed
+ANY_LENGTH_US = 2_900_000  # after the stop; until then requests of any length are taken
+NOTICE_US = 300_000  # for the news that the gate will close
+EXIT_RESERVE_US = 600_000  # of the grace, at its end: for the process to end
+RETRY_AFTER_US = (
+    1_000_000  # what a client that is turned away is told: by then a restarted process may be ready
+)
 
 
 @dataclass(frozen=True, slots=True)
-class LeavePlan:
+class ShutdownPlan:
     """`longest`: the longest time that a route gives its requests."""
 
-    begun: int
+    started_at: int
     grace: int
-    longest: int
+    longest_request: int
 
     @property
-    def ends_by(self) -> int:
+    def exit_deadline(self) -> int:
         """The process ends, whatever it holds."""
-        return self.begun + self.grace - SPARE
+        return self.started_at + self.grace - EXIT_RESERVE_US
 
     @property
-    def gate_closes(self) -> int:
+    def ingress_closes_at(self) -> int:
         """Other proxies' requests are taken until then: what came last can end in time."""
-        last = min(self.clients_end, self.ends_by - self.longest - NEWS)
-        return max(self.begun + NEWS, last)
+        last = min(self.egress_closes_at, self.exit_deadline - self.longest_request - NOTICE_US)
+        return max(self.started_at + NOTICE_US, last)
 
     @property
-    def leaves_list(self) -> int:
+    def deregisters_at(self) -> int:
         """Other proxies hear that they are to look elsewhere."""
-        return self.gate_closes - NEWS
+        return self.ingress_closes_at - NOTICE_US
 
     @property
-    def clients_end(self) -> int:
+    def egress_closes_at(self) -> int:
         """No client's request is taken from then on; the process ends when it holds nothing."""
-        return self.begun + self.grace * CLIENTS_PART // 100
+        return self.started_at + self.grace * CLIENT_GRACE_PERCENT // 100
 
-    def takes(self, limit: int, now: int) -> bool:
+    def accepts(self, time_limit: int, now: int) -> bool:
         """Whether to take a request of a client that may last for so long."""
-        if now >= self.clients_end:
+        if now >= self.egress_closes_at:
             return False
-        return now < self.begun + ANY_LENGTH or now + limit <= self.ends_by
+        return now < self.started_at + ANY_LENGTH_US or now + time_limit <= self.exit_deadline
--- a/brackengate/proxy/snapshot_receiver.py
+++ b/brackengate/proxy/snapshot_receiver.py
@@ -10,18 +10,18 @@
 
 
 @dataclass
-class PublicCopy:
+class SnapshotReceiver:
     """It goes on where it was cut off, at whichever replica."""
 
     position: CopyPosition = NOTHING
     rows: CommittedRows = field(default_factory=CommittedRows)
 
-    def take(self, asked: CopyPosition, piece: CopyPiece) -> bool:
+    def receive(self, requested_after: CopyPosition, piece: CopyPiece) -> bool:
         """Whether it is whole.  `asked`: what the piece follows; it may have gone on elsewhere since then.
 
         Differs, and it begins anew, where it is not what its sender holds.
         """
-        if not piece.anew and asked != self.position:
+        if not piece.anew and requested_after != self.position:
             return False
         changes = taken(self.position, piece)
         if piece.anew:
@@ -32,17 +32,17 @@
         try:
             check(self.rows, piece)
         except Differs:
-            self.begin_anew()
+            self.restart()
             raise
         return piece.total is not None
 
-    def whole(self) -> tuple[int, list[Row]]:
+    def take_complete(self) -> tuple[int, list[Row]]:
         """Its index and its rows, once it is whole; the next one begins with nothing."""
         index = self.position.index
         rows: list[Row] = [(kind, name, value) for kind, name, _, value in self.rows]
-        self.begin_anew()
+        self.restart()
         return index, rows
 
-    def begin_anew(self) -> None:
+    def restart(self) -> None:
         self.position = NOTHING
         self.rows.clear()
--- a/brackengate/proxy/staged_changes.py
+++ b/brackengate/proxy/staged_changes.py
@@ -8,53 +8,55 @@
 from dataclasses import dataclass, field
 
 from brackengate.protocol.messages import ITEMS, Row, StagedPosition, StagedRows, StagePiece
-from brackengate.proxy.routing_table import Prepared, prepared
+from brackengate.proxy.routing_table import ParsedItem, parse_item
 
-KEPT = 12  # orders that are held at most, so that several can be under way at once; the oldest goes
+MAX_STAGED_CHANGES = (
+    12  # orders that are held at most, so that several can be under way at once; the oldest goes
+)
 
 
 @dataclass(slots=True)
-class PartialOrder:
+class StagedChange:
     count: int  # of its pieces
     pieces: int = 0  # that are here
-    rows: list[tuple[str, str, Prepared]] = field(default_factory=list)
+    rows: list[tuple[str, str, ParsedItem]] = field(default_factory=list)
 
 
-class NotHeld(Exception):
+class StagedChangeMissing(Exception):
     """A reference to an order that is not here."""
 
 
 @dataclass
-class StagedStore:
-    orders: dict[str, PartialOrder] = field(default_factory=dict)
+class StagedChanges:
+    changes: dict[str, StagedChange] = field(default_factory=dict)
 
-    def offered(self, id_: str, pieces: int) -> int:
+    def next_piece(self, id_: str, pieces: int) -> int:
         """The piece that comes next; `pieces` where all are here."""
-        found = self.orders.get(id_)
-        if found is None:
-            found = self.orders[id_] = PartialOrder(pieces)
-            for old in list(self.orders)[:-KEPT]:
-                del self.orders[old]
-        return found.pieces
-
-    def take(self, piece: StagePiece) -> int | None:
+        change = self.changes.get(id_)
+        if change is None:
+            change = self.changes[id_] = StagedChange(pieces)
+            for old in list(self.changes)[:-MAX_STAGED_CHANGES]:
+                del self.changes[old]
+        return change.pieces
+
+    def receive(self, piece: StagePiece) -> int | None:
         """The piece to ask for now; None where this one was not asked for."""
-        found = self.orders.get(piece.id)
-        if found is None or piece.piece != found.pieces:
+        change = self.changes.get(piece.id)
+        if change is None or piece.piece != change.pieces:
             return None
-        found.rows += [
-            (kind, name, prepared(kind, value)) for kind, name, value in piece.rows if kind in ITEMS
+        change.rows += [
+            (kind, name, parse_item(kind, value)) for kind, name, value in piece.rows if kind in ITEMS
         ]
-        found.pieces += 1
-        return found.pieces
+        change.pieces += 1
+        return change.pieces
 
     def positions(self) -> tuple[StagedPosition, ...]:
-        return tuple(StagedPosition(id_, one.pieces) for id_, one in self.orders.items())
+        return tuple(StagedPosition(id_, change.pieces) for id_, change in self.changes.items())
 
-    def put_in_force(self, reference: StagedRows) -> list[Row]:
+    def take_rows(self, reference: StagedRows) -> list[Row]:
         """Its rows; it is not held any more.  `NotHeld` where some of it never came."""
-        found = self.orders.pop(reference.id, None)
-        if found is None or found.pieces < found.count:
-            raise NotHeld(reference.id)
+        change = self.changes.pop(reference.id, None)
+        if change is None or change.pieces < change.count:
+            raise StagedChangeMissing(reference.id)
         without = set(reference.without)
-        return [row for at, row in enumerate(found.rows) if at not in without]
+        return [row for at, row in enumerate(change.rows) if at not in without]
--- a/brackengate/proxy/unrouted_requests.py
+++ b/brackengate/proxy/unrouted_requests.py
@@ -14,53 +14,55 @@
 from brackengate.net.http import CallerConnection
 from brackengate.net.node import REFUSED, Reply
 
-HOLD_S = 0.15
-RETRY_AFTER = 100_000  # microseconds
+MAX_HOLD_S = 0.15
+RETRY_AFTER_US = 100_000  # microseconds
 NOT_FOUND = 404
 
 
 @dataclass(eq=False, slots=True)
-class Held:
+class HeldRequest:
     arrival: Arrival
     connection: CallerConnection
     timer: asyncio.TimerHandle
 
 
-class Unrouted:
+class UnroutedRequests:
     def __init__(
         self,
         loop: asyncio.AbstractEventLoop,
         is_current: Callable[[], bool],
-        begin: Callable[[Arrival, CallerConnection], bool],
+        send: Callable[[Arrival, CallerConnection], bool],
     ) -> None:
         """`begin`: sends a request on its way; False: there is no route for it."""
-        self._loop, self._is_current, self._begin = loop, is_current, begin
-        self._held: list[Held] = []
+        self._loop, self._is_current, self._send = loop, is_current, send
+        self._held: list[HeldRequest] = []
 
     def hold(self, arrival: Arrival, connection: CallerConnection) -> None:
-        held = Held(arrival, connection, self._loop.call_later(HOLD_S, lambda: self._over(held)))
+        held = HeldRequest(
+            arrival, connection, self._loop.call_later(MAX_HOLD_S, lambda: self._on_timeout(held))
+        )
         self._held.append(held)
         connection.hold(lambda: self._drop(held))
 
-    def look(self) -> None:
+    def recheck(self) -> None:
         """What is in force, or how current it is, has changed."""
         for held in list(self._held):
-            if self._begin(held.arrival, held.connection):
+            if self._send(held.arrival, held.connection):
                 self._drop(held)
             elif self._is_current():
-                self._end(held, Reply(NOT_FOUND))
+                self._answer(held, Reply(NOT_FOUND))
 
     def count(self) -> int:
         return len(self._held)
 
-    def _over(self, held: Held) -> None:
-        self._end(held, Reply(REFUSED, retry_after=RETRY_AFTER))
+    def _on_timeout(self, held: HeldRequest) -> None:
+        self._answer(held, Reply(REFUSED, retry_after=RETRY_AFTER_US))
 
-    def _end(self, held: Held, reply: Reply) -> None:
+    def _answer(self, held: HeldRequest, reply: Reply) -> None:
         self._drop(held)
         held.connection.answer(reply)
 
-    def _drop(self, held: Held) -> None:
+    def _drop(self, held: HeldRequest) -> None:
         if held in self._held:
             self._held.remove(held)
             held.timer.cancel()
--- a/tests/emulator/test_mesh_big_orders.py
+++ b/tests/emulator/test_mesh_big_orders.py
@@ -21,9 +21,9 @@
 from brackengate.emulator.mesh.scenario import changed
 from brackengate.emulator.mesh.world import CALM, Machine, World
 from brackengate.protocol import message_parts
-from brackengate.proxy.egress import WayOut
-from brackengate.proxy.freshness import Currency
-from brackengate.proxy.role import Pilot
+from brackengate.proxy.egress import Egress
+from brackengate.proxy.freshness import ConfigFreshness
+from brackengate.proxy.role import Proxy
 
 SOON = 400 * MS  # after an acknowledgement
 RANDOM = 'content = "random"'
@@ -100,11 +100,11 @@
 def _runs(machine: Machine) -> bool:
     """It serves, and has had time since its start."""
     role = machine.role
-    return machine.process.alive and isinstance(role, Pilot) and role.ready
+    return machine.process.alive and isinstance(role, Proxy) and role.ready
 
 
 def _holds(machine: Machine, name: str) -> bool:
-    assert isinstance(machine.role, Pilot)
+    assert isinstance(machine.role, Proxy)
     return machine.role.table.route(name) is not None
 
 
@@ -163,16 +163,16 @@
 
 def test_without_currency_a_proxy_that_is_behind_says_404(monkeypatch: pytest.MonkeyPatch) -> None:
     said: list[int] = []
-    not_found = WayOut._route_of
+    not_found = Egress._find_route
 
-    def looked_up(way: WayOut, arrival: object) -> object:
-        route = not_found(way, arrival)  # type: ignore[arg-type]
+    def looked_up(egress: Egress, arrival: object) -> object:
+        route = not_found(egress, arrival)  # type: ignore[arg-type]
         if route is None:
             said.append(1)
         return route
 
-    monkeypatch.setattr(WayOut, "_route_of", looked_up)
-    monkeypatch.setattr(Currency, "current", lambda *_: True)
+    monkeypatch.setattr(Egress, "_find_route", looked_up)
+    monkeypatch.setattr(ConfigFreshness, "is_current", lambda *_: True)
     monkeypatch.setattr(staging, "STAGED_BYTES", 1 << 40)
     monkeypatch.setattr(message_parts, "LONG", 1 << 40)
     assert "CONFIG" in played(content=RANDOM, routes=3000).made.rules
--- a/tests/emulator/test_mesh_copies.py
+++ b/tests/emulator/test_mesh_copies.py
@@ -7,19 +7,19 @@
 
 from brackengate.control import log, transfer
 from brackengate.protocol.messages import CopyPiece, CopyPosition
-from brackengate.proxy.snapshot_receiver import PublicCopy
+from brackengate.proxy.snapshot_receiver import SnapshotReceiver
 
 
 @pytest.mark.parametrize("name", ["snapshot-under-way", "lost-claimant"])
 def test_a_hard_case_keeps_every_rule_by_small_pieces(name: str, monkeypatch: pytest.MonkeyPatch) -> None:
     pieces: list[bool] = []
-    real = PublicCopy.take
+    real = SnapshotReceiver.receive
 
-    def take(self: PublicCopy, asked: CopyPosition, piece: CopyPiece) -> bool:
+    def take(self: SnapshotReceiver, asked: CopyPosition, piece: CopyPiece) -> bool:
         pieces.append(real(self, asked, piece))
         return pieces[-1]
 
-    monkeypatch.setattr(PublicCopy, "take", take)
+    monkeypatch.setattr(SnapshotReceiver, "receive", take)
     monkeypatch.setattr(transfer, "PIECE_ROWS", 2)
     monkeypatch.setattr(log, "RECENT", 40)
     monkeypatch.setattr(log, "RECENT_PUBLIC", 3)
--- a/tests/emulator/test_mesh_hard.py
+++ b/tests/emulator/test_mesh_hard.py
@@ -22,7 +22,7 @@
 from brackengate.installation.units import Duration
 from brackengate.protocol.messages import CommandDone, HeldBy
 from brackengate.proxy import keys
-from brackengate.proxy.admission import Gate
+from brackengate.proxy.admission import Admission
 
 replace = msgspec.structs.replace
 CASES = {
@@ -142,24 +142,24 @@
 
 
 def test_a_claim_of_an_earlier_life_that_is_run_is_seen(monkeypatch: pytest.MonkeyPatch) -> None:
-    claimed = keys.Keys._claimed
+    claimed = keys.KeyedRequests._on_claim_result
 
-    def forgetful(self: keys.Keys, operation: Any, result: Any) -> None:
-        ours = isinstance(result, HeldBy) and result.owner == self._me
+    def forgetful(self: keys.KeyedRequests, operation: Any, result: Any) -> None:
+        ours = isinstance(result, HeldBy) and result.owner == self._machine
         claimed(self, operation, CommandDone() if ours else result)
 
-    monkeypatch.setattr(keys.Keys, "_claimed", forgetful)
+    monkeypatch.setattr(keys.KeyedRequests, "_on_claim_result", forgetful)
     assert "TWICE" in first("lost-claimant", 1, 10).rules
 
 
 def test_an_upstream_that_drains_and_is_not_left_alone_is_seen(monkeypatch: pytest.MonkeyPatch) -> None:
-    heard = Gate.heard
+    heard = Admission.receive_heartbeat
 
-    def deaf(self: Gate, beat: Any, now: int) -> bool:
+    def deaf(self: Admission, beat: Any, now: int) -> bool:
         beat.state = "ready"
         return heard(self, beat, now)
 
-    monkeypatch.setattr(Gate, "heard", deaf)
+    monkeypatch.setattr(Admission, "receive_heartbeat", deaf)
     assert "DRAIN" in first("leaving", 2, 8, "route.read.rate=100.0").rules
 
 
@@ -168,5 +168,5 @@
     route                                                moves, is acked
     gate of the new one                                          repeat of k -> relayed
     """
-    monkeypatch.setattr(keys.Keys, "_elsewhere", lambda self, step: False)
+    monkeypatch.setattr(keys.KeyedRequests, "_route_has_moved", lambda self, step: False)
     assert "CONFIG" in played("moved-while-claimed.toml").rules
--- a/tests/emulator/test_mesh_lab.py
+++ b/tests/emulator/test_mesh_lab.py
@@ -23,7 +23,7 @@
 from brackengate.installation.reading import BadFile
 from brackengate.installation.units import Duration
 from brackengate.protocol.messages import CommandDone, HeldBy
-from brackengate.proxy.keys import Keys
+from brackengate.proxy.keys import KeyedRequests
 
 ROOT = Path(__file__).parent.parent.parent
 MESH = ROOT / "examples" / "lab" / "mesh"
@@ -173,13 +173,13 @@
 def test_a_search_finds_a_guard_that_is_gone_and_shrinks_the_schedule(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    claimed = Keys._claimed
+    claimed = KeyedRequests._on_claim_result
 
-    def forgetful(self: Keys, operation: Any, result: Any) -> None:
-        ours = isinstance(result, HeldBy) and result.owner == self._me
+    def forgetful(self: KeyedRequests, operation: Any, result: Any) -> None:
+        ours = isinstance(result, HeldBy) and result.owner == self._machine
         claimed(self, operation, CommandDone() if ours else result)
 
-    monkeypatch.setattr(Keys, "_claimed", forgetful)
+    monkeypatch.setattr(KeyedRequests, "_on_claim_result", forgetful)
     told = small(
         fault(0.5, "stall", "tail", lasts=0.2), fault(1, "kill", "pilots"), fault(1.5, "clock", "l0")
     )
--- a/tests/meshctl/test_meshctl_pure.py
+++ b/tests/meshctl/test_meshctl_pure.py
@@ -25,8 +25,8 @@
     Neighbour,
     Standing,
 )
-from brackengate.proxy.hop_headers import Said
-from brackengate.proxy.request_log import MOST_OPEN, Wake
+from brackengate.proxy.hop_headers import HopOutcome
+from brackengate.proxy.request_log import MAX_OPEN, RequestLog
 
 
 def route(name: str, version: int, prefix: str = "", plant: str = "p") -> dict[str, Any]:
@@ -188,16 +188,16 @@
     """What pilots remember of their requests."""
 
     def test_a_request_is_told_hop_by_hop(self) -> None:
-        wake, request = Wake(), Request("7", "r", 0)
-        wake.begins("7", b"id-1", 1_000_000, "r", "s", 500_000)
-        wake.attempt_began(request, 0, "i-1", 1_000_300)
-        wake.attempt_ended(request, 0, "i-1", Outcome.NOT_SENT, 2_000)
-        wake.attempt_began(request, 1, "i-2", 1_002_400)
-        wake.attempt_ended(request, 1, "i-2", Outcome.OK, 9_000)
-        wake.ended(request, 200, 1_000_000, 1_011_400)
-        wake.visited(b"id-1", 1_000_900, 400, "r", "i-1", b"", Said.AWAY, "draining")
-        wake.turned_away(b"id-2", 5_000_000, 404, "no route")
-        found = hops.in_order([Follows("10.0.0.9", 1, 1, wake.about("id-1"))])
+        request_log, request = RequestLog(), Request("7", "r", 0)
+        request_log.record_request("7", b"id-1", 1_000_000, "r", "s", 500_000)
+        request_log.attempt_began(request, 0, "i-1", 1_000_300)
+        request_log.attempt_ended(request, 0, "i-1", Outcome.NOT_SENT, 2_000)
+        request_log.attempt_began(request, 1, "i-2", 1_002_400)
+        request_log.attempt_ended(request, 1, "i-2", Outcome.OK, 9_000)
+        request_log.ended(request, 200, 1_000_000, 1_011_400)
+        request_log.record_ingress(b"id-1", 1_000_900, 400, "r", "i-1", b"", HopOutcome.AWAY, "draining")
+        request_log.record_rejection(b"id-2", 5_000_000, 404, "no route")
+        found = hops.in_order([Follows("10.0.0.9", 1, 1, request_log.records_of("id-1"))])
         self.assertThat(
             "\n".join(hops.text(*one) for one in found),
             Equals(
@@ -209,17 +209,18 @@
             ),
         )
         self.assertThat(
-            hops.text("p", wake.about("id-2")[0]), MatchesRegex(r".* out  p  answered 404: no route")
+            hops.text("p", request_log.records_of("id-2")[0]),
+            MatchesRegex(r".* out  p  answered 404: no route"),
         )
 
     def test_odd_ones_outlast_plain_ones_and_all_is_bounded(self) -> None:
-        wake = Wake(most=3, odd=2)
-        for n in range(MOST_OPEN + 50):
+        request_log = RequestLog(max_requests=3, max_unusual=2)
+        for n in range(MAX_OPEN + 50):
             name, request = b"id-%d" % n, Request(str(n), "r", 0)
-            wake.begins(request.request, name, n, "r", "s", 0)
-            wake.attempt_began(request, 0, "i-1", n)
+            request_log.record_request(request.request, name, n, "r", "s", 0)
+            request_log.attempt_began(request, 0, "i-1", n)
             if n < 20:
-                wake.ended(request, 503 if n in (4, 6, 8) else 200, n, n + 1)
-        known = [n for n in range(MOST_OPEN + 50) if wake.about(f"id-{n}")]
-        self.assertThat(known, Equals([6, 8, *range(MOST_OPEN + 47, MOST_OPEN + 50)]))
-        self.assertThat(len(wake._open), Equals(MOST_OPEN))
+                request_log.ended(request, 503 if n in (4, 6, 8) else 200, n, n + 1)
+        known = [n for n in range(MAX_OPEN + 50) if request_log.records_of(f"id-{n}")]
+        self.assertThat(known, Equals([6, 8, *range(MAX_OPEN + 47, MAX_OPEN + 50)]))
+        self.assertThat(len(request_log._open), Equals(MAX_OPEN))
--- a/tests/proxy/mistakes.py
+++ b/tests/proxy/mistakes.py
@@ -17,8 +17,8 @@
 from brackengate.policy import retries
 from brackengate.policy.state import Call
 from brackengate.proxy import answer_classification, egress, ingress, keys
-from brackengate.proxy.admission import State
-from brackengate.proxy.hop_headers import SEAL, Said, passed_on
+from brackengate.proxy.admission import OperationState
+from brackengate.proxy.hop_headers import SERVER_SEAL, HopOutcome, forwarded_answer
 
 Judge = Callable[[bytes, Answered], Result]
 Patch = Callable[[], AbstractContextManager[Any]]
@@ -26,16 +26,16 @@
 
 @dataclass(frozen=True)
 class Mistake:
-    words: str
-    made: Patch
+    description: str
+    apply: Patch
 
 
 def _no_id(judge: Judge) -> Judge:
     """Takes every answer for the call's own."""
 
     def judged(payload: bytes, answer: Answered) -> Result:
-        asked = answer_classification.call_id(payload)
-        fields = {**answer.fields, answer_classification._ID: asked or b""}
+        asked = answer_classification.attempt_id_of(payload)
+        fields = {**answer.fields, answer_classification._ATTEMPT_ID: asked or b""}
         return judge(payload, Answered(answer.status, fields, answer.body, answer.reuse, answer.headers))
 
     return judged
@@ -44,16 +44,16 @@
 def _bare_refusal(payload: bytes, answer: Answered) -> Result:
     """Passes a 429 or 503 on that does not say that nothing has run."""
     result = _own_judge(payload, answer)
-    bare = answer.status in answer_classification.PROMISES and result.outcome is Outcome.ERROR
+    bare = answer.status in answer_classification.NOT_EXECUTED_STATUSES and result.outcome is Outcome.ERROR
     return Result(Outcome.OK, answer=answer) if bare else result
 
 
 def _bare_refusal_back(payload: bytes, answer: Answered) -> Result:
     result = _judge(payload, answer)
     if (
-        answer.status in answer_classification.PROMISES
+        answer.status in answer_classification.NOT_EXECUTED_STATUSES
         and result.astray
-        and answer.fields.get(answer_classification._SEAL)
+        and answer.fields.get(answer_classification._SERVER_SEAL)
     ):
         return Result(Outcome.ERROR, answer=answer)
     return result
@@ -63,24 +63,24 @@
     """Takes a success that nobody has put a seal to."""
 
     def judged(payload: bytes, answer: Answered) -> Result:
-        fields = {answer_classification._SEAL: b"", **answer.fields}
+        fields = {answer_classification._SERVER_SEAL: b"", **answer.fields}
         return judge(payload, Answered(answer.status, fields, answer.body, answer.reuse, answer.headers))
 
     return judged
 
 
 def _sealed_502(
-    self: egress.MeshWords, status: int, retry_after: int, last: Result | None, ran: Any
+    self: egress.EgressReplies, status: int, retry_after: int, last: Result | None, ran: Any
 ) -> Reply:
     """A failure of the proxy's own keeps what the upstream's answer bore."""
     reply = _unserved(self, status, retry_after, last, ran)
     answer = last.answer if last is not None else None
-    if answer is not None and SEAL.lower() in answer.fields and status == FAILED:
-        return Reply(FAILED, extra=passed_on(answer).extra)
+    if answer is not None and SERVER_SEAL.lower() in answer.fields and status == FAILED:
+        return Reply(FAILED, extra=forwarded_answer(answer).extra)
     return reply
 
 
-def _class_of(route: Any) -> RequestClass:
+def _request_class_of(route: Any) -> RequestClass:
     """What must run once is sent again as what may run twice."""
     made = _true_class_of(route)
     return RequestClass(
@@ -89,24 +89,24 @@
     )  # fmt: skip
 
 
-def _claim(self: keys.Keys, operation: Any, visit: Any) -> None:
+def _claim(self: keys.KeyedRequests, operation: Any, request: Any) -> None:
     """Runs before the claim is granted."""
-    operation.state = State.UNRUN
-    self._join(visit, operation)
+    operation.state = OperationState.CLAIMED
+    self._resolve(request, operation)
 
 
-def _ran(self: ingress.Entry, visit: Any, result: Result) -> None:
+def _on_upstream_done(self: ingress.Ingress, request: Any, result: Result) -> None:
     """Lifts the claim of what may have run."""
-    if visit.operation is not None and result.outcome is Outcome.RESET:
+    if request.operation is not None and result.outcome is Outcome.RESET:
         result = Result(Outcome.CONNECT_FAILED)
-    _true_ran(self, visit, result)
+    _true_ran(self, request, result)
 
 
-def _unclaim(self: ingress.Entry, visit: Any, operation: Any, said: Said) -> None:
+def _unclaim(self: ingress.Ingress, request: Any, operation: Any, outcome: HopOutcome) -> None:
     """Says that it has not run, and keeps the claim as one to run under; the try itself too."""
-    operation.state = State.UNRUN
-    visit.operation = None
-    self._say(visit, said)
+    operation.state = OperationState.CLAIMED
+    request.operation = None
+    self._say(request, outcome)
 
 
 def _ended(self: UpstreamMachine, clean: bool) -> list[Any]:
@@ -130,11 +130,15 @@
 
 
 _own_judge, _judge, _unserved = (
-    answer_classification.own_judge,
-    answer_classification.judge,
-    egress.MeshWords.unserved,
+    answer_classification.classify_upstream_answer,
+    answer_classification.classify_proxy_answer,
+    egress.EgressReplies.unserved,
+)
+_true_class_of, _true_ran, _true_ended = (
+    egress._request_class_of,
+    ingress.Ingress._on_upstream_done,
+    UpstreamMachine.ended,
 )
-_true_class_of, _true_ran, _true_ended = egress._class_of, ingress.Entry._ran, UpstreamMachine.ended
 _true_retry = retries.Retries._retry
 
 
@@ -144,20 +148,20 @@
 def _both(own: Judge, back: Judge) -> Patch:
     """At both hops: each one alone would be caught by the other."""
 
-    def made() -> AbstractContextManager[Any]:
+    def apply() -> AbstractContextManager[Any]:
         stack = ExitStack()
-        stack.enter_context(patch.object(answer_classification, "own_judge", own))
-        stack.enter_context(patch.object(answer_classification, "judge", back))
-        stack.enter_context(patch.object(egress, "judge", back))
+        stack.enter_context(patch.object(answer_classification, "classify_upstream_answer", own))
+        stack.enter_context(patch.object(answer_classification, "classify_proxy_answer", back))
+        stack.enter_context(patch.object(egress, "classify_proxy_answer", back))
         return stack
 
-    return made
+    return apply
 
 
 MISTAKES = {
     "id-at-gate": Mistake(
         "the proxy beside the upstream doesn't look whose an answer is",
-        lambda: patch.object(answer_classification, "own_judge", _no_id(_own_judge)),
+        lambda: patch.object(answer_classification, "classify_upstream_answer", _no_id(_own_judge)),
     ),
     "id-at-way-out": Mistake(
         "the proxy beside the client doesn't look whose an answer is", _both(_own_judge, _no_id(_judge))
@@ -168,17 +172,19 @@
     "no-seal": Mistake("a success without a seal goes back", _both(_no_seal(_own_judge), _no_seal(_judge))),
     "sealed-502": Mistake(
         "a failure of the proxy's own bears an upstream's seal",
-        lambda: patch.object(egress.MeshWords, "unserved", _sealed_502),
+        lambda: patch.object(egress.EgressReplies, "unserved", _sealed_502),
     ),
     "sent-again": Mistake(
         "what must run once is sent again after its connection broke",
-        lambda: patch.object(egress, "_class_of", _class_of),
+        lambda: patch.object(egress, "_request_class_of", _request_class_of),
     ),
     "unclaimed": Mistake(
-        "a keyed call runs before its key is claimed", lambda: patch.object(keys.Keys, "_claim", _claim)
+        "a keyed call runs before its key is claimed",
+        lambda: patch.object(keys.KeyedRequests, "_claim", _claim),
     ),
     "lifted": Mistake(
-        "the claim of what may have run is lifted", lambda: patch.object(ingress.Entry, "_ran", _ran)
+        "the claim of what may have run is lifted",
+        lambda: patch.object(ingress.Ingress, "_on_upstream_done", _on_upstream_done),
     ),
     "same-connection": Mistake(
         "a call goes again on a connection that refused it", lambda: patch.object(upstream, "NOT_RUN", ())
--- a/tests/proxy/proxy_pair.py
+++ b/tests/proxy/proxy_pair.py
@@ -19,12 +19,12 @@
 from brackengate.net.upstream import Pool
 from brackengate.protocol.http_api import listener
 from brackengate.protocol.messages import CommandDone, HeldBy
-from brackengate.proxy.admission import Beat, Gate
-from brackengate.proxy.answer_classification import judge, own_judge
-from brackengate.proxy.egress import WayOut
-from brackengate.proxy.ingress import Entry
-from brackengate.proxy.request_log import Wake
-from brackengate.proxy.routing_table import Table
+from brackengate.proxy.admission import Admission, Heartbeat
+from brackengate.proxy.answer_classification import classify_proxy_answer, classify_upstream_answer
+from brackengate.proxy.egress import Egress
+from brackengate.proxy.ingress import Ingress
+from brackengate.proxy.request_log import RequestLog
+from brackengate.proxy.routing_table import RoutingTable
 
 LOCAL = "127.0.0.1"
 MS, S = 1_000, 1_000_000
@@ -96,32 +96,34 @@
 class Mesh:
     """One pilot beside the caller, one beside the upstream; bodies of each have a budget of their own."""
 
-    def __init__(self, upstream: Upstream, bytes_: int = 16 << 20) -> None:
+    def __init__(self, upstream: Upstream, max_body_bytes: int = 16 << 20) -> None:
         loop = asyncio.get_running_loop()
         self.clock, sockets = Clock(), SocketBudget(2000)
-        self.out, self.inside = ByteBudget(bytes_), ByteBudget(bytes_)
-        self.gate = Gate("z", 60 * S, 2 * S)
-        self.gate.heard(Beat("i-1", "p", "ready", 100, 0, 1), self.clock.now())
-        own = Pool(loop, sockets, 5.0, 9.0, self.inside, judge=own_judge, slow=False)
-        peers = Pool(loop, sockets, 5.0, 9.0, self.inside, judge=judge, settle=0, slow=False)
+        self.egress_budget, self.ingress_budget = ByteBudget(max_body_bytes), ByteBudget(max_body_bytes)
+        self.admission = Admission("z", 60 * S, 2 * S)
+        self.admission.receive_heartbeat(Heartbeat("i-1", "p", "ready", 100, 0, 1), self.clock.now())
+        own = Pool(loop, sockets, 5.0, 9.0, self.ingress_budget, judge=classify_upstream_answer, slow=False)
+        peers = Pool(
+            loop, sockets, 5.0, 9.0, self.ingress_budget, judge=classify_proxy_answer, settle=0, slow=False
+        )
         self.holder: Mesh | None = None  # whose gate has all keys
-        self.entry = Entry(
+        self.ingress = Ingress(
             loop,
             self.clock,
             own,
-            self.gate,
+            self.admission,
             "me",
             (LOCAL, upstream.port),
             60 * S,
-            self._ask,
+            self._grant_claims,
             peers,
             self._address_of,
             "life",
         )
-        table = self.table = Table()
+        table = self.table = RoutingTable()
         self.current = True  # whether the proxy beside the caller can show that it is
         rng, tries = random.Random(1), (0.2, 50.0)
-        self.way = WayOut(
+        self.egress = Egress(
             loop,
             self.clock,
             sockets,
@@ -130,36 +132,38 @@
             self._address_of,
             rng,
             tries,
-            Wake(),
-            self.out,
+            RequestLog(),
+            self.egress_budget,
             is_current=lambda: self.current,
         )
-        doors = ((self.entry, self.inside), (self.way, self.out))
-        self.servers = [listener(loop, self.clock, [bind((LOCAL, 0))], one, sockets, b) for one, b in doors]
+        frontends = ((self.ingress, self.ingress_budget), (self.egress, self.egress_budget))
+        self.servers = [
+            listener(loop, self.clock, [bind((LOCAL, 0))], one, sockets, b) for one, b in frontends
+        ]
         self.inbound, self.port = (server.start()[0] for server in self.servers)
         kinds = (("read", "idempotent"), ("buy", "effectful"), ("bid", "keyed"))
         rows = [_route(name, kind) for name, kind in kinds]
         instance = {"id": "i-1", "plant": "p", "zone": "z", "state": "ready", "capacity": 100}
-        table.snapshot(1, [*rows, ("inst", LOCAL, instance)])
-        self.way.changed()
+        table.apply_snapshot(1, [*rows, ("inst", LOCAL, instance)])
+        self.egress.apply_table_changes()
 
     def add_route(self, name: str) -> None:
-        self.table.changes(self.table.index + 1, [_route(name, "idempotent")])
-        self.way.changed()
-        self.way.unrouted.look()
+        self.table.apply_changes(self.table.index + 1, [_route(name, "idempotent")])
+        self.egress.apply_table_changes()
+        self.egress.unrouted.recheck()
 
     def _address_of(self, machine: str) -> tuple[str, int]:
         return LOCAL, self.holder.inbound if self.holder and machine == "other" else self.inbound
 
-    def _ask(self, what: Any, done: Callable[[Any], None], within_s: float) -> None:
+    def _grant_claims(self, what: Any, done: Callable[[Any], None], within_s: float) -> None:
         said = HeldBy("other", "x") if self.holder else CommandDone()
         asyncio.get_running_loop().call_soon(done, said)
 
     async def caller(self) -> Caller:
         return await Caller.to(self.port)
 
-    def held(self) -> int:
-        return self.way.held() + len(self.entry.visits)
+    def pending_count(self) -> int:
+        return self.egress.pending_count() + len(self.ingress.requests)
 
 
 _ROUTE = {"Cutoff": "20s", "Setpoint": "10s", "Plant": "p", "MaxAttempts": 2, "Revision": "r1"}
@@ -170,7 +174,9 @@
     return "route", name, [1, "h", body]
 
 
-def ask(route: str, framing: bytes = b"Content-Length: 0\r\n", key: str = "", attempt: str = "t1") -> bytes:
+def request_head(
+    route: str, framing: bytes = b"Content-Length: 0\r\n", key: str = "", attempt: str = "t1"
+) -> bytes:
     """A request's head."""
     lines = f"POST /{route}/x HTTP/1.1\r\nHost: h\r\nX-Brackengate-Attempt-Id: {attempt}\r\n"
     lines += "X-Brackengate-Deadline-Ms: 20000\r\n"
--- a/tests/proxy/test_calls.py
+++ b/tests/proxy/test_calls.py
@@ -80,15 +80,15 @@
 def test_a_mistake_is_found(name: str) -> None:
     history = FOUND_BY[name]
     assert broken(play(history)) == []
-    with MISTAKES[name].made():
-        assert broken(play(history)) != [], MISTAKES[name].words
+    with MISTAKES[name].apply():
+        assert broken(play(history)) != [], MISTAKES[name].description
 
 
 def test_the_command_plays_histories_and_tells_the_shortest_that_breaks_a_promise() -> None:
     run = CliRunner()
     kept = run.invoke(main, ["lab", "check-calls", "--histories", "5"])
     assert (kept.exit_code, kept.output) == (0, "5 histories: no promise is broken\n")
-    with MISTAKES["sent-again"].made():
+    with MISTAKES["sent-again"].apply():
         told = run.invoke(main, ["lab", "check-calls", "--histories", "40", "--json"])
     assert told.exit_code == 5 and "ran 2 times" in json.loads(told.output)["broken"][0]
 
@@ -108,7 +108,7 @@
     history = script(read(), buy(60), faults=(Fault("freeze", 50, 4, 1500),))
     seen = play(history)
     assert ([one.attempt for one in seen.ran], seen.ended["t1"].status) == (["t0"], 502)
-    with MISTAKES["thawed"].made():
+    with MISTAKES["thawed"].apply():
         assert [one.attempt for one in play(history).ran] == ["t0", "t1"]
 
 
@@ -116,7 +116,7 @@
     """Frozen while the connection is made, beyond the call's 60 ms; the client still waits."""
     history = script(buy(deadline=60, leaves=2500), faults=(Fault("freeze", 1, 0, 150),))
     assert play(history).ran == []
-    with MISTAKES["late-dial"].made():
+    with MISTAKES["late-dial"].apply():
         assert [one.attempt for one in play(history).ran] == ["t0"]
 
 
--- a/tests/proxy/test_failure_detector.py
+++ b/tests/proxy/test_failure_detector.py
@@ -10,9 +10,9 @@
 
 from brackengate import interface as api
 from brackengate.balancer import Balancer
-from brackengate.proxy import failure_detector as watching
-from brackengate.proxy.budget import ration
-from brackengate.proxy.failure_detector import ASKS, Watch, named
+from brackengate.proxy import failure_detector
+from brackengate.proxy.budget import proxy_retry_budget
+from brackengate.proxy.failure_detector import PROBE_INTERVAL_US, FailureDetector, watchers_of
 
 MS, S = 1_000, 1_000_000
 
@@ -26,44 +26,46 @@
 
     def __init__(self, names: str) -> None:
         self.now = 0
-        self.watches = {name: Watch(name, 0) for name in names}
+        self.detectors = {name: FailureDetector(name, 0) for name in names}
         self.dead: set[str] = set()
         self.cut: set[str] = set()  # from all others and the core
         self.deaf: set[tuple[str, str]] = set()  # nothing from the first comes to the second
-        self.noticed: dict[str, tuple[str, ...]] = {}
-        self._tell()
+        self.suspects: dict[str, tuple[str, ...]] = {}
+        self._update_detectors()
 
-    def _tell(self) -> None:
-        for name, watch in self.watches.items():
+    def _update_detectors(self) -> None:
+        for name, detector in self.detectors.items():
             if name not in self.cut:
-                watch.know(self.watches, {one for ones in self.noticed.values() for one in ones}, self.now)
+                detector.update(
+                    self.detectors, {one for ones in self.suspects.values() for one in ones}, self.now
+                )
 
     def reaches(self, one: str, two: str) -> bool:
         return not ({one, two} & (self.dead | self.cut)) and (one, two) not in self.deaf
 
     def tick(self) -> None:
-        self.now += ASKS
-        for name, watch in self.watches.items():
+        self.now += PROBE_INTERVAL_US
+        for name, detector in self.detectors.items():
             if name in self.dead:
                 continue
-            sends = watch.tick(self.now)
-            for other in sends.signs:
+            datagrams = detector.tick(self.now)
+            for other in datagrams.keepalives:
                 if self.reaches(name, other):
-                    self.watches[other].sign(name, self.now)
-            for other in sends.asks:
+                    self.detectors[other].receive_keepalive(name, self.now)
+            for other in datagrams.probes:
                 if self.reaches(name, other) and self.reaches(other, name):
-                    watch.answer(other, self.now)
-            if name not in self.cut and self.noticed.get(name, ()) != watch.noticed:
-                self.noticed[name] = watch.noticed
-                self._tell()
+                    detector.receive_probe_reply(other, self.now)
+            if name not in self.cut and self.suspects.get(name, ()) != detector.suspects:
+                self.suspects[name] = detector.suspects
+                self._update_detectors()
 
     def play(self, until_ms: int) -> list[str]:
         seen: list[str] = []
         while self.now < until_ms * MS:
             self.tick()
             row = " ".join(
-                "x" if name in self.dead else "".join(sorted(watch.silent)) or "."
-                for name, watch in self.watches.items()
+                "x" if name in self.dead else "".join(sorted(detector.silent)) or "."
+                for name, detector in self.detectors.items()
             )
             if not seen or seen[-1] != row:
                 seen.append(row)
@@ -78,9 +80,9 @@
         self.assertThat(fleet.play(1000), Equals([". . . . . ."]))
         fleet.dead.add("c")
         self.assertThat(fleet.play(1550)[-1], Equals("c c x c c c"))
-        self.assertThat({watch.gone for watch in fleet.watches.values()}, Equals({frozenset()}))
+        self.assertThat({detector.gone for detector in fleet.detectors.values()}, Equals({frozenset()}))
         fleet.play(1900)  # not at once: one that is only slow keeps what it is at work on
-        gone = {name for name, watch in fleet.watches.items() if watch.gone == {"c"}}
+        gone = {name for name, detector in fleet.detectors.items() if detector.gone == {"c"}}
         self.assertThat(gone, Equals(set("abdef")))
         fleet.dead.clear()
         self.assertThat(fleet.play(2700)[-1], Equals(". . . . . ."))
@@ -96,7 +98,7 @@
     def test_a_pair_that_is_cut_apart_does_no_harm_to_anybody_else(self) -> None:
         fleet = Fleet("abcdef")
         fleet.play(1000)
-        watcher = named("a", "abcdef")[0]
+        watcher = watchers_of("a", "abcdef")[0]
         fleet.deaf = {("a", watcher), (watcher, "a")}
         row = fleet.play(2500)[-1].split()
         silent = {name: took for name, took in zip("abcdef", row, strict=True) if took != "."}
@@ -107,16 +109,16 @@
         fleet.play(1000)
         fleet.now += 5 * S  # all stood still: no signs were sent, and nobody is at fault
         self.assertThat(fleet.play(7000), Equals([". . . . . ."]))
-        self.assertThat(set(fleet.noticed.values()), Equals({()}) if fleet.noticed else Equals(set()))
+        self.assertThat(set(fleet.suspects.values()), Equals({()}) if fleet.suspects else Equals(set()))
 
     def test_what_one_sends_and_watches_does_not_grow_with_the_fleet(self) -> None:
         for many in (20, 400):
             fleet = [f"10.0.{n // 200}.{n % 200}" for n in range(many)]
             by_watcher: dict[str, int] = {}
             for one in fleet:
-                for watcher in named(one, fleet):
+                for watcher in watchers_of(one, fleet):
                     by_watcher[watcher] = by_watcher.get(watcher, 0) + 1
-            self.assertThat(len(named(fleet[0], fleet)), Equals(3))
+            self.assertThat(len(watchers_of(fleet[0], fleet)), Equals(3))
             self.assertThat(max(by_watcher.values()), LessThan(15))
 
     def test_a_region_that_starts_costs_each_proxy_a_ranking_for_each_tick_and_not_for_each_change(
@@ -124,39 +126,39 @@
     ) -> None:
         rankings = self._count_rankings()
         fleet = [f"10.0.{n // 200}.{n % 200}" for n in range(400)]
-        watch = Watch(fleet[0], 0)
+        detector = FailureDetector(fleet[0], 0)
         for size in range(1, len(fleet) + 1):
-            watch.know(fleet[:size], (), size * MS)
+            detector.update(fleet[:size], (), size * MS)
             if size % 100 == 0:
-                watch.tick(size * MS)
+                detector.tick(size * MS)
         self.assertThat(len(rankings), LessThan(5))
-        self.assertThat(watch.tick(S).signs, Equals(named(fleet[0], fleet)))
+        self.assertThat(detector.tick(S).keepalives, Equals(watchers_of(fleet[0], fleet)))
 
     def test_a_machine_that_stays_dead_costs_its_watcher_one_ranking(self) -> None:
         fleet = [f"10.0.{n // 200}.{n % 200}" for n in range(400)]
-        dead = next(one for one in fleet[1:] if fleet[0] in named(one, fleet))
-        watch = Watch(fleet[0], 0)
-        watch.know(fleet, (), 0)
-        watch.sign(dead, 0)
-        watch.tick(0)
+        dead = next(one for one in fleet[1:] if fleet[0] in watchers_of(one, fleet))
+        detector = FailureDetector(fleet[0], 0)
+        detector.update(fleet, (), 0)
+        detector.receive_keepalive(dead, 0)
+        detector.tick(0)
         rankings = self._count_rankings()
         for now in range(100 * MS, 20 * S, 100 * MS):
-            watch.tick(now)
-        self.assertThat(watch.noticed, Equals((dead,)))
+            detector.tick(now)
+        self.assertThat(detector.suspects, Equals((dead,)))
         self.assertThat(rankings, Equals([dead]))
-        watch.know([one for one in fleet if one != dead], (), 20 * S)
-        watch.tick(20 * S + 100 * MS)
-        self.assertThat(watch.noticed, Equals(()))
+        detector.update([one for one in fleet if one != dead], (), 20 * S)
+        detector.tick(20 * S + 100 * MS)
+        self.assertThat(detector.suspects, Equals(()))
 
     def _count_rankings(self) -> list[str]:
         """Whose watchers are ranked from here on."""
         ranked: list[str] = []
 
-        def counted(machine: str, pilots: Iterable[str]) -> tuple[str, ...]:
+        def counted(machine: str, proxies: Iterable[str]) -> tuple[str, ...]:
             ranked.append(machine)
-            return named(machine, pilots)
+            return watchers_of(machine, proxies)
 
-        self.patch(watching, "named", counted)
+        self.patch(failure_detector, "watchers_of", counted)
         return ranked
 
 
@@ -167,21 +169,21 @@
         rng, now, spent, asked = random.Random(seed), 0, list[int](), list[int]()
         once = api.RequestClass("read", S, S, api.Idempotency.REPEATABLE, max_attempts=3)
 
-        def pilot() -> Balancer:
+        def proxy() -> Balancer:
             made = Balancer(
                 api.Settings((once,), holds=False, free_unsent=True, retry_start=0.0, max_attempts=8), seed
             )
             rows = tuple(api.Endpoint(f"u{n}") for n in range(4))
             made.handle(now, api.UpstreamList(api.ListKind.FULL, rows))
-            made.handle(now, ration(ratio, slack, 8))
+            made.handle(now, proxy_retry_budget(ratio, slack, 8))
             return made
 
-        fleet = [pilot() for _ in range(8)]
+        fleet = [proxy() for _ in range(8)]
         for n in range(6000):
             now += rng.randrange(20_000)
             at = rng.randrange(8)
             if rng.random() < 0.01:
-                fleet[at] = pilot()
+                fleet[at] = proxy()
             asked.append(now)
             actions = fleet[at].handle(now, api.Request(str(n), "read", now + S))
             for attempt in range(9):
