--- a/tests/proxy/test_freshness.py
+++ b/tests/proxy/test_freshness.py
@@ -7,10 +7,10 @@
 
 import pytest
 from peers import run
-from proxy_pair import Mesh, Upstream, answers, ask
+from proxy_pair import Mesh, Upstream, answers, request_head
 
-from brackengate.proxy.freshness import NEVER, ClockOffset, Currency
-from brackengate.proxy.unrouted_requests import HOLD_S
+from brackengate.proxy.freshness import NEVER, ClockOffset, ConfigFreshness
+from brackengate.proxy.unrouted_requests import MAX_HOLD_S
 
 MS, S = 1_000, 1_000_000
 
@@ -23,36 +23,36 @@
         for _ in range(20):
             sent, there = now, now + rng.randrange(400 * MS)
             now = there + rng.randrange(400 * MS)
-            clock.exchanged(sent, there + ahead, now)
+            clock.add_exchange(sent, there + ahead, now)
             as_of = now - rng.randrange(2 * S)
             now += rng.randrange(3 * S)
-            assert as_of - 800 * MS - 10 * MS <= clock.to_ours(as_of + ahead, now) <= as_of
+            assert as_of - 800 * MS - 10 * MS <= clock.to_local(as_of + ahead, now) <= as_of
 
 
 def test_a_heartbeat_that_lay_in_a_queue_renews_nothing() -> None:
-    clock, currency = ClockOffset(), Currency()
-    clock.exchanged(0, 5 * S, 2 * MS)
-    currency.reached(7)
-    currency.heartbeat(7, clock.to_ours(5 * S, 3 * S))  # it comes 3 s later
-    assert currency.current(S, S + 10 * MS) and not currency.current(3 * S, S + 10 * MS)
+    clock, freshness = ClockOffset(), ConfigFreshness()
+    clock.add_exchange(0, 5 * S, 2 * MS)
+    freshness.index_applied(7)
+    freshness.heartbeat(7, clock.to_local(5 * S, 3 * S))  # it comes 3 s later
+    assert freshness.is_current(S, S + 10 * MS) and not freshness.is_current(3 * S, S + 10 * MS)
 
 
 def test_without_an_exchange_of_times_nothing_is_known() -> None:
-    currency = Currency()
-    currency.reached(7)
-    currency.heartbeat(7, ClockOffset().to_ours(5 * S, 0))
-    assert currency.as_of <= NEVER
+    freshness = ConfigFreshness()
+    freshness.index_applied(7)
+    freshness.heartbeat(7, ClockOffset().to_local(5 * S, 0))
+    assert freshness.as_of <= NEVER
 
 
 def test_a_heartbeat_ahead_of_the_news_counts_once_the_news_is_in_force() -> None:
-    currency = Currency()
-    currency.reached(7)
-    currency.heartbeat(9, 5 * S)
-    assert not currency.current(5 * S, S)
-    currency.reached(8)
-    assert not currency.current(5 * S, S)
-    currency.reached(9)
-    assert currency.current(5 * S, S)
+    freshness = ConfigFreshness()
+    freshness.index_applied(7)
+    freshness.heartbeat(9, 5 * S)
+    assert not freshness.is_current(5 * S, S)
+    freshness.index_applied(8)
+    assert not freshness.is_current(5 * S, S)
+    freshness.index_applied(9)
+    assert freshness.is_current(5 * S, S)
 
 
 @pytest.mark.parametrize("current", [True, False])
@@ -62,10 +62,10 @@
         mesh.current = current
         caller, loop = await mesh.caller(), asyncio.get_running_loop()
         since = loop.time()
-        caller.writer.write(ask("unheard"))
+        caller.writer.write(request_head("unheard"))
         status, headers, _ = await caller.read()
         assert status == (404 if current else 503)
-        assert current or loop.time() - since >= 0.95 * HOLD_S  # the loop's clock counts milliseconds
+        assert current or loop.time() - since >= 0.95 * MAX_HOLD_S  # the loop's clock counts milliseconds
         assert current or "retry-after" in headers
 
     run(play())
@@ -78,14 +78,14 @@
         mesh = Mesh(upstream)
         mesh.current = False
         caller = await mesh.caller()
-        caller.writer.write(ask("unheard"))
-        while not mesh.way.held():
+        caller.writer.write(request_head("unheard"))
+        while not mesh.egress.pending_count():
             await asyncio.sleep(0)
         if news == "route":
             mesh.add_route("unheard")
         else:
             mesh.current = True
-            mesh.way.unrouted.look()
+            mesh.egress.unrouted.recheck()
         assert (await caller.read())[0] == (200 if news == "route" else 404)
         assert len(upstream.ran) == (news == "route")
 
--- a/tests/proxy/test_reachability.py
+++ b/tests/proxy/test_reachability.py
@@ -35,14 +35,16 @@
             one.close()
 
 
-class Asked:
+class Checked:
     def __init__(self, machine: Machine) -> None:
         self.ended = asyncio.Event()
-        self.cut: list[str] = []
-        self.reachability = Reachability(asyncio.get_running_loop(), lambda _: machine.address, self._cut_off)
+        self.unreachable: list[str] = []
+        self.reachability = Reachability(
+            asyncio.get_running_loop(), lambda _: machine.address, self._on_unreachable
+        )
 
-    def _cut_off(self, machine: str) -> None:
-        self.cut.append(machine)
+    def _on_unreachable(self, machine: str) -> None:
+        self.unreachable.append(machine)
         self.ended.set()
 
 
@@ -51,16 +53,16 @@
         server = await asyncio.start_server(lambda _, writer: writer.write(b"HTTP/1.1 400 X\r\n"), LOCAL, 0)
         machine = Machine()
         machine.address, before = server.sockets[0].getsockname()[:2], machine.address
-        asked = Asked(machine)
-        asked.reachability.given_up("m")
+        checked = Checked(machine)
+        checked.reachability.check("m")
         for _ in range(3):
-            assert await asked.reachability._answers("m")
-        assert asked.cut == []
+            assert await checked.reachability._is_reachable("m")
+        assert checked.unreachable == []
         server.close()
         machine.close()
         machine.address = before
-        await asked.ended.wait()
-        assert asked.cut == ["m"]
+        await checked.ended.wait()
+        assert checked.unreachable == ["m"]
 
     run(play())
 
@@ -73,12 +75,12 @@
         machine = Machine()
         if full:
             machine.fill()
-        asked, loop = Asked(machine), asyncio.get_running_loop()
+        checked, loop = Checked(machine), asyncio.get_running_loop()
         since = loop.time()
-        asked.reachability.given_up("m")
-        asked.reachability.given_up("m")
-        await asked.ended.wait()
-        assert loop.time() - since >= reachability.ANSWER_S * 0.9 and asked.cut == ["m"]
+        checked.reachability.check("m")
+        checked.reachability.check("m")
+        await checked.ended.wait()
+        assert loop.time() - since >= reachability.ANSWER_TIMEOUT_S * 0.9 and checked.unreachable == ["m"]
         machine.close()
 
     run(play())
@@ -88,14 +90,14 @@
     async def play() -> None:
         machine = Machine()
         machine.fill()
-        asked = Asked(machine)
-        asked.reachability.given_up("m")
+        checked = Checked(machine)
+        checked.reachability.check("m")
         await asyncio.sleep(0)
-        asked.reachability.answers("m")
-        assert asked.reachability._asking == {}
-        asked.reachability.given_up("n")
-        await asked.ended.wait()
-        assert asked.cut == ["n"]
+        checked.reachability.cancel("m")
+        assert checked.reachability._checks == {}
+        checked.reachability.check("n")
+        await checked.ended.wait()
+        assert checked.unreachable == ["n"]
         machine.close()
 
     run(play())
--- a/tests/proxy/test_routing_table_indexes.py
+++ b/tests/proxy/test_routing_table_indexes.py
@@ -6,7 +6,7 @@
 import time
 
 from brackengate.protocol.messages import Instance, Row
-from brackengate.proxy.routing_table import Table
+from brackengate.proxy.routing_table import RoutingTable
 
 MANY = 4_000
 
@@ -21,7 +21,7 @@
 
 
 def test_drawn_changes_leave_what_a_new_table_would_hold() -> None:
-    rng, table, rows = random.Random(1), Table(), dict[tuple[str, str], Row]()
+    rng, table, rows = random.Random(1), RoutingTable(), dict[tuple[str, str], Row]()
     for index in range(1, 2_000):
         if rng.random() < 0.5:
             name, drawn = f"r{rng.randrange(12)}", rng.random()
@@ -31,33 +31,33 @@
             machine = f"10.0.0.{rng.randrange(6)}"
             row = instance(machine, rng.choice("pq"), rng.choice(("ready", "draining", "gone")))
             row = ("inst", machine, None) if rng.random() < 0.1 else row
-        table.changes(index, [row])
+        table.apply_changes(index, [row])
         rows[row[0], row[1]] = row
         if index % 40 == 0:
-            anew = Table()
-            anew.snapshot(index, rows.values())
+            anew = RoutingTable()
+            anew.apply_snapshot(index, rows.values())
             for prefix in (f"/r{n}-{m}/x" for n in range(12) for m in range(3)):
                 assert table.find("h.example", prefix) == anew.find("h.example", prefix)
-            assert sorted(table.pilots()) == sorted(anew.pilots())
+            assert sorted(table.proxy_machines()) == sorted(anew.proxy_machines())
             for service in "pq":
                 assert dict(table.upstreams_of(service)) == dict(anew.upstreams_of(service))
 
 
 def test_what_was_touched_is_told_once() -> None:
-    table = Table()
-    table.changes(1, [route("a", 1, "/a/"), instance("m", "p", "ready")])
-    touched = table.take_touched()
-    assert (touched.routes, touched.services) == ({"a"}, {"p"})
-    table.changes(2, [instance("m", "q", "ready")])
-    assert table.take_touched().services == {"p", "q"}
-    assert table.take_touched().services == set()
+    table = RoutingTable()
+    table.apply_changes(1, [route("a", 1, "/a/"), instance("m", "p", "ready")])
+    changed = table.take_changed_names()
+    assert (changed.routes, changed.services) == ({"a"}, {"p"})
+    table.apply_changes(2, [instance("m", "q", "ready")])
+    assert table.take_changed_names().services == {"p", "q"}
+    assert table.take_changed_names().services == set()
     assert isinstance(table.upstreams_of("q")["m"], Instance)
 
 
 def test_a_route_that_comes_to_a_place_before_the_old_one_leaves_keeps_it() -> None:
-    table = Table()
-    table.changes(1, [route("old", 1, "/a/")])
-    table.changes(2, [route("new", 1, "/a/", "q"), ("route", "old", [2])])
+    table = RoutingTable()
+    table.apply_changes(1, [route("old", 1, "/a/")])
+    table.apply_changes(2, [route("new", 1, "/a/", "q"), ("route", "old", [2])])
     found = table.find("h.example", "/a/1")
     assert found is not None and found.name == "new"
 
@@ -65,13 +65,13 @@
 def test_one_change_amid_many_routes_costs_its_own_size() -> None:
     took = []
     for routes in (10, MANY):
-        table = Table()
-        table.changes(1, [route(f"r{n}", 1, f"/{n}/") for n in range(routes)])
+        table = RoutingTable()
+        table.apply_changes(1, [route(f"r{n}", 1, f"/{n}/") for n in range(routes)])
         best = float("inf")
         for round_ in range(7):
             begun = time.process_time()
             for n in range(50):
-                table.changes(2 + 50 * round_ + n, [route("r1", 2 + 50 * round_ + n, "/1/")])
+                table.apply_changes(2 + 50 * round_ + n, [route("r1", 2 + 50 * round_ + n, "/1/")])
             best = min(best, time.process_time() - begun)
         took.append(best)
     assert took[1] < 4 * took[0], took
--- a/tests/proxy/test_shutdown_plan.py
+++ b/tests/proxy/test_shutdown_plan.py
@@ -10,29 +10,36 @@
 from brackengate.emulator.mesh.play import play
 from brackengate.emulator.mesh.scenario import changed
 from brackengate.emulator.mesh.world import CALM, World
-from brackengate.proxy.shutdown_plan import LeavePlan
+from brackengate.proxy.shutdown_plan import ShutdownPlan
 
 MESH = Path(__file__).parent.parent.parent / "examples" / "lab" / "mesh"
 MS, S = 1_000, 1_000_000
 
 
-def plan(longest: int = 4 * S, grace: int = 6 * S) -> LeavePlan:
-    return LeavePlan(10 * S, grace, longest)
+def plan(longest_request: int = 4 * S, grace: int = 6 * S) -> ShutdownPlan:
+    return ShutdownPlan(10 * S, grace, longest_request)
 
 
 @pytest.mark.parametrize("grace", [2 * S, 6 * S, 10 * S])
-@pytest.mark.parametrize("longest", [0, 800 * MS, 4 * S, 60 * S])
-def test_the_doors_close_one_after_the_other(grace: int, longest: int) -> None:
-    one = plan(longest, grace)
-    assert one.begun <= one.leaves_list < one.gate_closes <= one.clients_end < one.ends_by < one.begun + grace
+@pytest.mark.parametrize("longest_request", [0, 800 * MS, 4 * S, 60 * S])
+def test_the_doors_close_one_after_the_other(grace: int, longest_request: int) -> None:
+    one = plan(longest_request, grace)
+    assert (
+        one.started_at
+        <= one.deregisters_at
+        < one.ingress_closes_at
+        <= one.egress_closes_at
+        < one.exit_deadline
+        < one.started_at + grace
+    )
 
 
 def test_what_other_proxies_send_last_can_end_in_time() -> None:
-    assert plan(longest=2 * S).gate_closes + 2 * S <= plan(longest=2 * S).ends_by
+    assert plan(longest_request=2 * S).ingress_closes_at + 2 * S <= plan(longest_request=2 * S).exit_deadline
 
 
 @pytest.mark.parametrize(
-    ("after", "limit", "taken"),
+    ("after", "time_limit", "taken"),
     [
         (0, 30 * S, True),  # its client knows no better
         (2_800 * MS, 4 * S, True),
@@ -42,15 +49,17 @@
         (5 * S, 10 * MS, False),
     ],
 )
-def test_what_a_client_asks_is_taken_where_it_can_be_finished(after: int, limit: int, taken: bool) -> None:
+def test_what_a_client_asks_is_taken_where_it_can_be_finished(
+    after: int, time_limit: int, taken: bool
+) -> None:
     one = plan()
-    assert one.takes(limit, one.begun + after) is taken
+    assert one.accepts(time_limit, one.started_at + after) is taken
 
 
 def test_a_long_grace_takes_no_long_request_late() -> None:
     one = plan(grace=10 * S)
-    assert one.takes(6 * S, one.begun + 2 * S) and not one.takes(6 * S, one.begun + 4 * S)
-    assert one.takes(4 * S, one.begun + 5 * S)
+    assert one.accepts(6 * S, one.started_at + 2 * S) and not one.accepts(6 * S, one.started_at + 4 * S)
+    assert one.accepts(4 * S, one.started_at + 5 * S)
 
 
 @pytest.mark.parametrize("seed", [1, 2])
@@ -70,7 +79,7 @@
 
     def look() -> None:
         role = world.pilots[0].role
-        seen.append((role._clients.draining, role.gate.closed, role._gate_door.draining))
+        seen.append((role._egress_server.draining, role.admission.closed, role._ingress_server.draining))
 
     begun = CALM + 2 * S
     world.loop.after(begun, lambda: world.pilots[0].role.stop())
@@ -78,4 +87,7 @@
         world.loop.after(begun + at, look)
     world.run(faults.schedule(world), faults.over(told))
     assert (True, False, False) in seen and (True, True, True) in seen
-    assert all(clients and gate is door for clients, gate, door in seen)
+    assert all(
+        egress_draining and admission_closed is ingress_draining
+        for egress_draining, admission_closed, ingress_draining in seen
+    )
--- a/tests/proxy/test_snapshot_receiver.py
+++ b/tests/proxy/test_snapshot_receiver.py
@@ -10,8 +10,8 @@
 from brackengate.control.log import ReplicaLog
 from brackengate.control.transfer import NOTHING, Differs, next_piece
 from brackengate.protocol.messages import CopyPiece, CopyRequest, Entry
-from brackengate.proxy.routing_table import Table
-from brackengate.proxy.snapshot_receiver import PublicCopy
+from brackengate.proxy.routing_table import RoutingTable
+from brackengate.proxy.snapshot_receiver import SnapshotReceiver
 
 ITEMS = 60
 
@@ -33,9 +33,9 @@
         self.log.take(Entry(index, ((kind, name, value), ("key", f"k{index}", ["g", "1"]))))
         self.log.commit(index)
 
-    def piece(self, copy: PublicCopy) -> CopyPiece:
+    def piece(self, receiver: SnapshotReceiver) -> CopyPiece:
         log = self.log
-        made = next_piece(log.state.public, log.recent_public, log.index, CopyRequest(1, copy.position))
+        made = next_piece(log.state.public, log.recent_public, log.index, CopyRequest(1, receiver.position))
         assert made is not None
         return made
 
@@ -44,88 +44,88 @@
     return [version, "", {"Name": f"p{n}", "Revision": f"r{version}", "HealthPath": f"/{version}"}]
 
 
-def finish(sender: Sender, copy: PublicCopy) -> int:
+def finish(sender: Sender, receiver: SnapshotReceiver) -> int:
     """The pieces that it took."""
     count = 1
-    while not copy.take(copy.position, sender.piece(copy)):
+    while not receiver.receive(receiver.position, sender.piece(receiver)):
         count += 1
     return count
 
 
 def test_nothing_of_it_is_in_force_before_it_is_whole() -> None:
-    sender, copy, table = Sender(), PublicCopy(), Table()
+    sender, receiver, table = Sender(), SnapshotReceiver(), RoutingTable()
     for _ in range(5):
-        assert not copy.take(copy.position, sender.piece(copy))
-    assert (table.index, table.plants) == (-1, {}) and copy.rows.count >= 35
-    assert finish(sender, copy) > 2
-    index, rows = copy.whole()
-    assert table.snapshot(index, rows) == {"plant"}
-    assert table.index == ITEMS and len(table.plants) == ITEMS
+        assert not receiver.receive(receiver.position, sender.piece(receiver))
+    assert (table.index, table.services) == (-1, {}) and receiver.rows.count >= 35
+    assert finish(sender, receiver) > 2
+    index, rows = receiver.take_complete()
+    assert table.apply_snapshot(index, rows) == {"plant"}
+    assert table.index == ITEMS and len(table.services) == ITEMS
     assert not any(kind == "key" for kind, _, _ in rows)
 
 
 def test_it_goes_on_at_another_replica_with_what_changed_meanwhile() -> None:
-    sender, other, copy = Sender(), Sender(), PublicCopy()
+    sender, other, receiver = Sender(), Sender(), SnapshotReceiver()
     for _ in range(5):
-        copy.take(copy.position, sender.piece(copy))
+        receiver.receive(receiver.position, sender.piece(receiver))
     for n in range(1, ITEMS + 1):  # of what it holds and of what it does not hold yet
         other.set(ITEMS + n, "plant", f"p{n}", plant(n, 2))
     other.set(2 * ITEMS + 1, "inst", "10.0.0.1", None)
-    before = copy.rows.count
-    pieces = [other.piece(copy)]
+    before = receiver.rows.count
+    pieces = [other.piece(receiver)]
     assert not pieces[0].anew
-    while not copy.take(copy.position, pieces[-1]):
-        pieces.append(other.piece(copy))
+    while not receiver.receive(receiver.position, pieces[-1]):
+        pieces.append(other.piece(receiver))
     assert sum(len(piece.rows) for piece in pieces) <= ITEMS + 1 - before
-    index, rows = copy.whole()
+    index, rows = receiver.take_complete()
     assert index == 2 * ITEMS + 1 and {value[0] for kind, _, value in rows if kind == "plant"} == {2}
 
 
 def test_it_begins_anew_where_the_changes_are_gone() -> None:
-    sender, copy = Sender(), PublicCopy()
+    sender, receiver = Sender(), SnapshotReceiver()
     for _ in range(5):
-        copy.take(copy.position, sender.piece(copy))
+        receiver.receive(receiver.position, sender.piece(receiver))
     sender.log.recent_public.begin(ITEMS)
     sender.set(ITEMS + 1, "plant", "p1", plant(1, 2))
     sender.log.recent_public.begin(ITEMS + 1)
-    assert sender.piece(copy).anew
-    finish(sender, copy)
-    assert copy.rows.checksum == sender.log.state.public.checksum
+    assert sender.piece(receiver).anew
+    finish(sender, receiver)
+    assert receiver.rows.checksum == sender.log.state.public.checksum
 
 
 def test_a_piece_that_follows_another_place_is_left_alone() -> None:
     """Two replicas are asked at once, and the copy has gone on at the other one."""
-    sender, copy = Sender(), PublicCopy()
-    copy.take(NOTHING, sender.piece(copy))
-    asked, piece = copy.position, sender.piece(copy)
+    sender, receiver = Sender(), SnapshotReceiver()
+    receiver.receive(NOTHING, sender.piece(receiver))
+    requested_after, piece = receiver.position, sender.piece(receiver)
     for _ in range(2):
-        copy.take(copy.position, sender.piece(copy))
-    held = copy.position, copy.rows.count
-    assert not copy.take(asked, piece)
-    assert (copy.position, copy.rows.count) == held
-    finish(sender, copy)
-    assert copy.rows.checksum == sender.log.state.public.checksum
+        receiver.receive(receiver.position, sender.piece(receiver))
+    held = receiver.position, receiver.rows.count
+    assert not receiver.receive(requested_after, piece)
+    assert (receiver.position, receiver.rows.count) == held
+    finish(sender, receiver)
+    assert receiver.rows.checksum == sender.log.state.public.checksum
 
 
 def test_one_that_differs_is_not_taken() -> None:
-    sender, copy = Sender(), PublicCopy()
+    sender, receiver = Sender(), SnapshotReceiver()
     for _ in range(3):
-        copy.take(copy.position, sender.piece(copy))
-    copy.rows.set("plant", "p0", 1, plant(0, 1))
+        receiver.receive(receiver.position, sender.piece(receiver))
+    receiver.rows.set("plant", "p0", 1, plant(0, 1))
     with pytest.raises(Differs):
-        finish(sender, copy)
-    assert copy.position == NOTHING and copy.rows.count == 0
-    finish(sender, copy)
-    assert copy.rows.checksum == sender.log.state.public.checksum
+        finish(sender, receiver)
+    assert receiver.position == NOTHING and receiver.rows.count == 0
+    finish(sender, receiver)
+    assert receiver.rows.checksum == sender.log.state.public.checksum
 
 
 def test_an_older_copy_takes_nothing_back() -> None:
     """It was at a replica that knows more; the one that it comes to gives a whole copy of before."""
-    newer, older, table = Sender(), Sender(), Table()
+    newer, older, table = Sender(), Sender(), RoutingTable()
     newer.set(ITEMS + 1, "plant", "p1", plant(1, 2))
-    copy = PublicCopy()
-    finish(newer, copy)
-    table.snapshot(*copy.whole())
-    finish(older, copy)
-    assert table.snapshot(*copy.whole()) == set()
-    assert (table.index, table.plants["p1"].health) == (ITEMS + 1, "/2")
+    receiver = SnapshotReceiver()
+    finish(newer, receiver)
+    table.apply_snapshot(*receiver.take_complete())
+    finish(older, receiver)
+    assert table.apply_snapshot(*receiver.take_complete()) == set()
+    assert (table.index, table.services["p1"].health) == (ITEMS + 1, "/2")
--- a/tests/proxy/test_streamed_bodies.py
+++ b/tests/proxy/test_streamed_bodies.py
@@ -17,7 +17,7 @@
 
 import pytest
 from peers import Caller, chunk, reset, run
-from proxy_pair import FORMS, Mesh, Upstream, answers, ask, body, head
+from proxy_pair import FORMS, Mesh, Upstream, answers, body, head, request_head
 from test_bodies import BLOCK, Reader, received, send, until
 
 from brackengate.http import upstream as machine
@@ -36,7 +36,7 @@
 
 
 def settled(mesh: Mesh) -> Callable[[], bool]:
-    return lambda: not (mesh.held() or mesh.out.taken or mesh.inside.taken)
+    return lambda: not (mesh.pending_count() or mesh.egress_budget.taken or mesh.ingress_budget.taken)
 
 
 @pytest.mark.parametrize("form", list(FORMS))
@@ -47,14 +47,14 @@
             upstream = await Upstream(answers(size, form)).start()
             mesh = Mesh(upstream)
             caller = await mesh.caller()
-            caller.writer.write(ask(route, key="k" if route == "bid" else ""))
+            caller.writer.write(request_head(route, key="k" if route == "bid" else ""))
             got = await received(caller)
             assert (got.first[:12], got.size, got.digest.digest()) == ("HTTP/1.1 200", size, digest(size))
             assert got.headers["x-brackengate-server-seal"] == "seal"
             assert "x-brackengate-hop" not in got.headers
             await until(settled(mesh))
-            assert max(mesh.out.most, mesh.inside.most) <= 2 * MIB
-            caller.writer.write(ask("read", attempt="t2"))  # the connection is still good
+            assert max(mesh.egress_budget.most, mesh.ingress_budget.most) <= 2 * MIB
+            caller.writer.write(request_head("read", attempt="t2"))  # the connection is still good
             assert (await received(caller)).size == size
 
     run(main())
@@ -68,7 +68,7 @@
             upstream = await Upstream(answers(4)).start()
             mesh = Mesh(upstream)
             caller = await mesh.caller()
-            caller.writer.write(ask(route, FORMS[form](size), key="k" if route == "bid" else ""))
+            caller.writer.write(request_head(route, FORMS[form](size), key="k" if route == "bid" else ""))
             await body(caller.writer, size, form)
             caller.writer.write(b"0\r\n\r\n" if form == "chunks" else b"")
             assert (await caller.read())[0] == 200
@@ -84,7 +84,7 @@
     async def main() -> None:
         mesh = Mesh(await Upstream(answers(2 * MIB, status=status)).start())
         caller = await mesh.caller()
-        caller.writer.write(ask("buy"))
+        caller.writer.write(request_head("buy"))
         got = await received(caller)
         assert (got.first.split()[1], got.size) == (str(status), 2 * MIB)
 
@@ -106,7 +106,7 @@
         upstream = await Upstream(act).start()
         mesh = Mesh(upstream)
         caller = await mesh.caller()
-        caller.writer.write(ask(route, key="k" if route == "bid" else ""))
+        caller.writer.write(request_head(route, key="k" if route == "bid" else ""))
         got = Reader(caller.reader)
         await got.head()
         await got._take(1000)
@@ -135,7 +135,7 @@
         on = asyncio.Event()
         mesh = Mesh(await Upstream(act).start())
         caller = await mesh.caller()
-        caller.writer.write(ask("read").replace(b"HTTP/1.1", b"HTTP/1.0"))
+        caller.writer.write(request_head("read").replace(b"HTTP/1.1", b"HTTP/1.0"))
         got = Reader(caller.reader)
         await got.head()
         await got._take(1000)
@@ -158,7 +158,7 @@
         mesh = Mesh(await Upstream(act).start())
         for number, said in enumerate((502, 502)):  # without a seal; another one's
             caller = await mesh.caller()
-            caller.writer.write(ask("buy"))
+            caller.writer.write(request_head("buy"))
             assert ((await caller.read())[0], number) == (said, number)
         await until(settled(mesh))
 
@@ -184,7 +184,7 @@
                 await writer.drain()
                 written += 64 * KIB
 
-        mesh = Mesh(await Upstream(act).start(), bytes_=4 * MIB)
+        mesh = Mesh(await Upstream(act).start(), max_body_bytes=4 * MIB)
         callers = []
         for number in range(40):
             sock = socket.socket()
@@ -192,7 +192,7 @@
             sock.setblocking(False)
             await asyncio.get_running_loop().sock_connect(sock, ("127.0.0.1", mesh.port))
             caller = Caller(*await asyncio.open_connection(sock=sock, limit=16 * KIB))
-            caller.writer.write(ask("read", attempt=f"t{number}"))
+            caller.writer.write(request_head("read", attempt=f"t{number}"))
             await caller.reader.readuntil(b"\r\n\r\n")
             callers.append(caller)
         before = -1
@@ -201,8 +201,11 @@
             for _ in range(10):
                 await asyncio.sleep(0)
                 await asyncio.to_thread(os.sched_yield)
-        assert mesh.held() == 80 and written < 40 * LONG // 2
-        assert mesh.out.most <= 40 * 96 * KIB + 4 * MIB and mesh.inside.most <= 40 * 96 * KIB + 4 * MIB
+        assert mesh.pending_count() == 80 and written < 40 * LONG // 2
+        assert (
+            mesh.egress_budget.most <= 40 * 96 * KIB + 4 * MIB
+            and mesh.ingress_budget.most <= 40 * 96 * KIB + 4 * MIB
+        )
         assert len(await callers[0].reader.readexactly(LONG)) == LONG
         for caller in callers[1:]:
             reset(caller.writer)
@@ -221,7 +224,7 @@
         upstream = await Upstream(endless).start()
         mesh = Mesh(upstream)
         caller = await mesh.caller()
-        caller.writer.write(ask(route, key="k" if route == "bid" else ""))
+        caller.writer.write(request_head(route, key="k" if route == "bid" else ""))
         await received(caller, most=100 * KIB)
         reset(caller.writer)
         await upstream.ended.get()
@@ -237,14 +240,14 @@
         mesh = Mesh(upstream)
         key = "k" if route == "bid" else ""
         caller = await mesh.caller()
-        caller.writer.write(ask(route, FORMS["length"](LONG), key=key))
+        caller.writer.write(request_head(route, FORMS["length"](LONG), key=key))
         await send(caller.writer, LONG // 2)
         reset(caller.writer)
         await upstream.ended.get()
         await until(settled(mesh))
         assert upstream.ran == []
         again = await mesh.caller()
-        again.writer.write(ask(route, key=key, attempt="t2"))
+        again.writer.write(request_head(route, key=key, attempt="t2"))
         assert (await again.read())[0] == 200
 
     run(main())
@@ -257,7 +260,9 @@
         upstream = await Upstream(answers(4)).start()
         mesh = Mesh(upstream)
         caller = await mesh.caller()
-        caller.writer.write(ask("bid", FORMS["length"](LONG), key="k").replace(b"Ms: 20000", b"Ms: 1000"))
+        caller.writer.write(
+            request_head("bid", FORMS["length"](LONG), key="k").replace(b"Ms: 20000", b"Ms: 1000")
+        )
         await send(caller.writer, LONG // 2)
         at = mesh.clock.now()
         await until(lambda: mesh.clock.now() - at > 1_200_000)
@@ -274,7 +279,7 @@
             mesh = Mesh(upstream)
             for number, status in enumerate(statuses):
                 caller = await mesh.caller()
-                caller.writer.write(ask("bid", key="k", attempt=f"t{number}"))
+                caller.writer.write(request_head("bid", key="k", attempt=f"t{number}"))
                 got = await received(caller)
                 assert got.first.split()[1] == str(status)
                 assert got.size == (size if status == 200 else 0)
@@ -294,7 +299,7 @@
         second.holder = first
         for number, mesh in enumerate((first, second)):
             caller = await mesh.caller()
-            caller.writer.write(ask("bid", FORMS["length"](3 * MIB), key="k", attempt=f"t{number}"))
+            caller.writer.write(request_head("bid", FORMS["length"](3 * MIB), key="k", attempt=f"t{number}"))
             await send(caller.writer, 3 * MIB)
             got = await received(caller)
             assert (got.first.split()[1], got.size, got.digest.digest()) == ("200", MIB, digest(MIB))
@@ -312,7 +317,7 @@
         mesh = Mesh(upstream)
         for attempt in ("t1", "t2"):
             caller = await mesh.caller()
-            caller.writer.write(ask("bid", FORMS["length"](LONG), key="k", attempt=attempt))
+            caller.writer.write(request_head("bid", FORMS["length"](LONG), key="k", attempt=attempt))
             await send(caller.writer, LONG)
             status, fields, said = await caller.read()
             assert (status, fields["x-brackengate-attempt-id"], said) == (200, attempt, BLOCK[:4])
@@ -338,9 +343,9 @@
 
         upstream = await Upstream(act).start()
         mesh = Mesh(upstream)
-        mesh.way.services["p"].module.retries = 1.0  # earned by requests before this one
+        mesh.egress.services["p"].balancer.retries = 1.0  # earned by requests before this one
         caller = await mesh.caller()
-        caller.writer.write(ask("read"))
+        caller.writer.write(request_head("read"))
         assert (await caller.read())[::2] == (200, b"onetwo") and len(upstream.ran) == 2
 
     run(main())
