--- a/benchmarks/scale/site.py
+++ b/benchmarks/scale/site.py
@@ -15,7 +15,7 @@
 
 from benchmarks.scale.orders import CHANGED_ROUTE, HOST, End, HollowPlan, Order, Report
 from brackengate.meshctl.ask import Bridge
-from brackengate.protocol.messages import Standing
+from brackengate.protocol.messages import ReplicaStatus
 from brackengate.proxy.failure_detector import LATE
 from standins.mesh import ROOT, Machine, Ports, Upstream, call
 
@@ -227,7 +227,7 @@
                 return
             await asyncio.sleep(0.2)
 
-    async def standings(self) -> list[Standing]:
+    async def standings(self) -> list[ReplicaStatus]:
         """Of the members, from the head to the tail; then of those that have lost their seat."""
         standings, _ = await self.bridge.standings()
         order = [member.addr for member in max(standings, key=lambda one: one.epoch).members]
--- a/benchmarks/scale/units.py
+++ b/benchmarks/scale/units.py
@@ -13,13 +13,20 @@
 
 from benchmarks.scale.orders import CHANGED_ROUTE, HOST
 from benchmarks.scale.site import Size, first_configuration, proxy_ip, route, zone
+from brackengate.control.config_changes import History, decide
 from brackengate.control.item_index import ItemIndex
-from brackengate.control.orders import History, decide
 from brackengate.control.recent import RecentEntries
 from brackengate.control.rows import CommittedRows
 from brackengate.control.transfer import NOTHING, next_piece
-from brackengate.protocol.config_items import read_call
-from brackengate.protocol.messages import Changes, CopyPiece, CopyRequest, Instance, Line, Row
+from brackengate.protocol.config_items import parse_change
+from brackengate.protocol.messages import (
+    Changes,
+    Message,
+    Row,
+    SnapshotPiece,
+    SnapshotRequest,
+    UpstreamReport,
+)
 from brackengate.proxy.copy import PublicCopy
 from brackengate.proxy.failure_detector import Watch, named
 from brackengate.proxy.routing_table import Table
@@ -44,14 +51,14 @@
 
 
 def public_rows(size: Size) -> list[Row]:
-    items = read_call(first_configuration(size))
+    items = parse_change(first_configuration(size))
     rows: list[Row] = [(kind, name, msgspec.to_builtins(item)) for (kind, name), item in items]
     return rows + [("inst", proxy_ip(n), upstream(size, n)) for n in range(size.proxies)]
 
 
 def upstream(size: Size, number: int) -> dict[str, object]:
     ip = proxy_ip(number)
-    row = Instance(f"i-{ip}", f"s{number % size.services}", zone(number), "ready", 6, 0, "0" * 16)
+    row = UpstreamReport(f"i-{ip}", f"s{number % size.services}", zone(number), "ready", 6, 0, "0" * 16)
     found: dict[str, object] = msgspec.to_builtins(row)
     return found
 
@@ -71,7 +78,7 @@
     """A whole copy, as it goes over the wire."""
     position, sent = NOTHING, list[bytes]()
     while True:
-        piece = next_piece(rows, recent, 1, CopyRequest(1, position))
+        piece = next_piece(rows, recent, 1, SnapshotRequest(1, position))
         assert piece is not None
         sent.append(msgspec.json.encode(piece))
         if piece.total is not None:
@@ -82,8 +89,8 @@
 def take(sent: list[bytes]) -> Table:
     copy, table = PublicCopy(), Table()
     for data in sent:
-        piece: Line = msgspec.json.decode(data, type=Line)
-        assert isinstance(piece, CopyPiece)
+        piece: Message = msgspec.json.decode(data, type=Message)
+        assert isinstance(piece, SnapshotPiece)
         if copy.take(copy.position, piece):
             table.snapshot(*copy.whole())
     return table
@@ -100,14 +107,14 @@
     changes = iter(range(2, 10_000_000))
 
     def take_change() -> None:
-        word: Line = msgspec.json.decode(change, type=Line)
+        word: Message = msgspec.json.decode(change, type=Message)
         assert isinstance(word, Changes)
         table.changes(next(changes), word.rows)
         watch.know(table.pilots(), (), 0)
 
     hosts = [{"Host": HOST, "Paths": [route(CHANGED_ROUTE, "s0", 2)]}]
     order = json.dumps({"Apply": {"Hosts": hosts}}).encode()
-    items = ItemIndex.of(read_call(first_configuration(size)))
+    items = ItemIndex.of(parse_change(first_configuration(size)))
     machines = table.pilots()
     return Units(
         proxies=proxies,
@@ -117,7 +124,7 @@
         copy_taken=cpu_ms(lambda: take(sent), 5),
         change_bytes=len(change),
         change_taken=cpu_ms(take_change, 200),
-        order_checked=cpu_ms(lambda: decide(read_call(order), items, lambda _: History()), 10),
+        order_checked=cpu_ms(lambda: decide(parse_change(order), items, lambda _: History()), 10),
         watchers_ranked=cpu_ms(lambda: named(ip, machines), 20),
     )
 
--- a/benchmarks/snapshots.py
+++ b/benchmarks/snapshots.py
@@ -123,12 +123,12 @@
 
 
 async def child(path: str, claims: bool) -> None:
-    from brackengate.control.role import Lighthouse
-    from brackengate.protocol.json_connection import Lines
+    from brackengate.control.role import ControlReplica
+    from brackengate.protocol.json_connection import JsonConnection
     from brackengate.protocol.settings import load
 
     begun = time.perf_counter()
-    lighthouse = Lighthouse(load(path))
+    lighthouse = ControlReplica(load(path))
     running = asyncio.create_task(lighthouse.run())
     while not hasattr(lighthouse, "replica"):
         await asyncio.sleep(0.005)
@@ -136,13 +136,13 @@
             running.result()
     started = time.perf_counter() - begun
     probe = Probe(lighthouse, claims)
-    real = Lines.data_received
+    real = JsonConnection.data_received
 
-    def counted(self: Lines, data: bytes) -> None:
+    def counted(self: JsonConnection, data: bytes) -> None:
         probe.bytes += len(data)
         real(self, data)
 
-    Lines.data_received = counted  # type: ignore[method-assign]
+    JsonConnection.data_received = counted  # type: ignore[method-assign]
     lines = asyncio.StreamReader()
     await probe.loop.connect_read_pipe(lambda: asyncio.StreamReaderProtocol(lines), sys.stdin)
     while await lines.readline():
@@ -152,12 +152,12 @@
 async def operator() -> None:
     """One order after the other, each sent to the next member after a second without an answer."""
     from brackengate.protocol.json_connection import Dialer
-    from brackengate.protocol.messages import Amend, CommandDone, Inquire, Line, Result
+    from brackengate.protocol.messages import Amend, CommandDone, Inquiry, Message, Result
 
     loop = asyncio.get_running_loop()
     waits: dict[int, asyncio.Future[Any]] = {}
 
-    def heard(word: Line) -> None:
+    def heard(word: Message) -> None:
         if isinstance(word, Result) and word.id in waits and not waits[word.id].done():
             waits[word.id].set_result(word.result)
 
@@ -169,7 +169,7 @@
         while result != done:
             sent += 1
             waits[sent] = loop.create_future()
-            links[sent % 3].send(Inquire(sent, Amend(body)))
+            links[sent % 3].send(Inquiry(sent, Amend(body)))
             result = (await asyncio.wait([waits[sent]], timeout=ORDER_S)) and (
                 waits[sent].result() if waits[sent].done() else None
             )
--- a/brackengate/control/actions.py
+++ b/brackengate/control/actions.py
@@ -5,8 +5,8 @@
 from dataclasses import dataclass, field
 from typing import Any
 
-from brackengate.control.staging import StagedOrder
-from brackengate.protocol.messages import Entry, Line, Row
+from brackengate.control.staging import StagedChange
+from brackengate.protocol.messages import Entry, Message, Row
 
 
 @dataclass(slots=True)
@@ -14,7 +14,7 @@
     """Say it to another lighthouse; lost where there is no connection."""
 
     addr: str
-    word: Line
+    word: Message
 
 
 @dataclass(slots=True)
@@ -59,7 +59,7 @@
 class Deliver:
     """Followers may fetch this order; say `delivered` when all in touch hold it."""
 
-    order: StagedOrder
+    order: StagedChange
 
 
 @dataclass(slots=True)
--- a/brackengate/control/chain.py
+++ b/brackengate/control/chain.py
@@ -22,6 +22,13 @@
 
 from brackengate.control.actions import Action, Continue, Deliver, Publish, Restart, Tell
 from brackengate.control.ages import KeyAges
+from brackengate.control.change_coordinator import (
+    AppendNow,
+    AwaitDelivery,
+    ChangeCoordinator,
+    ExaminationOutcome,
+    Examining,
+)
 from brackengate.control.commands import (
     GIVE_UP_AFTER,
     Decision,
@@ -29,35 +36,34 @@
     PendingReply,
     decide,
 )
-from brackengate.control.head_orders import EnterNow, Examining, HeadOrders, Outcome, Wait
 from brackengate.control.item_index import ItemIndex
 from brackengate.control.learning import Learner, keep_committed, take_piece
 from brackengate.control.log import PublicChanges, ReplicaLog, public_changes
 from brackengate.control.prepared_rows import NO_ROUTES, item_of
 from brackengate.control.rows import KEY, LatestRows, State
-from brackengate.control.staging import Delivery, StagedOrder, StagedOrders, Submission
+from brackengate.control.staging import Delivery, StagedChange, StagedChanges, Submission
 from brackengate.control.transfer import COMPLETE, next_piece
 from brackengate.control.view import LogStatus
-from brackengate.protocol.config_items import Name, Route, layout
+from brackengate.protocol.config_items import ItemName, Route, config_document
 from brackengate.protocol.messages import (
-    ITEMS,
+    ITEM_KINDS,
     Ack,
     Amend,
     Append,
+    ChangeDelivered,
     Command,
+    CommandInProgress,
     Configuration,
-    CopyPiece,
-    CopyPosition,
-    CopyRequest,
-    Delivered,
+    EntriesRequest,
     Entry,
-    Line,
-    Position,
+    Message,
     Result,
     Row,
-    Stage,
+    SnapshotPiece,
+    SnapshotPosition,
+    SnapshotRequest,
+    StageChange,
     Submit,
-    Underway,
     View,
 )
 
@@ -91,8 +97,8 @@
         self._said_have = self._pruned = 0
         self._pruned_to = 0  # the last entry that frees old keys
         self._commands = PendingCommands(now)
-        self.staged = StagedOrders()
-        self._orders = HeadOrders()
+        self.staged = StagedChanges()
+        self._orders = ChangeCoordinator()
         self._preparations: deque[Iterator[None]] = deque()  # of rows that are about to be entered
         self._pending_replies: deque[PendingReply] = deque()
         self._configuration: Configuration | None = None  # as it was read last
@@ -110,7 +116,7 @@
         self.held.load(rows, entries, base)
         if self.snapshot_epoch and self.held.firm:
             bucket = COMPLETE
-        self.learner.position = CopyPosition(bucket, self.state.index)
+        self.learner.position = SnapshotPosition(bucket, self.state.index)
         self.ages.mark(now, self.index)
 
     # --- where it stands
@@ -244,7 +250,7 @@
         self._said_have = now
         if not before or not (self.has_snapshot or self.learner.complete):
             return []
-        out: list[Action] = [Tell(before, Position(self.view.epoch, self.stored_index))]
+        out: list[Action] = [Tell(before, EntriesRequest(self.view.epoch, self.stored_index))]
         if (
             self.commit_index >= 0 and self.has_snapshot
         ):  # whoever has just started knows of nothing that is agreed
@@ -289,9 +295,9 @@
     def _execute_order(self, addr: str, id_: int, what: Amend, now: int) -> list[Action]:
         """A large one is read in slices and delivered first."""
         match self._orders.submitted(what, addr, id_, self.rows, self.items, self._members(), now):
-            case EnterNow(decision):
+            case AppendNow(decision):
                 return self._enter_and_reply(addr, id_, decision, now)
-            case Wait(delivery, begins):
+            case AwaitDelivery(delivery, begins):
                 out = self._begin_delivery(delivery) if begins else []
                 return out + self._say_underway(addr, id_)
             case Examining():
@@ -314,17 +320,17 @@
         more = self._orders.examining or self._preparations
         return [*out, Continue()] if more else out
 
-    def _examined(self, outcome: Outcome, now: int) -> list[Action]:
+    def _examined(self, outcome: ExaminationOutcome, now: int) -> list[Action]:
         match outcome.taken:
-            case EnterNow(decision):
+            case AppendNow(decision):
                 return self._enter_and_reply_all(decision, outcome.submissions, now)
-            case Wait(delivery, _):
+            case AwaitDelivery(delivery, _):
                 return self._begin_delivery(delivery)
         return []
 
     def _begin_delivery(self, delivery: Delivery) -> list[Action]:
         order = delivery.order
-        stage = Stage(self.view.epoch, order.id, order.pieces)
+        stage = StageChange(self.view.epoch, order.id, order.pieces)
         others = [addr for addr in self._members() if addr != self.me]
         return [*(Tell(other, stage) for other in others), *self._deliver(order, delivery.read.routes)]
 
@@ -332,9 +338,9 @@
         if addr == self.me:
             self._commands.underway(id_, self._now)
             return []
-        return [Tell(addr, Underway(id_))]
+        return [Tell(addr, CommandInProgress(id_))]
 
-    def _deliver(self, order: StagedOrder, read: Mapping[str, Route] = NO_ROUTES) -> list[Action]:
+    def _deliver(self, order: StagedChange, read: Mapping[str, Route] = NO_ROUTES) -> list[Action]:
         """`read`: its routes, where they were read here."""
         self.staged.add(order)
         self._preparations.append(self.held.prepared.prepare(order.id, order.rows(), read))
@@ -344,7 +350,7 @@
         """All followers of this member that are in touch hold that order."""
         self._now = now
         if self.head != self.me:
-            return [Tell(self.head, Delivered(self.view.epoch, id_))] if self.head else []
+            return [Tell(self.head, ChangeDelivered(self.view.epoch, id_))] if self.head else []
         self._orders.delivered(id_, self.me)
         return self._enter_delivered(now)
 
@@ -411,36 +417,36 @@
 
     # --- the log
 
-    def heard(self, addr: str, word: Line, now: int) -> list[Action]:
+    def heard(self, addr: str, word: Message, now: int) -> list[Action]:
         self._now = now
         match word:
             case Submit():
                 return self._execute(addr, word, now)
-            case Underway():
+            case CommandInProgress():
                 self._commands.underway(word.id, now)
-            case Stage():
+            case StageChange():
                 if word.epoch == self.view.epoch and addr == self.head:
-                    return self._deliver(StagedOrder(word.id, word.pieces))
-            case Delivered():
+                    return self._deliver(StagedChange(word.id, word.pieces))
+            case ChangeDelivered():
                 if word.epoch == self.view.epoch:
                     self._orders.delivered(word.id, addr)
                     return self._enter_delivered(now)
             case Result():
                 return self._resolved(word)
-            case Position():
+            case EntriesRequest():
                 return self._on_have(addr, word)
             case Append():
                 return self._on_forward(addr, word, now)
-            case CopyRequest():
+            case SnapshotRequest():
                 return self._on_copy_request(addr, word)
-            case CopyPiece():
+            case SnapshotPiece():
                 return self._on_copy_piece(addr, word)
             case Ack():
                 if word.epoch == self.view.epoch and addr == self._after():
                     return self._commit(min(word.index, self.stored_index))
         return []
 
-    def _on_have(self, addr: str, word: Position) -> list[Action]:
+    def _on_have(self, addr: str, word: EntriesRequest) -> list[Action]:
         if (
             word.epoch != self.view.epoch
             or addr != self._after()
@@ -560,7 +566,7 @@
 
     # --- copies
 
-    def _on_copy_request(self, addr: str, word: CopyRequest) -> list[Action]:
+    def _on_copy_request(self, addr: str, word: SnapshotRequest) -> list[Action]:
         """Whatever has become of the view: what is sent is a prefix of what is committed."""
         if not self.has_snapshot or not self.held.firm:
             return []
@@ -587,7 +593,7 @@
             return [before]
         return [member.addr for member in reversed(self.view.members) if member.addr != self.me]
 
-    def _on_copy_piece(self, addr: str, piece: CopyPiece) -> list[Action]:
+    def _on_copy_piece(self, addr: str, piece: SnapshotPiece) -> list[Action]:
         if self.has_snapshot or self._fed or not self.learner.answered(addr, piece):
             return []
         store = take_piece(self.held, self.learner, piece)
@@ -602,7 +608,7 @@
         return self.state.public_index
 
     @property
-    def published(self) -> Mapping[Name, tuple[int, Any]]:
+    def published(self) -> Mapping[ItemName, tuple[int, Any]]:
         """All that is agreed of what followers may have, with the place of each."""
         return self.state.published
 
@@ -610,8 +616,8 @@
         """Made once for all who read it until there is a newer public row."""
         state = (self.generation, self.public_index)
         if self._configuration is None or self._configuration_of != state:
-            items = ((name, item_of(row[1])) for name, row in self.published.items() if name[0] in ITEMS)
-            self._configuration, self._configuration_of = Configuration(layout(items)), state
+            items = ((name, item_of(row[1])) for name, row in self.published.items() if name[0] in ITEM_KINDS)
+            self._configuration, self._configuration_of = Configuration(config_document(items)), state
         return self._configuration
 
     def changes_since(self, index: int) -> PublicChanges | None:
@@ -621,6 +627,6 @@
         entries = self.held.recent_public.all_after(index)
         return public_changes(self.commit_index, entries) if entries is not None else None
 
-    def public_piece(self, request: CopyRequest) -> CopyPiece | None:
+    def public_piece(self, request: SnapshotRequest) -> SnapshotPiece | None:
         """Of a follower's copy."""
         return next_piece(self.state.public, self.held.recent_public, self.commit_index, request)
--- a/brackengate/control/head_orders.py
+++ b/brackengate/control/change_coordinator.py
@@ -13,28 +13,29 @@
 from brackengate.control.commands import REFUSALS, Decision, RefusedOrders, Rows, decide_order
 from brackengate.control.item_index import ItemIndex
 from brackengate.control.staging import (
-    PER_ROW,
+    DELIVERY_US_PER_ROW,
     Deliveries,
     Delivery,
-    StagedOrder,
+    StagedChange,
     Submission,
     Submissions,
-    staged_order,
+    stage_change,
 )
-from brackengate.protocol.config_items import Invalid, read_in_slices
-from brackengate.protocol.messages import PUBLIC, Amend, InvalidOrder
+from brackengate.protocol.config_items import InvalidConfig, parse_in_slices
+from brackengate.protocol.messages import PUBLIC_KINDS, Amend, InvalidChange
 
-DELIVER_WITHIN = 1_200_000  # a large order waits so long for its followers at the most, and `PER_ROW`
-LONG_BODY = 64 << 10  # bytes of a call: a longer one is examined in slices
+# A large order waits so long for its followers at the most, and `DELIVERY_US_PER_ROW`.
+MAX_DELIVERY_US = 1_200_000
+SLICED_BODY_BYTES = 64 << 10  # bytes of a call: a longer one is examined in slices
 
 
 @dataclass(frozen=True, slots=True)
-class EnterNow:
+class AppendNow:
     decision: Decision
 
 
 @dataclass(frozen=True, slots=True)
-class Wait:
+class AwaitDelivery:
     """Its delivery is under way.  `begins`: with this submission."""
 
     delivery: Delivery
@@ -45,15 +46,15 @@
     """It is being read."""
 
 
-class NoAnswer:
+class LeaveUnanswered:
     """It may be a late copy of an order that was refused."""
 
 
-Taken = EnterNow | Wait | NoAnswer
+SubmissionOutcome = AppendNow | AwaitDelivery | LeaveUnanswered
 
 
 @dataclass(frozen=True, slots=True)
-class Due:
+class DecidedDelivery:
     """A delivery is over: what is decided of its order, for all who submitted it."""
 
     delivery: Delivery
@@ -61,14 +62,14 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Examined:
+class ExaminationResult:
     """What an order would do now; `staged`: its rows, if they are to be delivered first."""
 
     decision: Decision
-    staged: StagedOrder | None = None
+    staged: StagedChange | None = None
 
 
-ExaminationSteps = Generator[None, None, Examined]
+ExaminationSteps = Generator[None, None, ExaminationResult]
 
 
 @dataclass(slots=True)
@@ -79,16 +80,16 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Outcome:
+class ExaminationOutcome:
     """An examination is over: what becomes of its order, for all who submitted it."""
 
-    taken: Taken
+    taken: SubmissionOutcome
     submissions: tuple[Submission, ...]
 
 
 @dataclass
-class HeadOrders:
-    deliver_within: int = DELIVER_WITHIN
+class ChangeCoordinator:
+    deliver_within: int = MAX_DELIVERY_US
     _refused: RefusedOrders = field(default_factory=RefusedOrders)
     _deliveries: Deliveries = field(default_factory=Deliveries)
     _examinations: dict[str, Examination] = field(default_factory=dict)  # by text; the first is next
@@ -104,16 +105,16 @@
 
     def submitted(
         self, what: Amend, addr: str, id_: int, rows: Rows, items: ItemIndex, members: Iterable[str], now: int
-    ) -> Taken | Examining:
+    ) -> SubmissionOutcome | Examining:
         delivery = self._deliveries.by_body.get(what.body)
         if delivery is not None:
             delivery.submissions.joined(addr, id_)
-            return Wait(delivery, begins=False)
+            return AwaitDelivery(delivery, begins=False)
         found = self._examinations.get(what.body)
         if found is None:
             found = Examination(what.body, _examine(what.body, rows, items), Submissions())
         found.submissions.joined(addr, id_)
-        if len(what.body) >= LONG_BODY:
+        if len(what.body) >= SLICED_BODY_BYTES:
             self._examinations[what.body] = found
             return Examining()
         examined = _next_step(found.steps)
@@ -121,7 +122,7 @@
             examined = _next_step(found.steps)
         return self._take(found, examined, members, now)
 
-    def examine(self, members: Iterable[str], now: int) -> Outcome | None:
+    def examine(self, members: Iterable[str], now: int) -> ExaminationOutcome | None:
         """One step of an examination, by turns; None: it is not over, or there is none.
 
         One whose step raises is dropped: whoever submitted its order submits it again.
@@ -133,24 +134,26 @@
         if examined is None:
             self._examinations[first.body] = first
             return None
-        return Outcome(self._take(first, examined, members, now), tuple(first.submissions))
+        return ExaminationOutcome(self._take(first, examined, members, now), tuple(first.submissions))
 
-    def _take(self, one: Examination, examined: Examined, members: Iterable[str], now: int) -> Taken:
+    def _take(
+        self, one: Examination, examined: ExaminationResult, members: Iterable[str], now: int
+    ) -> SubmissionOutcome:
         decision, order = examined.decision, examined.staged
         if not self._answers(one.body, decision, now):
-            return NoAnswer()
+            return LeaveUnanswered()
         if order is None:
-            return EnterNow(decision)
-        until = now + self.deliver_within + PER_ROW * len(decision.rows)
+            return AppendNow(decision)
+        until = now + self.deliver_within + DELIVERY_US_PER_ROW * len(decision.rows)
         delivery = Delivery(one.body, decision.order, order, until, set(members), one.submissions)
         self._deliveries.begin(delivery)
-        return Wait(delivery, begins=True)
+        return AwaitDelivery(delivery, begins=True)
 
     def delivered(self, id_: str, addr: str) -> None:
         """The followers of that member hold that order."""
         self._deliveries.delivered(id_, addr)
 
-    def take_due(self, rows: Rows, items: ItemIndex, now: int) -> Due | None:
+    def take_due(self, rows: Rows, items: ItemIndex, now: int) -> DecidedDelivery | None:
         """The next order whose delivery is over; to be entered before the one after it is asked for."""
         delivery = self._deliveries.take_over(now)
         if delivery is None:
@@ -158,7 +161,7 @@
         decision = decide_order(delivery.read, rows, items)
         if not self._answers(delivery.body, decision, now):
             return self.take_due(rows, items, now)
-        return Due(delivery, decision)
+        return DecidedDelivery(delivery, decision)
 
     def _answers(self, body: str, decision: Decision, now: int) -> bool:
         if isinstance(decision.result, REFUSALS):
@@ -170,20 +173,20 @@
 def _examine(body: str, rows: Rows, items: ItemIndex) -> ExaminationSteps:
     """`rows`, `items`: all that the head holds, as it stands at each step."""
     try:
-        order = yield from read_in_slices(body.encode())
-    except Invalid as why:
-        return Examined(Decision((), InvalidOrder(str(why))))
+        order = yield from parse_in_slices(body.encode())
+    except InvalidConfig as why:
+        return ExaminationResult(Decision((), InvalidChange(str(why))))
     yield
     decision = decide_order(order, rows, items)
     yield
-    return Examined(decision, staged_order([row for row in decision.rows if row[0] in PUBLIC]))
+    return ExaminationResult(decision, stage_change([row for row in decision.rows if row[0] in PUBLIC_KINDS]))
 
 
-def _next_step(steps: ExaminationSteps) -> Examined | None:
+def _next_step(steps: ExaminationSteps) -> ExaminationResult | None:
     """None: there are more."""
     try:
         next(steps)
     except StopIteration as end:
-        examined: Examined = end.value
+        examined: ExaminationResult = end.value
         return examined
     return None
--- a/brackengate/control/commands.py
+++ b/brackengate/control/commands.py
@@ -14,29 +14,29 @@
 
 import msgspec
 
-from brackengate.control import orders
+from brackengate.control import config_changes
 from brackengate.control.actions import Answer
 from brackengate.control.item_index import ItemIndex
 from brackengate.control.rows import KEY
-from brackengate.control.staging import STAGED_BYTES
-from brackengate.protocol.config_items import Invalid, Name, Order, read_call
+from brackengate.control.staging import MIN_STAGED_BYTES
+from brackengate.protocol.config_items import ConfigChange, InvalidConfig, ItemName, parse_change
 from brackengate.protocol.messages import (
     Amend,
     Claim,
     Command,
     CommandDone,
     CommandResult,
-    ConflictingOrder,
+    ConflictingChange,
     HeldBy,
-    InvalidOrder,
+    InvalidChange,
     Read,
-    Report,
+    ReportUpstream,
     Result,
     Row,
     Submit,
     Suspect,
     Unclaim,
-    UndecidedOrder,
+    UndecidedChange,
 )
 
 RESUBMIT_AFTER = 400_000  # a command without a result is submitted again, microseconds
@@ -49,13 +49,13 @@
 HOLD_REFUSED = 4_000_000  # longer than that, and than its last submission can be under way; and for each
 # byte as much longer as its call is pursued
 MOST_REFUSED = 1_000  # orders whose refusal a head remembers
-HISTORY = "history"  # rows of what was acknowledged of an item, see `orders.py`
-REFUSALS = (HeldBy, InvalidOrder, ConflictingOrder, UndecidedOrder)
+HISTORY = "history"  # rows of what was acknowledged of an item, see `config_changes.py`
+REFUSALS = (HeldBy, InvalidChange, ConflictingChange, UndecidedChange)
 
 DONE = CommandDone()
-EMPTY_ORDER = Order()
+EMPTY_ORDER = ConfigChange()
 
-Rows = Mapping[Name, tuple[int, Any]]
+Rows = Mapping[ItemName, tuple[int, Any]]
 
 
 @dataclass(slots=True)
@@ -157,7 +157,7 @@
 
 
 def _more_patience(body: str) -> int:
-    return PATIENCE_PER_BYTE * max(0, len(body) - STAGED_BYTES)
+    return PATIENCE_PER_BYTE * max(0, len(body) - MIN_STAGED_BYTES)
 
 
 @dataclass(slots=True)
@@ -190,7 +190,7 @@
 
     rows: tuple[Row, ...]
     result: CommandResult | None = DONE
-    order: Order = EMPTY_ORDER  # as it was read, of an order that was taken
+    order: ConfigChange = EMPTY_ORDER  # as it was read, of an order that was taken
 
 
 def decide(what: Command, rows: Rows, items: ItemIndex) -> Decision:
@@ -205,7 +205,7 @@
         case Unclaim(key, gate, attempt):
             held = _value(rows, (KEY, key))
             return Decision(((KEY, key, None),) if held == [gate, attempt] else ())
-        case Report(name, value):
+        case ReportUpstream(name, value):
             changed = _value(rows, ("inst", name)) != value
             return Decision((("inst", name, value),) if changed else ())
         case Suspect(watcher, silent):
@@ -213,21 +213,21 @@
             return Decision((("silent", watcher, list(silent) or None),) if changed else ())
 
 
-def _value(rows: Rows, name: Name) -> Any:
+def _value(rows: Rows, name: ItemName) -> Any:
     held = rows.get(name)
     return held[1] if held is not None else None
 
 
 def _read_and_decide(body: str, rows: Rows, items: ItemIndex) -> Decision:
     try:
-        order = read_call(body.encode())
-    except Invalid as why:
-        return Decision((), InvalidOrder(str(why)))
+        order = parse_change(body.encode())
+    except InvalidConfig as why:
+        return Decision((), InvalidChange(str(why)))
     return decide_order(order, rows, items)
 
 
-def decide_order(order: Order, rows: Rows, items: ItemIndex) -> Decision:
-    decision = orders.decide(order, items, partial(_history, rows))
+def decide_order(order: ConfigChange, rows: Rows, items: ItemIndex) -> Decision:
+    decision = config_changes.decide(order, items, partial(_history, rows))
     news: list[Row] = [
         (kind, name, [item.version, item.host, item.body]) for (kind, name), item in decision.items.items()
     ]
@@ -236,13 +236,13 @@
     return Decision(tuple(news), decision.result, order)
 
 
-def _history_name(name: Name) -> str:
+def _history_name(name: ItemName) -> str:
     return " ".join(name)
 
 
-def _history(rows: Rows, name: Name) -> orders.History:
+def _history(rows: Rows, name: ItemName) -> config_changes.History:
     held = rows.get((HISTORY, _history_name(name)))
-    return msgspec.convert(held[1], orders.History) if held is not None else orders.History()
+    return msgspec.convert(held[1], config_changes.History) if held is not None else config_changes.History()
 
 
 def _decide_claim(claim: Claim, rows: Rows) -> Decision:
--- a/brackengate/control/orders.py
+++ b/brackengate/control/config_changes.py
@@ -17,16 +17,16 @@
 import msgspec
 
 from brackengate.control.item_index import ItemIndex, Place, place_of, services_of
-from brackengate.protocol.config_items import Invalid, Item, Name, NamedItem, Order, Route
+from brackengate.protocol.config_items import ConfigChange, InvalidConfig, Item, ItemName, NamedItem, Route
 from brackengate.protocol.contents import digest
 from brackengate.protocol.messages import (
     CommandDone,
-    ConflictingOrder,
-    InvalidOrder,
-    UndecidedOrder,
+    ConflictingChange,
+    InvalidChange,
+    UndecidedChange,
 )
 
-REMEMBERED = 256  # overtaken versions of one item whose digests are kept
+MAX_OVERTAKEN_VERSIONS = 256  # overtaken versions of one item whose digests are kept
 NOTHING_FORGOTTEN = -1
 
 
@@ -46,12 +46,12 @@
     def with_versions(self, added: Mapping[int, str]) -> History:
         """The highest ones are kept."""
         known = sorted({**self.versions(), **added}.items())
-        gone, kept = known[:-REMEMBERED], known[-REMEMBERED:]
+        gone, kept = known[:-MAX_OVERTAKEN_VERSIONS], known[-MAX_OVERTAKEN_VERSIONS:]
         forgotten = gone[-1][0] if gone else self.forgotten
         return History(forgotten, " ".join(f"{version}={found}" for version, found in kept))
 
 
-HistoryOf = Callable[[Name], History]
+HistoryOf = Callable[[ItemName], History]
 
 
 class Verdict(Enum):
@@ -64,12 +64,12 @@
     FORGOTTEN = auto()  # too old to know
 
 
-NEVER_TAKEN = (Verdict.NEWER, Verdict.OVERTAKEN)  # nothing was acknowledged under that version
+NEVER_ACKNOWLEDGED = (Verdict.NEWER, Verdict.OVERTAKEN)  # nothing was acknowledged under that version
 
 
 @dataclass(frozen=True, slots=True)
-class Judged:
-    name: Name
+class ClassifiedItem:
+    name: ItemName
     item: Item
     verdict: Verdict
 
@@ -77,38 +77,38 @@
         return f"{self.name[0]} {self.name[1][:40]!r} r{self.item.version}"
 
 
-OrderResult = CommandDone | InvalidOrder | ConflictingOrder | UndecidedOrder
+ChangeResult = CommandDone | InvalidChange | ConflictingChange | UndecidedChange
 
 
 @dataclass(frozen=True, slots=True)
-class OrderDecision:
+class ChangeDecision:
     """`items` come into force, with the histories of all names whose record has changed."""
 
-    result: OrderResult
-    items: Mapping[Name, Item]
-    histories: Mapping[Name, History]
+    result: ChangeResult
+    items: Mapping[ItemName, Item]
+    histories: Mapping[ItemName, History]
 
 
-def decide(order: Order, held: ItemIndex, history_of: HistoryOf) -> OrderDecision:
+def decide(order: ConfigChange, held: ItemIndex, history_of: HistoryOf) -> ChangeDecision:
     """Taken whole, with its records, or refused whole.
 
     An order that was taken has a record, or forgotten versions, for each of its items ever after.  So what
     is refused here was never taken: by a conflict, or by an item that was never acknowledged.
     """
-    judged = [Judged(name, item, _verdict(name, item, held, history_of)) for name, item in order]
-    refusal = _by_records(judged)
+    judged = [ClassifiedItem(name, item, _classify(name, item, held, history_of)) for name, item in order]
+    refusal = _refusal_by_records(judged)
     if refusal is not None:
-        return OrderDecision(refusal, {}, {})
-    fresh = [one for one in judged if one.verdict in NEVER_TAKEN]
-    items = _effective(fresh)
+        return ChangeDecision(refusal, {}, {})
+    fresh = [one for one in judged if one.verdict in NEVER_ACKNOWLEDGED]
+    items = _highest_newer_versions(fresh)
     try:
-        _check_outcome(fresh, items, held, order.routes)
-    except Invalid as why:
-        return OrderDecision(InvalidOrder(str(why)), {}, {})
-    return OrderDecision(CommandDone(), items, _records(fresh, items, held, history_of))
+        _validate_outcome(fresh, items, held, order.routes)
+    except InvalidConfig as why:
+        return ChangeDecision(InvalidChange(str(why)), {}, {})
+    return ChangeDecision(CommandDone(), items, _new_histories(fresh, items, held, history_of))
 
 
-def _verdict(name: Name, item: Item, held: Mapping[Name, Item], history_of: HistoryOf) -> Verdict:
+def _classify(name: ItemName, item: Item, held: Mapping[ItemName, Item], history_of: HistoryOf) -> Verdict:
     holds = held.get(name)
     if holds is None or item.version > holds.version:
         return Verdict.NEWER
@@ -122,23 +122,23 @@
     return Verdict.ACKNOWLEDGED if known == digest(name[0], item) else Verdict.CONFLICTING
 
 
-def _by_records(judged: Iterable[Judged]) -> ConflictingOrder | UndecidedOrder | None:
+def _refusal_by_records(judged: Iterable[ClassifiedItem]) -> ConflictingChange | UndecidedChange | None:
     """Why what was acknowledged before, or is forgotten, stands against the order."""
     conflicting = [str(one) for one in judged if one.verdict is Verdict.CONFLICTING]
     if conflicting:
-        return ConflictingOrder(f"acknowledged with other content before: {', '.join(conflicting)}")
+        return ConflictingChange(f"acknowledged with other content before: {', '.join(conflicting)}")
     forgotten = [str(one) for one in judged if one.verdict is Verdict.FORGOTTEN]
     if not forgotten:
         return None
     reason = f"overtaken too long ago to know what it was: {', '.join(forgotten)}"
-    if any(one.verdict in NEVER_TAKEN for one in judged):
-        return ConflictingOrder(reason)
-    return UndecidedOrder(reason)
+    if any(one.verdict in NEVER_ACKNOWLEDGED for one in judged):
+        return ConflictingChange(reason)
+    return UndecidedChange(reason)
 
 
-def _effective(fresh: Iterable[Judged]) -> dict[Name, Item]:
+def _highest_newer_versions(fresh: Iterable[ClassifiedItem]) -> dict[ItemName, Item]:
     """The highest version of a name holds."""
-    found: dict[Name, Item] = {}
+    found: dict[ItemName, Item] = {}
     for one in fresh:
         if one.verdict is Verdict.NEWER:
             before = found.get(one.name)
@@ -147,10 +147,10 @@
     return found
 
 
-def _check_outcome(
-    fresh: list[Judged], items: Mapping[Name, Item], held: ItemIndex, read: Mapping[str, Route]
+def _validate_outcome(
+    fresh: list[ClassifiedItem], items: Mapping[ItemName, Item], held: ItemIndex, read: Mapping[str, Route]
 ) -> None:
-    """`Invalid` where the outcome holds two routes at one place, or a route's service is not known in it.
+    """`InvalidConfig` where the outcome holds two routes at one place, or a route's service is unknown.
 
     The service is asked of every item that was never acknowledged, also of an overtaken one: an order that
     names an unknown service is invalid whatever its version.  Nothing is asked of what was acknowledged.
@@ -159,43 +159,43 @@
     coming = [
         (one, read[one.name[1]]) for one in fresh if one.name[0] == "route" and one.item.body is not None
     ]
-    _check_places((it for one, it in coming if items.get(one.name) is one.item), items, held)
+    _check_route_conflicts((it for one, it in coming if items.get(one.name) is one.item), items, held)
     removed = [name for (kind, name), item in items.items() if kind == "plant" and item.body is None]
     for service in removed:
         for name in sorted(held.users(service)):
             if ("route", name) not in items:
-                raise _unknown_service(name, service)
+                raise _unknown_service_error(name, service)
     known: set[str] = set()
     for one, it in coming:
         for service in services_of(it) - known:
-            if not _stands(("plant", service), items, held):
-                raise _unknown_service(one.name[1], service)
+            if not _exists(("plant", service), items, held):
+                raise _unknown_service_error(one.name[1], service)
             known.add(service)
 
 
-def _check_places(coming: Iterable[Route], items: Mapping[Name, Item], held: ItemIndex) -> None:
+def _check_route_conflicts(coming: Iterable[Route], items: Mapping[ItemName, Item], held: ItemIndex) -> None:
     places: dict[Place, str] = {}
     for it in coming:
         place = place_of(it)
         stays = any(("route", name) not in items for name in held.at_place(place))
         if stays or places.setdefault(place, it.name) != it.name:
-            raise Invalid(f"two routes at {it.host}{it.prefix}")
+            raise InvalidConfig(f"two routes at {it.host}{it.prefix}")
 
 
-def _stands(name: Name, items: Mapping[Name, Item], held: ItemIndex) -> bool:
+def _exists(name: ItemName, items: Mapping[ItemName, Item], held: ItemIndex) -> bool:
     item = items[name] if name in items else held.get(name)
     return item is not None and item.body is not None
 
 
-def _unknown_service(name: str, service: str) -> Invalid:
-    return Invalid(f"route {name[:40]!r} names the service {service[:40]!r}, which is not known")
+def _unknown_service_error(name: str, service: str) -> InvalidConfig:
+    return InvalidConfig(f"route {name[:40]!r} names the service {service[:40]!r}, which is not known")
 
 
-def _records(
-    fresh: Iterable[Judged], items: Mapping[Name, Item], held: ItemIndex, history_of: HistoryOf
-) -> dict[Name, History]:
+def _new_histories(
+    fresh: Iterable[ClassifiedItem], items: Mapping[ItemName, Item], held: ItemIndex, history_of: HistoryOf
+) -> dict[ItemName, History]:
     """What of the order is overtaken already, and what it overtakes."""
-    added: dict[Name, list[NamedItem]] = {}
+    added: dict[ItemName, list[NamedItem]] = {}
     for one in fresh:
         if items.get(one.name) is not one.item:
             added.setdefault(one.name, []).append((one.name, one.item))
--- a/brackengate/control/contact.py
+++ b/brackengate/control/contact.py
@@ -22,7 +22,7 @@
     Peer,
     majority_since,
 )
-from brackengate.protocol.messages import Member, NewView, Ping, Pong, View, WantView
+from brackengate.protocol.messages import Member, NewView, Ping, Pong, View, ViewRequest
 
 
 @dataclass(slots=True)
@@ -146,7 +146,7 @@
         pong = Pong(self.view.epoch, ping.sent, self.epoch_closed, self.incarnation)
         out: list[Action] = [Tell(addr, pong)]
         if ping.epoch > self.view.epoch:
-            out.append(Tell(addr, WantView()))
+            out.append(Tell(addr, ViewRequest()))
         elif ping.epoch < self.view.epoch:
             out.append(Tell(addr, NewView(self.view)))
         return out
--- a/brackengate/control/follower_connections.py
+++ b/brackengate/control/follower_connections.py
@@ -16,21 +16,21 @@
 from brackengate.control.follower_messages import FollowerMessages, StagedIds
 from brackengate.control.log import PublicChanges
 from brackengate.control.replica import Replica
-from brackengate.control.staging import FollowerProgress, StagedOrder
-from brackengate.protocol.json_connection import Lines
+from brackengate.control.staging import FollowerProgress, StagedChange
+from brackengate.protocol.json_connection import JsonConnection
 from brackengate.protocol.message_parts import EncodedMessage
 from brackengate.protocol.messages import (
-    Away,
-    Beat,
-    ClockRequest,
     Command,
-    CopyPosition,
-    CopyRequest,
-    Core,
+    ControlReplicas,
     Follow,
     FollowerCommand,
-    Line,
+    Heartbeat,
+    HeartbeatRequest,
+    Message,
+    Redirect,
     Result,
+    SnapshotPosition,
+    SnapshotRequest,
     StagedPosition,
     StageOffer,
     StageRequest,
@@ -38,13 +38,13 @@
 
 log = logging.getLogger("brackengate.lighthouse.followers")
 
-BEAT = 150_000  # a follower hears something at least so often, give or take a tick
-NO_COPY = CopyPosition()
+HEARTBEAT_INTERVAL_US = 150_000  # a follower hears something at least so often, give or take a tick
+NO_SNAPSHOT = SnapshotPosition()
 
 
 @dataclass(slots=True, eq=False)
 class Follower:
-    lines: Lines
+    lines: JsonConnection
     index: int = -1
     follows: bool = False
     beat_at: int = 0  # when it got a heartbeat last
@@ -68,15 +68,15 @@
         self._replica, self._now, self._carry_out = replica, now, carry_out
         self._ask, self._withdraw = ask, withdraw
         self._messages = FollowerMessages(replica.chain)
-        self.by_lines: dict[Lines, Follower] = {}
-        self._core: Core | None = None  # as the followers were told last
+        self.by_lines: dict[JsonConnection, Follower] = {}
+        self._core: ControlReplicas | None = None  # as the followers were told last
 
     # --- who follows
 
-    def joined(self, lines: Lines) -> None:
+    def joined(self, lines: JsonConnection) -> None:
         self.by_lines[lines] = Follower(lines)
 
-    def left(self, lines: Lines) -> None:
+    def left(self, lines: JsonConnection) -> None:
         """It asks elsewhere for what it waits for: what it asked here is not pursued any more."""
         follower = self.by_lines.pop(lines, None)
         if follower is not None:
@@ -88,17 +88,17 @@
 
     # --- what they say
 
-    def heard(self, lines: Lines, word: Line) -> None:
+    def heard(self, lines: JsonConnection, word: Message) -> None:
         follower = self.by_lines[lines]
         match word:
             case Follow():
                 self._follow(follower, word)
-            case ClockRequest():
+            case HeartbeatRequest():
                 if follower.follows and self._serves():
                     self._say_beat(follower, word.sent)
             case StageRequest():
                 self._send_stage_piece(follower, word)
-            case CopyRequest():
+            case SnapshotRequest():
                 if follower.follows:
                     self._send_piece(follower, word)
             case FollowerCommand():
@@ -134,14 +134,14 @@
     def _serves(self) -> bool:
         return self._replica.serves(self._now())
 
-    def _core_line(self) -> Core:
-        return Core(tuple(self._replica.agreement.zones().items()))
+    def _core_line(self) -> ControlReplicas:
+        return ControlReplicas(tuple(self._replica.agreement.zones().items()))
 
-    def _say(self, follower: Follower, word: Line) -> None:
+    def _say(self, follower: Follower, word: Message) -> None:
         follower.lines.send(word)
 
     def _say_encoded(self, follower: Follower, message: EncodedMessage, stream: bool = True) -> None:
-        """One that is made once for several of them.  `stream`: as of `Lines.send_raw`."""
+        """One that is made once for several of them.  `stream`: as of `JsonConnection.send_raw`."""
         follower.lines.send_raw(message, stream)
 
     def _say_beat(self, follower: Follower, echo: int = 0) -> None:
@@ -149,7 +149,7 @@
         now = self._now()
         follower.beat_at = now
         index, age = self._replica.chain.public_index, now - self._replica.current_as_of()
-        self._say(follower, Beat(index, now, age, echo))
+        self._say(follower, Heartbeat(index, now, age, echo))
 
     def tick(self, now: int) -> None:
         self._part_unless_current()
@@ -157,7 +157,7 @@
         for follower in self._following():
             if core != self._core:
                 self._say(follower, core)
-            if now - follower.beat_at >= BEAT:
+            if now - follower.beat_at >= HEARTBEAT_INTERVAL_US:
                 self._say_beat(follower)
         self._core = core
         self._look_at_deliveries()
@@ -167,8 +167,8 @@
         follower.follows = False
         core = self._core_line()
         if core.members:
-            self._say(follower, Core(core.members, touch=False))
-        self._say(follower, Away())
+            self._say(follower, ControlReplicas(core.members, touch=False))
+        self._say(follower, Redirect())
 
     def _part_unless_current(self) -> None:
         """Guards what is sent between two ticks: words of an old view may be read before the first tick."""
@@ -196,12 +196,14 @@
         for follower in self._following():
             self._catch_up(follower)
 
-    def _catch_up(self, follower: Follower, copy: CopyPosition = NO_COPY, even_none: bool = False) -> None:
+    def _catch_up(
+        self, follower: Follower, copy: SnapshotPosition = NO_SNAPSHOT, even_none: bool = False
+    ) -> None:
         """`copy`: how far a copy is that it has begun."""
         news = self._messages.missed_since(follower.index)
         if news is None:
             if not follower.copying:
-                self._send_piece(follower, CopyRequest(0, copy))
+                self._send_piece(follower, SnapshotRequest(0, copy))
             return
         follower.copying = False
         if news.rows or even_none:
@@ -209,7 +211,7 @@
             self._say_encoded(follower, self._messages.changes_since(follower.index, news, held))
         follower.index = max(follower.index, news.index)
 
-    def _send_piece(self, follower: Follower, request: CopyRequest) -> None:
+    def _send_piece(self, follower: Follower, request: SnapshotRequest) -> None:
         found = self._messages.piece(request) if self._serves() else None
         if found is None:
             follower.copying = False
@@ -222,12 +224,12 @@
 
     # --- orders ahead of their decision
 
-    def deliver(self, order: StagedOrder) -> None:
+    def deliver(self, order: StagedChange) -> None:
         for follower in self._following():
             self._offer(follower, order)
         self._look_at_deliveries()
 
-    def _offer(self, follower: Follower, order: StagedOrder) -> None:
+    def _offer(self, follower: Follower, order: StagedChange) -> None:
         follower.progress.keep(self._replica.chain.staged.orders)
         follower.progress.asked_at[order.id] = self._now()
         self._say(follower, StageOffer(order.id, len(order.pieces)))
--- a/brackengate/control/follower_messages.py
+++ b/brackengate/control/follower_messages.py
@@ -12,25 +12,29 @@
 from brackengate.control.chain import Chain
 from brackengate.control.log import PublicChanges
 from brackengate.control.staging import FollowerProgress, by_reference
-from brackengate.protocol.json_connection import encoded
+from brackengate.protocol.json_connection import encode_message
 from brackengate.protocol.message_parts import EncodedMessage
-from brackengate.protocol.messages import Changes, CopyPiece, CopyRequest, StagePiece
+from brackengate.protocol.messages import Changes, SnapshotPiece, SnapshotRequest, StagePiece
 
-MOST_PIECES = 64  # of copies that are kept: followers that come together ask for the same ones in turn
-MOST_INDEXES = 4  # that followers come from, for which what they lack is kept: it may be a large order's rows
-MOST_CHANGES = 16  # messages with it
+MAX_SNAPSHOT_PIECES = (
+    64  # of copies that are kept: followers that come together ask for the same ones in turn
+)
+MAX_START_INDEXES = (
+    4  # that followers come from, for which what they lack is kept: it may be a large order's rows
+)
+MAX_CHANGES_MESSAGES = 16  # messages with it
 
 StagedIds = tuple[str, ...]  # of the staged orders that a follower holds
 
 
 @dataclass(frozen=True, slots=True)
-class EncodedPiece:
-    piece: CopyPiece
+class EncodedSnapshotPiece:
+    piece: SnapshotPiece
     message: EncodedMessage
 
 
 @dataclass(frozen=True, slots=True)
-class Validity:
+class CacheKey:
     """Messages are of use while this stays the same."""
 
     epoch: int
@@ -41,10 +45,10 @@
 @dataclass
 class FollowerMessages:
     chain: Chain
-    _valid: Validity | None = None
+    _valid: CacheKey | None = None
     _missed: dict[int, PublicChanges | None] = field(default_factory=dict)  # by a follower's index
     _changes: dict[tuple[int, StagedIds], EncodedMessage] = field(default_factory=dict)
-    _pieces: dict[CopyRequest, EncodedPiece] = field(default_factory=dict)
+    _pieces: dict[SnapshotRequest, EncodedSnapshotPiece] = field(default_factory=dict)
     _stage_pieces: dict[tuple[str, int], EncodedMessage] = field(default_factory=dict)
 
     # --- changes
@@ -53,7 +57,7 @@
         """What a follower lacks that holds everything up to that index; None: it has to take a copy."""
         self._look()
         if index not in self._missed:
-            _make_room(self._missed, MOST_INDEXES)
+            _evict_oldest(self._missed, MAX_START_INDEXES)
             self._missed[index] = self.chain.changes_since(index)
         return self._missed[index]
 
@@ -62,14 +66,14 @@
         self._look()
         found = self._changes.get((index, held))
         if found is None:
-            _make_room(self._changes, MOST_CHANGES)
+            _evict_oldest(self._changes, MAX_CHANGES_MESSAGES)
             found = self._changes[index, held] = self.changes(news, held)
         return found
 
     def changes(self, news: PublicChanges, held: StagedIds) -> EncodedMessage:
         staged = self.chain.staged
         rows, references = by_reference(news.rows, [staged.orders[id_] for id_ in held])
-        return encoded(Changes(news.index, rows, references))
+        return encode_message(Changes(news.index, rows, references))
 
     def held_of(self, follower: FollowerProgress, staged: StagedIds) -> StagedIds:
         """Those of the staged orders that this follower holds."""
@@ -77,7 +81,7 @@
 
     # --- copies
 
-    def piece(self, request: CopyRequest) -> EncodedPiece | None:
+    def piece(self, request: SnapshotRequest) -> EncodedSnapshotPiece | None:
         """None: the follower has seen more than is held here."""
         self._look()
         found = self._pieces.get(request)
@@ -85,13 +89,13 @@
             piece = self.chain.public_piece(request)
             if piece is None:
                 return None
-            _make_room(self._pieces, MOST_PIECES)
-            found = self._pieces[request] = EncodedPiece(piece, encoded(piece))
+            _evict_oldest(self._pieces, MAX_SNAPSHOT_PIECES)
+            found = self._pieces[request] = EncodedSnapshotPiece(piece, encode_message(piece))
         return found
 
     def _look(self) -> None:
         chain = self.chain
-        now = Validity(chain.view.epoch, chain.generation, chain.public_index)
+        now = CacheKey(chain.view.epoch, chain.generation, chain.public_index)
         if now != self._valid:
             self._valid = now
             self._missed.clear()
@@ -107,7 +111,7 @@
             return None
         found = self._stage_pieces.get((id_, number))
         if found is None:
-            found = encoded(StagePiece(id_, number, order.pieces[number]))
+            found = encode_message(StagePiece(id_, number, order.pieces[number]))
             self._stage_pieces[id_, number] = found
         return found
 
@@ -116,7 +120,7 @@
         self._stage_pieces.clear()
 
 
-def _make_room(held: dict[Any, Any], most: int) -> None:
+def _evict_oldest(held: dict[Any, Any], most: int) -> None:
     """For one more; the oldest goes."""
     while len(held) >= most:
         del held[next(iter(held))]
--- a/brackengate/control/item_index.py
+++ b/brackengate/control/item_index.py
@@ -9,7 +9,7 @@
 from dataclasses import dataclass, field
 from typing import Any, TypeVar
 
-from brackengate.protocol.config_items import Invalid, Item, Name, Route, route
+from brackengate.protocol.config_items import InvalidConfig, Item, ItemName, Route, parse_route
 
 _Key = TypeVar("_Key")
 Place = tuple[str, str]  # host, prefix
@@ -17,38 +17,38 @@
 
 
 @dataclass(eq=False)
-class ItemIndex(Mapping[Name, Item]):
+class ItemIndex(Mapping[ItemName, Item]):
     """Items by kind and name; those that were dropped too, with their versions."""
 
-    _items: dict[Name, Item] = field(default_factory=dict)
+    _items: dict[ItemName, Item] = field(default_factory=dict)
     _routes: dict[str, Route] = field(default_factory=dict)  # that stand
     _at_place: dict[Place, set[str]] = field(default_factory=dict)  # names of routes
     _users: dict[str, set[str]] = field(default_factory=dict)  # names of routes, by the service they go to
 
     @classmethod
-    def of(cls, items: Iterable[tuple[Name, Item]]) -> ItemIndex:
+    def of(cls, items: Iterable[tuple[ItemName, Item]]) -> ItemIndex:
         made = cls()
         for name, item in items:
             made.put(name, item)
         return made
 
-    def __getitem__(self, name: Name) -> Item:
+    def __getitem__(self, name: ItemName) -> Item:
         return self._items[name]
 
-    def get(self, name: Name, default: Any = None) -> Any:
+    def get(self, name: ItemName, default: Any = None) -> Any:
         """As of any mapping, without an exception for each name that is new."""
         return self._items.get(name, default)
 
     def __contains__(self, name: object) -> bool:
         return name in self._items
 
-    def __iter__(self) -> Iterator[Name]:
+    def __iter__(self) -> Iterator[ItemName]:
         return iter(self._items)
 
     def __len__(self) -> int:
         return len(self._items)
 
-    def put(self, name: Name, item: Item, read: Route | None = None) -> None:
+    def put(self, name: ItemName, item: Item, read: Route | None = None) -> None:
         """`read`: the route that the item sets, where it was read before."""
         self._items[name] = item
         if name[0] == "route":
@@ -81,8 +81,8 @@
         if item.body is None:
             return
         try:
-            now = read or route(item)
-        except Invalid:  # let in by another version of the program: nobody follows it
+            now = read or parse_route(item)
+        except InvalidConfig:  # let in by another version of the program: nobody follows it
             return
         self._routes[name] = now
         self._at_place.setdefault(place_of(now), set()).add(name)
--- a/brackengate/control/learning.py
+++ b/brackengate/control/learning.py
@@ -11,7 +11,7 @@
 from brackengate.control.actions import Store
 from brackengate.control.log import ReplicaLog
 from brackengate.control.transfer import COMPLETE, NOTHING, Differs, check, taken
-from brackengate.protocol.messages import CopyPiece, CopyPosition, CopyRequest, Row
+from brackengate.protocol.messages import Row, SnapshotPiece, SnapshotPosition, SnapshotRequest
 
 ANSWER_WITHIN = 600_000  # a sender that takes longer is passed over
 LOOK_AGAIN = 200_000  # a complete copy asks for what is new
@@ -23,7 +23,7 @@
 
     A piece is asked for while the one before it is being stored: two are under way at the most."""
 
-    position: CopyPosition = NOTHING  # of what is held in memory
+    position: SnapshotPosition = NOTHING  # of what is held in memory
     source: str = ""
     storing: int = 0  # pieces that are not on the disk yet
     request: int = 0  # the open one; 0: none
@@ -36,7 +36,7 @@
         """Whether all of it is held, and on the disk."""
         return self.position.bucket == COMPLETE and self.storing == 0
 
-    def next_request(self, sources: list[str], now: int) -> CopyRequest | None:
+    def next_request(self, sources: list[str], now: int) -> SnapshotRequest | None:
         """The request that is due, to `source`, of those that could answer it, the best first."""
         if self.storing > 1 or not sources or not self._due(sources, now):
             return None
@@ -47,7 +47,7 @@
             self.source = (left or sources)[0]
         self.last_id = max(self.last_id + 1, now)  # none of an earlier life comes again
         self.request, self.asked_at = self.last_id, now
-        return CopyRequest(self.request, self.position)
+        return SnapshotRequest(self.request, self.position)
 
     def _due(self, sources: list[str], now: int) -> bool:
         waited = now - self.asked_at
@@ -59,7 +59,7 @@
             self.unanswered.append(self.source)
         return True
 
-    def answered(self, source: str, piece: CopyPiece) -> bool:
+    def answered(self, source: str, piece: SnapshotPiece) -> bool:
         """Whether that piece is the one that was asked for, and takes the copy on."""
         if not self.request or piece.id != self.request or source != self.source:
             return False
@@ -67,11 +67,11 @@
         self.unanswered.clear()
         return piece.position.index >= self.position.index
 
-    def begin(self, position: CopyPosition) -> None:
+    def begin(self, position: SnapshotPosition) -> None:
         self.position, self.request, self.storing = position, 0, 0
 
 
-def take_piece(log: ReplicaLog, learner: Learner, piece: CopyPiece) -> Store | None:
+def take_piece(log: ReplicaLog, learner: Learner, piece: SnapshotPiece) -> Store | None:
     """None: it brings nothing new."""
     before = learner.position
     changes = taken(before, piece)
@@ -94,7 +94,7 @@
 def keep_committed(log: ReplicaLog, learner: Learner) -> Store:
     """A replica that is no member any more goes on from its committed rows, if it knows which those are."""
     log.drop_uncommitted()
-    learner.begin(CopyPosition(COMPLETE, log.index) if log.firm else NOTHING)
+    learner.begin(SnapshotPosition(COMPLETE, log.index) if log.firm else NOTHING)
     learner.storing += 1
     every_row = len(log.folded)  # the entries go, so all that they set has to be among the rows
     store = log.store((), every_row, lineage=0, copy=learner.position.bucket)
--- a/brackengate/control/log.py
+++ b/brackengate/control/log.py
@@ -16,7 +16,7 @@
 from brackengate.control.prepared_rows import PreparedRows, item_of
 from brackengate.control.recent import RecentEntries
 from brackengate.control.rows import LatestRows, Name, State, state_of
-from brackengate.protocol.messages import ITEMS, PUBLIC, Entry, Row
+from brackengate.protocol.messages import ITEM_KINDS, PUBLIC_KINDS, Entry, Row
 
 RECENT, RECENT_BYTES = 20_000, 4 << 20  # committed entries kept for learners
 RECENT_PUBLIC, RECENT_PUBLIC_BYTES = 2_000, 2 << 20  # and of these, what followers may have
@@ -121,7 +121,7 @@
         self.prepared.forget(entry.staged)
         self.state.index = entry.index
         self.recent.add(entry)
-        public = Entry(entry.index, tuple(row for row in entry.rows if row[0] in PUBLIC), entry.staged)
+        public = Entry(entry.index, tuple(row for row in entry.rows if row[0] in PUBLIC_KINDS), entry.staged)
         if public.rows:
             self.recent_public.add(public)
         return public
@@ -207,5 +207,5 @@
             self._take_item(kind, name, value)
 
     def _take_item(self, kind: str, name: str, value: Any) -> None:
-        if kind in ITEMS:
+        if kind in ITEM_KINDS:
             self.items.put((kind, name), item_of(value))
--- a/brackengate/control/operator_api.py
+++ b/brackengate/control/operator_api.py
@@ -11,18 +11,18 @@
 from brackengate.control.commands import OPERATOR_PATIENCE, patience_for
 from brackengate.http.message import Arrival, Bad
 from brackengate.net.http import CallerConnection
-from brackengate.protocol.http_api import MOST_BODY, collect, rpc
+from brackengate.protocol.http_api import MAX_BODY_BYTES, collect_body, parse_rpc_target
 from brackengate.protocol.messages import (
     Amend,
     Command,
     CommandDone,
     CommandResult,
     Configuration,
-    ConflictingOrder,
+    ConflictingChange,
     HeldBy,
-    InvalidOrder,
+    InvalidChange,
     Read,
-    UndecidedOrder,
+    UndecidedChange,
 )
 
 log = logging.getLogger("brackengate.control")
@@ -30,23 +30,23 @@
 JSON = b"application/json"
 
 
-class Asks(Protocol):
+class CommandSubmitter(Protocol):
     def ask(self, what: Command, done: Callable[[CommandResult | None], None], give_up_after: int) -> int: ...
 
     def withdraw(self, number: int) -> None: ...
 
 
-class Control:
-    most_body = MOST_BODY
+class OperatorApi:
+    most_body = MAX_BODY_BYTES
 
-    def __init__(self, asks: Asks) -> None:
+    def __init__(self, asks: CommandSubmitter) -> None:
         self._asks = asks
 
     def begin(self, arrival: Arrival, connection: CallerConnection) -> None:
-        call, _ = rpc(arrival.target)
+        call, _ = parse_rpc_target(arrival.target)
         if call == "config.amend":
             connection.hold(lambda: None)
-            collect(arrival, lambda body: self._amend(body, connection))
+            collect_body(arrival, lambda body: self._amend(body, connection))
         elif call == "config.read":
             self._ask(Read(), connection, call)
         else:
@@ -79,11 +79,11 @@
     match result:
         case Configuration(content):
             return 200, msgspec.json.encode(content)
-        case InvalidOrder(reason):
+        case InvalidChange(reason):
             return 400, _error(reason)
-        case ConflictingOrder(reason):
+        case ConflictingChange(reason):
             return 409, _error(reason)
-        case UndecidedOrder(reason):
+        case UndecidedChange(reason):
             return 503, _error(reason)
         case None | HeldBy():
             return 503, _error("the core did not agree in time")
--- a/brackengate/control/prepared_rows.py
+++ b/brackengate/control/prepared_rows.py
@@ -14,8 +14,8 @@
 
 import msgspec
 
-from brackengate.protocol.config_items import Invalid, Item, Name, Route, route
-from brackengate.protocol.messages import ITEMS, Row
+from brackengate.protocol.config_items import InvalidConfig, Item, ItemName, Route, parse_route
+from brackengate.protocol.messages import ITEM_KINDS, Row
 
 SLICE_ROWS = 200  # that are worked on in one step of the loop
 MOST_ROWS = 20_000  # that are held, a kilobyte each; the oldest order goes
@@ -38,13 +38,13 @@
 class PreparedRows:
     """By the order that they are rows of, and by their names."""
 
-    orders: dict[str, dict[Name, PreparedRow]] = field(default_factory=dict)
+    orders: dict[str, dict[ItemName, PreparedRow]] = field(default_factory=dict)
 
     def prepare(self, id_: str, rows: Iterable[Row], read: Mapping[str, Route] = NO_ROUTES) -> Iterator[None]:
         """Pauses after each slice.  `read`: routes that were read before, by name."""
         held = self.orders[id_] = {}
         for count, (kind, name, value) in enumerate(rows, 1):
-            if kind in ITEMS:
+            if kind in ITEM_KINDS:
                 held[kind, name] = _prepared(kind, name, value, read)
             if count % SLICE_ROWS == 0:
                 self._make_room(id_)
@@ -77,8 +77,8 @@
     if name in read:
         return read[name]
     try:
-        return route(item)
-    except Invalid:  # let in by another version of the program: nobody follows it
+        return parse_route(item)
+    except InvalidConfig:  # let in by another version of the program: nobody follows it
         return None
 
 
--- a/brackengate/control/replica.py
+++ b/brackengate/control/replica.py
@@ -15,23 +15,24 @@
     Ack,
     Append,
     Ballot,
+    ChangeDelivered,
     Command,
-    CopyPiece,
-    CopyRequest,
-    Delivered,
+    CommandInProgress,
+    EntriesRequest,
     Entry,
-    Line,
     Member,
-    Position,
+    Message,
     Result,
-    Stage,
+    SnapshotPiece,
+    SnapshotRequest,
+    StageChange,
     Submit,
-    Underway,
     View,
 )
 
 OF_THE_LOG = (
-    Submit, Underway, Stage, Delivered, Result, Position, Append, CopyRequest, CopyPiece, Ack,
+    Submit, CommandInProgress, StageChange, ChangeDelivered, Result,
+    EntriesRequest, Append, SnapshotRequest, SnapshotPiece, Ack,
 )  # fmt: skip
 FIRST = "first"  # the life of a disk at the system's very first start
 
@@ -95,7 +96,7 @@
         out = self._settle(self.agreement.tick(now, self.chain.log()), now)
         return out + self.chain.tick(now)
 
-    def heard(self, addr: str, word: Line, now: int) -> list[Action]:
+    def heard(self, addr: str, word: Message, now: int) -> list[Action]:
         if isinstance(word, OF_THE_LOG):
             return self.chain.heard(addr, word, now)
         return self._settle(self.agreement.heard(addr, word, now, self.chain.log()), now)
--- a/brackengate/control/role.py
+++ b/brackengate/control/role.py
@@ -22,56 +22,56 @@
     Store,
     Tell,
 )
-from brackengate.control.admin_commands import Watchroom
+from brackengate.control.admin_commands import AdminCommands
 from brackengate.control.commands import GIVE_UP_AFTER
 from brackengate.control.follower_connections import FollowerConnections
-from brackengate.control.operator_api import Control
+from brackengate.control.operator_api import OperatorApi
 from brackengate.control.replica import FIRST, Replica, StoredState
 from brackengate.control.store import Damaged, Drive, Waits, damaged
 from brackengate.net.ground import Ground
 from brackengate.net.node import Clock
 from brackengate.net.sockets import Address
-from brackengate.protocol.http_api import listener
-from brackengate.protocol.json_connection import Dialer, Lines, encoded
+from brackengate.protocol.http_api import create_server
+from brackengate.protocol.json_connection import Dialer, JsonConnection, encode_message
 from brackengate.protocol.message_parts import EncodedMessage
 from brackengate.protocol.messages import (
     Command,
-    CopyPosition,
     Hello,
-    Inquire,
-    Line,
-    Seen,
-    Stage,
+    Inquiry,
+    Message,
+    ProgressReport,
+    SnapshotPosition,
+    StageChange,
 )
-from brackengate.protocol.settings import Settings, plain
+from brackengate.protocol.settings import Settings, required_address
 
 log = logging.getLogger("brackengate.lighthouse")
 
 TICK_S = 0.05
-BEAT = 150_000  # a follower hears something at least so often, give or take a tick
-SLOW = 400_000  # a disk that takes longer over a write is not healthy
-NO_COPY = CopyPosition()
-DELIVER_PART = 30  # hundredths of `Ack` that a large order may wait for its followers
-COLLECT_AFTER = 20_000  # objects: a large order makes a hundred thousand, and few are in circles
-RETRY_S = 0.3  # a write that failed is tried again
-BATCH_ROWS = 1_000  # committed rows that go to the disk with one write: it must not look like a slow disk
+HEARTBEAT_INTERVAL_US = 150_000  # a follower hears something at least so often, give or take a tick
+SLOW_WRITE_US = 400_000  # a disk that takes longer over a write is not healthy
+NO_SNAPSHOT = SnapshotPosition()
+DELIVERY_SHARE_PERCENT = 30  # hundredths of `Ack` that a large order may wait for its followers
+GC_THRESHOLD_OBJECTS = 20_000  # objects: a large order makes a hundred thousand, and few are in circles
+DISK_RETRY_S = 0.3  # a write that failed is tried again
+MAX_BATCH_ROWS = 1_000  # committed rows that go to the disk with one write: it must not look like a slow disk
 
 
-class Lighthouse:
+class ControlReplica:
     def __init__(self, settings: Settings, ground: Ground | None = None, drive: Waits | None = None) -> None:
         """`ground`, `drive`: what it stands on, and its disk; by default the machine's."""
         self.settings = settings
         ground = ground or Ground(asyncio.get_running_loop(), random.Random())
         self._loop, self._rng, self._bind, self.now = ground.loop, ground.rng, ground.bind, ground.steady
         self.clock = ground.clock or Clock()
-        control = plain(settings.listen.control, "Control")
+        control = required_address(settings.listen.control, "Control")
         self.me = f"{control[0]}:{control[1]}"
         self._port = settings.lighthouse_port
         self._left: asyncio.Future[int] = self._loop.create_future()
         self._drive: Waits = drive or Drive(settings.data_dir or ".")
         self.replica: Replica
         self.followers: FollowerConnections
-        self._watchroom: Watchroom
+        self._watchroom: AdminCommands
         self._links: dict[str, Dialer] = {}
         self._queue: list[Store] = []
         self._writing_since = 0
@@ -82,7 +82,7 @@
         self._inner: asyncio.Server | None = None
         self._ticker: asyncio.TimerHandle | None = None
         self._proceeds = False  # a slice of longer work is due
-        self._stage_message: tuple[Stage, EncodedMessage] | None = None  # the last one, for all members
+        self._stage_message: tuple[StageChange, EncodedMessage] | None = None  # the last one, for all members
 
     # --- life
 
@@ -95,14 +95,17 @@
         seeds = [f"{host}:{port}" for host, port in settings.seeds]
         window = settings.bounds.dedupe_window
         self.replica = Replica(self.me, settings.zone, kept, seeds, first, settings.min_replicas, window, now)
-        self.replica.chain.deliver_within(settings.bounds.ack * DELIVER_PART // 100)
+        self.replica.chain.deliver_within(settings.bounds.ack * DELIVERY_SHARE_PERCENT // 100)
         self.followers = FollowerConnections(self.replica, self.now, self._carry_out, self.ask, self.withdraw)
-        self._watchroom = Watchroom(self.replica, self.followers.by_lines, self.ask, self.now)
+        self._watchroom = AdminCommands(self.replica, self.followers.by_lines, self.ask, self.now)
         self._inner = await self._loop.create_server(
-            lambda: Lines(self._on_line, self._on_open, self._on_lost), settings.ip, self._port
+            lambda: JsonConnection(self._on_line, self._on_open, self._on_lost), settings.ip, self._port
         )
-        server = listener(
-            self._loop, self.clock, [self._bind(plain(settings.listen.control, "Control"))], Control(self)
+        server = create_server(
+            self._loop,
+            self.clock,
+            [self._bind(required_address(settings.listen.control, "Control"))],
+            OperatorApi(self),
         )
         server.start()
         view, chain = self.replica.agreement.view, self.replica.chain
@@ -137,12 +140,12 @@
                 return opening.result()
             except (OSError, sqlite3.Error, Damaged) as error:
                 log.error("store: step open, folder %s: %s; tried again", self.settings.data_dir, error)
-                await asyncio.sleep(RETRY_S)
+                await asyncio.sleep(DISK_RETRY_S)
 
     def _tick(self) -> None:
         self._ticker = self._loop.call_later(TICK_S, self._tick)
         now = self.now()
-        slow = self._writing_since and now - self._writing_since > SLOW
+        slow = self._writing_since and now - self._writing_since > SLOW_WRITE_US
         self.replica.set_disk_healthy(not self._failed and not slow)
         self._carry_out(self.replica.tick(now))
         self.followers.tick(now)
@@ -182,15 +185,15 @@
         link = self._links.get(tell.addr)
         if link is None:
             link = self._links[tell.addr] = self._dial(tell.addr)
-        if isinstance(tell.word, Stage):
+        if isinstance(tell.word, StageChange):
             link.send_raw(self._encoded_stage(tell.word))
         else:
             link.send(tell.word)
 
-    def _encoded_stage(self, stage: Stage) -> EncodedMessage:
+    def _encoded_stage(self, stage: StageChange) -> EncodedMessage:
         """Made once for all members that it goes to."""
         if self._stage_message is None or self._stage_message[0] is not stage:
-            self._stage_message = (stage, encoded(stage))
+            self._stage_message = (stage, encode_message(stage))
         return self._stage_message[1]
 
     def _proceed_soon(self) -> None:
@@ -202,7 +205,7 @@
         self._proceeds = False
         self._carry_out(self.replica.proceed(self.now()))
 
-    def _heard(self, addr: str, word: Line) -> None:
+    def _heard(self, addr: str, word: Message) -> None:
         self._carry_out(self.replica.heard(addr, word, self.now()))
 
     def _write(self) -> None:
@@ -212,11 +215,11 @@
         future.add_done_callback(lambda done: self._written(batch, done))
 
     def _next_batch(self) -> list[Store]:
-        """The stores that go to the disk together: one at least, and no more than `BATCH_ROWS`."""
+        """The stores that go to the disk together: one at least, and no more than `MAX_BATCH_ROWS`."""
         rows = count = 0
         for store in self._queue:
             rows += len(store.rows)
-            if count and rows > BATCH_ROWS:
+            if count and rows > MAX_BATCH_ROWS:
                 break
             count += 1
         batch, self._queue = self._queue[:count], self._queue[count:]
@@ -233,7 +236,7 @@
                 log.error("store: step write: %s; no member until it succeeds", error)
             self._failed = True
             self._queue = batch + self._queue
-            self._loop.call_later(RETRY_S, self._write)
+            self._loop.call_later(DISK_RETRY_S, self._write)
             return
         if self._failed:
             log.info("store: writes succeed again")
@@ -262,10 +265,10 @@
 
     # --- who comes here
 
-    def _on_open(self, lines: Lines) -> None:
+    def _on_open(self, lines: JsonConnection) -> None:
         pass
 
-    def _on_line(self, lines: Lines, word: Line) -> None:
+    def _on_line(self, lines: JsonConnection, word: Message) -> None:
         if isinstance(word, Hello):
             lines.peer = word.addr
             if word.pilot:
@@ -274,16 +277,16 @@
                 self.replica.met(word.addr, self.now())
                 self._carry_out(self.replica.reconnected(word.addr, self.now()))
         elif lines in self.followers.by_lines:
-            if isinstance(word, Seen):
+            if isinstance(word, ProgressReport):
                 self._watchroom.seen(lines, word)
             else:
                 self.followers.heard(lines, word)
-        elif isinstance(word, Inquire):
+        elif isinstance(word, Inquiry):
             self._watchroom.heard(lines, word)
         elif lines.peer:
             self._heard(lines.peer, word)
 
-    def _on_lost(self, lines: Lines) -> None:
+    def _on_lost(self, lines: JsonConnection) -> None:
         self.followers.left(lines)
 
     def ask(self, what: Command, done: Callable[[Any], None], give_up_after: int = GIVE_UP_AFTER) -> int:
@@ -301,9 +304,9 @@
 
 
 async def serve(settings: Settings) -> int:
-    lighthouse, loop = Lighthouse(settings), asyncio.get_running_loop()
+    lighthouse, loop = ControlReplica(settings), asyncio.get_running_loop()
     gc.freeze()
-    gc.set_threshold(COLLECT_AFTER, *gc.get_threshold()[1:])
+    gc.set_threshold(GC_THRESHOLD_OBJECTS, *gc.get_threshold()[1:])
     for number in (signal.SIGTERM, signal.SIGINT):
         loop.add_signal_handler(number, lighthouse.stop)
     loop.add_signal_handler(signal.SIGHUP, lambda: None)
--- a/brackengate/control/rows.py
+++ b/brackengate/control/rows.py
@@ -17,7 +17,7 @@
 
 import msgspec
 
-from brackengate.protocol.messages import PUBLIC, CommittedRow, Row
+from brackengate.protocol.messages import PUBLIC_KINDS, CommittedRow, Row
 
 BUCKETS = 1 << 14
 KEY = "key"
@@ -33,7 +33,7 @@
 
 def is_deletion(kind: str, value: Any) -> bool:
     """Whether the row is gone.  Public rows stay, with None as their value: followers have to learn of it."""
-    return value is None and kind not in PUBLIC
+    return value is None and kind not in PUBLIC_KINDS
 
 
 def _record(kind: bytes, name: bytes, index: int, value: bytes) -> bytes:
@@ -178,7 +178,7 @@
         self.rows.put(encoded)
         if kind == KEY:
             self.keys += self.rows.count - before
-        elif kind in PUBLIC:
+        elif kind in PUBLIC_KINDS:
             self.public.put(encoded)
             self._publish(kind, name, index, value)
 
@@ -197,10 +197,10 @@
 def state_of(index: int, rows: Iterable[tuple[str, str, int, Any]]) -> State:
     if isinstance(rows, LoadedRows):
         state = State(index, rows.rows, keys=rows.keys)
-        public = [row for row in rows.others if row[0] in PUBLIC]
+        public = [row for row in rows.others if row[0] in PUBLIC_KINDS]
     else:
         held = list(rows)
-        public = [row for row in held if row[0] in PUBLIC]
+        public = [row for row in held if row[0] in PUBLIC_KINDS]
         state = State(index, CommittedRows.of(held), keys=sum(row[0] == KEY for row in held))
     for kind, name, at, value in public:
         state.public.set(kind, name, at, value)
--- a/brackengate/control/staging.py
+++ b/brackengate/control/staging.py
@@ -18,14 +18,14 @@
 
 import msgspec
 
-from brackengate.protocol.config_items import Order
+from brackengate.protocol.config_items import ConfigChange
 from brackengate.protocol.messages import Row, StagedRows
 
-STAGED_BYTES = 8 << 10  # of rows: a smaller order is entered at once
+MIN_STAGED_BYTES = 8 << 10  # of rows: a smaller order is entered at once
 PIECE_BYTES = 16 << 10  # of rows in one piece
-KEPT = 4  # orders that are held after they were entered, for followers that come late
-PER_ROW = 2_000  # more time for the delivery, for each row
-STALLED = 500_000  # a follower that asks for nothing for so long is not waited for
+MAX_RETAINED_CHANGES = 4  # orders that are held after they were entered, for followers that come late
+DELIVERY_US_PER_ROW = 2_000  # more time for the delivery, for each row
+STALLED_AFTER_US = 500_000  # a follower that asks for nothing for so long is not waited for
 
 Pieces = tuple[tuple[Row, ...], ...]
 
@@ -33,7 +33,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class StagedOrder:
+class StagedChange:
     """`id`: a digest of its rows."""
 
     id: str
@@ -44,7 +44,7 @@
             yield from piece
 
 
-def staged_order(rows: Sequence[Row]) -> StagedOrder | None:
+def stage_change(rows: Sequence[Row]) -> StagedChange | None:
     """None: they are few enough to be sent when they are in force."""
     pieces: list[tuple[Row, ...]] = []
     piece: list[Row] = []
@@ -59,9 +59,9 @@
         piece.append(row)
         size += len(data)
         total += len(data)
-    if total < STAGED_BYTES:
+    if total < MIN_STAGED_BYTES:
         return None
-    return StagedOrder(sum_.hexdigest(), (*pieces, tuple(piece)))
+    return StagedChange(sum_.hexdigest(), (*pieces, tuple(piece)))
 
 
 @dataclass(frozen=True, slots=True)
@@ -91,8 +91,8 @@
     """At the head: an order that is being delivered.  `undelivered`: members that have not said it is."""
 
     body: str
-    read: Order
-    order: StagedOrder
+    read: ConfigChange
+    order: StagedChange
     until: int
     undelivered: set[str]
     submissions: Submissions
@@ -136,21 +136,21 @@
             self.asked_at.pop(id_, None)
 
     def stalled(self, id_: str, now: int) -> bool:
-        return now - self.asked_at.get(id_, now) > STALLED
+        return now - self.asked_at.get(id_, now) > STALLED_AFTER_US
 
 
 @dataclass
-class StagedOrders:
+class StagedChanges:
     """At a member: the orders that its followers may fetch."""
 
-    orders: dict[str, StagedOrder] = field(default_factory=dict)
+    orders: dict[str, StagedChange] = field(default_factory=dict)
     open: set[str] = field(default_factory=set)  # whose delivery the head has not been told of
 
-    def add(self, order: StagedOrder) -> None:
+    def add(self, order: StagedChange) -> None:
         self.orders.pop(order.id, None)
         self.orders[order.id] = order
         self.open.add(order.id)
-        for old in list(self.orders)[:-KEPT]:
+        for old in list(self.orders)[:-MAX_RETAINED_CHANGES]:
             if old not in self.open:
                 del self.orders[old]
 
@@ -174,7 +174,7 @@
 
 
 def by_reference(
-    rows: Sequence[Row], orders: Iterable[StagedOrder]
+    rows: Sequence[Row], orders: Iterable[StagedChange]
 ) -> tuple[tuple[Row, ...], tuple[StagedRows, ...]]:
     """Rows that came into force, as references to staged orders and the rows that those lack."""
     left = {(kind, name): value for kind, name, value in rows}
--- a/brackengate/control/status.py
+++ b/brackengate/control/status.py
@@ -6,15 +6,23 @@
 
 from brackengate.control.replica import Replica
 from brackengate.protocol.config_items import Item
-from brackengate.protocol.messages import ITEMS, Follows, HeldItem, Instance, Items, Neighbour, Standing
+from brackengate.protocol.messages import (
+    ITEM_KINDS,
+    FollowerStatus,
+    ItemList,
+    PeerStatus,
+    ReplicaStatus,
+    StoredItem,
+    UpstreamReport,
+)
 
 
-def standing(replica: Replica, pilots: tuple[Follows, ...], now: int) -> Standing:
+def replica_status(replica: Replica, pilots: tuple[FollowerStatus, ...], now: int) -> ReplicaStatus:
     agreement, chain = replica.agreement, replica.chain
     view = agreement.view
     public = chain.published
     upstreams = tuple(
-        (name, msgspec.convert(value, Instance))
+        (name, msgspec.convert(value, UpstreamReport))
         for (kind, name), (_, value) in sorted(public.items())
         if kind == "inst" and value is not None
     )
@@ -22,10 +30,12 @@
     for addr, peer in sorted(agreement.peers.items()):
         said, heard = peer.said, agreement.hears(addr, now)
         if said is None:
-            neighbours.append(Neighbour(addr, heard=heard))
+            neighbours.append(PeerStatus(addr, heard=heard))
         else:
-            neighbours.append(Neighbour(addr, said.zone, heard, said.joining, said.disk_healthy, said.leaves))
-    return Standing(
+            neighbours.append(
+                PeerStatus(addr, said.zone, heard, said.joining, said.disk_healthy, said.leaves)
+            )
+    return ReplicaStatus(
         replica.me,
         agreement.incarnation,
         agreement.zone,
@@ -67,11 +77,13 @@
     return tuple(out)
 
 
-def held(replica: Replica, now: int) -> Items:
+def item_list(replica: Replica, now: int) -> ItemList:
     """The operator's items, those that were dropped too: their versions still count."""
     items = []
     for (kind, name), (index, value) in sorted(replica.chain.published.items()):
-        if kind in ITEMS:
+        if kind in ITEM_KINDS:
             item = msgspec.convert(value, Item)
-            items.append(HeldItem(kind, name, index, item.version, item.host, item.body))
-    return Items(replica.serves(now), replica.chain.commit_index, replica.agreement.view.epoch, tuple(items))
+            items.append(StoredItem(kind, name, index, item.version, item.host, item.body))
+    return ItemList(
+        replica.serves(now), replica.chain.commit_index, replica.agreement.view.epoch, tuple(items)
+    )
--- a/brackengate/control/transfer.py
+++ b/brackengate/control/transfer.py
@@ -16,16 +16,16 @@
 from brackengate.control.rows import BUCKETS, CommittedRows, bucket_of
 from brackengate.protocol.messages import (
     CommittedRow,
-    CopyPiece,
-    CopyPosition,
-    CopyRequest,
-    CopyTotal,
     Row,
+    SnapshotPiece,
+    SnapshotPosition,
+    SnapshotRequest,
+    SnapshotTotal,
 )
 
 PIECE_ROWS = 500
 PIECE_BYTES = 64 << 10
-NOTHING = CopyPosition()
+NOTHING = SnapshotPosition()
 COMPLETE = BUCKETS  # the bucket of a copy that holds all rows
 
 
@@ -37,22 +37,22 @@
 
 
 def next_piece(
-    rows: CommittedRows, recent: RecentEntries, index: int, request: CopyRequest
-) -> CopyPiece | None:
+    rows: CommittedRows, recent: RecentEntries, index: int, request: SnapshotRequest
+) -> SnapshotPiece | None:
     """What follows the position of that request; None where the taker has seen more than is held here."""
     position = request.position
     if position.index > index and position.bucket > 0:
         return None
     anew = position.bucket == 0 or not recent.reaches(position.index)
     if anew:
-        position = CopyPosition(0, index)
+        position = SnapshotPosition(0, index)
     entries, all_of_them = recent.after(position.index, PIECE_ROWS, PIECE_BYTES)
     if not all_of_them:
-        reached = CopyPosition(position.bucket, entries[-1].index)
-        return CopyPiece(request.id, reached, anew, entries)
+        reached = SnapshotPosition(position.bucket, entries[-1].index)
+        return SnapshotPiece(request.id, reached, anew, entries)
     found, bucket = _next_rows(rows, position.bucket)
-    total = CopyTotal(rows.count, rows.checksum) if bucket == COMPLETE else None
-    return CopyPiece(request.id, CopyPosition(bucket, index), anew, entries, found, total)
+    total = SnapshotTotal(rows.count, rows.checksum) if bucket == COMPLETE else None
+    return SnapshotPiece(request.id, SnapshotPosition(bucket, index), anew, entries, found, total)
 
 
 def _next_rows(rows: CommittedRows, bucket: int) -> tuple[tuple[CommittedRow, ...], int]:
@@ -71,7 +71,7 @@
 # --- the taker
 
 
-def taken(position: CopyPosition, piece: CopyPiece) -> list[tuple[int, Row]]:
+def taken(position: SnapshotPosition, piece: SnapshotPiece) -> list[tuple[int, Row]]:
     """What changes in the rows that are held, in order; those of an `anew` piece are gone before."""
     bucket = 0 if piece.anew else position.bucket
     changes = [(entry.index, row) for entry in piece.entries for row in entry.rows]
@@ -79,9 +79,9 @@
     return below + [(row.index, (row.kind, row.name, row.value)) for row in piece.rows]
 
 
-def check(rows: CommittedRows, piece: CopyPiece) -> None:
+def check(rows: CommittedRows, piece: SnapshotPiece) -> None:
     """Differs where the complete copy is not the sender's."""
-    if piece.total is not None and piece.total != CopyTotal(rows.count, rows.checksum):
+    if piece.total is not None and piece.total != SnapshotTotal(rows.count, rows.checksum):
         raise Differs(
             f"{rows.count} rows with sum {rows.checksum}, its sender has {piece.total.count} with"
             f" {piece.total.checksum}"
--- a/brackengate/control/view.py
+++ b/brackengate/control/view.py
@@ -23,16 +23,16 @@
     Accept,
     Accepted,
     Ballot,
-    Line,
+    BallotRejected,
     Member,
+    Message,
     NewView,
-    Outvoted,
     Ping,
     Pong,
     Prepare,
     Promise,
     View,
-    WantView,
+    ViewRequest,
 )
 
 __all__ = ["APART", "NEVER", "NOBODY", "Agreement", "LogStatus"]
@@ -85,7 +85,7 @@
             self.peers[addr].refused = self.peers[addr].ever
         return self._reconfigure(now, log)
 
-    def heard(self, addr: str, word: Line, now: int, log: LogStatus) -> list[Action]:
+    def heard(self, addr: str, word: Message, now: int, log: LogStatus) -> list[Action]:
         match word:
             case Prepare():
                 return self._on_prepare(addr, word, now, log)
@@ -95,7 +95,7 @@
                 return self._on_accept(addr, word, now)
             case Accepted():
                 return self._on_accepted(addr, word, now)
-            case Outvoted():
+            case BallotRejected():
                 self._high = max(self._high, word.ballot[0])
                 return []
         self.meet(addr, now)
@@ -107,7 +107,7 @@
                 return self._on_ping(addr, peer, word, now, log) + self._reconfigure(now, log)
             case Pong():
                 return self._on_pong(peer, word, now, log)
-            case WantView():
+            case ViewRequest():
                 return [Tell(addr, NewView(self.view))] if self.view.epoch else []
             case NewView(view):
                 return self._adopt(view, now)
@@ -291,7 +291,7 @@
         return [Store(meta=self._acceptor.meta(), tells=[Tell(addr, Accepted(word.epoch, word.ballot))])]
 
     def _outvoted(self, addr: str, epoch: int) -> list[Action]:
-        return [Tell(addr, Outvoted(epoch, self._acceptor.promised))] if addr != self.me else []
+        return [Tell(addr, BallotRejected(epoch, self._acceptor.promised))] if addr != self.me else []
 
     def _adopt(self, view: View, now: int) -> list[Action]:
         if view.epoch <= self.view.epoch:
--- a/brackengate/emulator/calls/machine.py
+++ b/brackengate/emulator/calls/machine.py
@@ -25,7 +25,7 @@
 from brackengate.http.body import ByteBudget
 from brackengate.net.sockets import SocketBudget
 from brackengate.net.upstream import Pool
-from brackengate.protocol.http_api import listener
+from brackengate.protocol.http_api import create_server
 from brackengate.protocol.messages import Claim, CommandDone, HeldBy, Unclaim
 from brackengate.proxy import verdict
 from brackengate.proxy.admission import Beat, Gate
@@ -134,7 +134,7 @@
             ByteBudget(8 << 20), ground.wire,
         )  # fmt: skip
         self.servers = [
-            listener(ground.loop, clock, [ground.bind((self.ip, port))], front, budget)
+            create_server(ground.loop, clock, [ground.bind((self.ip, port))], front, budget)
             for port, front in ((INBOUND, self.entry), (OUTBOUND, self.way))
         ]
         process.enter(partial(self._start, table))
--- a/brackengate/emulator/mesh/world.py
+++ b/brackengate/emulator/mesh/world.py
@@ -10,7 +10,7 @@
 from collections.abc import Callable, Iterable
 from functools import partial
 
-from brackengate.control.role import Lighthouse
+from brackengate.control.role import ControlReplica
 from brackengate.emulator.loop import MS, Loop, S
 from brackengate.emulator.mesh.disk import EmulatedDisk, EmulatedDrive
 from brackengate.emulator.mesh.ground import RoleProcess, Ways, ground_of
@@ -44,7 +44,7 @@
         self.gone_at = -1  # when it went last
         self.powered = True
         self.upstream: Upstream | None = None
-        self.role: Pilot | Lighthouse | None = None
+        self.role: Pilot | ControlReplica | None = None
         self.rng = random.Random(f"{world.seed}/{name}")
         self.process = RoleProcess(world.loop, world.net, ip, name, self.rng)
         self.process.alive = False
@@ -78,7 +78,7 @@
         world = self.world
         ground = ground_of(process, world.loop, world.net, random.Random(self.rng.getrandbits(64)), self.off)
         if self.core:
-            light = Lighthouse(settings, ground, EmulatedDrive(self.disk, process))
+            light = ControlReplica(settings, ground, EmulatedDrive(self.disk, process))
             self.role = light
             task = process.create_task(light.run())
             task.add_done_callback(lambda _: world.loop.after(0, partial(self._left, process)))
@@ -234,7 +234,7 @@
             machine.role.replica.agreement.view
             for machine in self.core
             if machine.process.alive
-            and isinstance(machine.role, Lighthouse)
+            and isinstance(machine.role, ControlReplica)
             and hasattr(machine.role, "replica")
         ]
         names = {machine.ip: machine.name for machine in self.core}
--- a/brackengate/mesh.py
+++ b/brackengate/mesh.py
@@ -15,18 +15,25 @@
 import click
 import uvloop
 
-from brackengate.protocol.settings import LIGHTHOUSE, PILOT, VARIABLE, BadSettings, Settings, load
-from brackengate.protocol.settings import check as check_settings
+from brackengate.protocol.settings import (
+    CONTROL_REPLICA_KEYS,
+    PROXY_KEYS,
+    SETTINGS_VARIABLE,
+    InvalidSettings,
+    Settings,
+    load,
+)
+from brackengate.protocol.settings import check_required as check_settings
 
 LEVELS = ("DEBUG", "INFO", "WARNING", "ERROR")
 
 settings_option = click.option(
     "--settings",
     "path",
-    envvar=VARIABLE,
+    envvar=SETTINGS_VARIABLE,
     required=True,
     type=click.Path(dir_okay=False),
-    help=f"The settings file of this machine (TOML); {VARIABLE} names it too.",
+    help=f"The settings file of this machine (TOML); {SETTINGS_VARIABLE} names it too.",
 )
 check_option = click.option("--check", is_flag=True, help="Read and check the settings, and end.")
 level_option = click.option(
@@ -49,7 +56,7 @@
     try:
         settings = load(path)
         check_settings(settings, needed, path)
-    except* BadSettings as group:
+    except* InvalidSettings as group:
         fail("\nbrackengate: ".join(str(error) for error in group.exceptions), 2)
     return settings
 
@@ -59,7 +66,9 @@
     raise SystemExit(code)
 
 
-def _run(work: Coroutine[Any, Any, int], refusals: tuple[type[Exception], ...] = (BadSettings,)) -> NoReturn:
+def _run(
+    work: Coroutine[Any, Any, int], refusals: tuple[type[Exception], ...] = (InvalidSettings,)
+) -> NoReturn:
     """`refusals`: errors of this role that say in a sentence why it can't run as it was told to."""
     try:
         code = uvloop.run(work)
@@ -77,7 +86,7 @@
 @level_option
 def pilot(path: str, check: bool, log_level: str) -> None:
     """Beside an upstream: carry its requests out, and let in those that are for it."""
-    settings = _read(path, log_level, PILOT)
+    settings = _read(path, log_level, PROXY_KEYS)
     if check:
         click.echo(f"{path}: sound for a pilot")
         return
@@ -92,14 +101,14 @@
 @level_option
 def lighthouse(path: str, check: bool, log_level: str) -> None:
     """On a core machine: keep what is agreed, and bring it to the pilots."""
-    settings = _read(path, log_level, LIGHTHOUSE)
+    settings = _read(path, log_level, CONTROL_REPLICA_KEYS)
     if check:
         click.echo(f"{path}: sound for a lighthouse")
         return
     from brackengate.control.role import serve
     from brackengate.control.store import NewerForm
 
-    _run(serve(settings), (BadSettings, NewerForm))
+    _run(serve(settings), (InvalidSettings, NewerForm))
 
 
 if __name__ == "__main__":
--- a/brackengate/meshctl/archive.py
+++ b/brackengate/meshctl/archive.py
@@ -8,8 +8,8 @@
 import msgspec
 
 from brackengate.meshctl.changes import items_of
-from brackengate.protocol.config_items import layout
-from brackengate.protocol.messages import HeldItem, Items
+from brackengate.protocol.config_items import config_document
+from brackengate.protocol.messages import ItemList, StoredItem
 
 FORM = 1
 
@@ -24,7 +24,7 @@
     place: int
     epoch: int
     taken: str
-    items: tuple[HeldItem, ...]  # those that were dropped too: their versions count
+    items: tuple[StoredItem, ...]  # those that were dropped too: their versions count
 
 
 class _File(msgspec.Struct):
@@ -38,7 +38,7 @@
     return "sha256:" + hashlib.sha256(msgspec.json.encode(content, order="sorted")).hexdigest()
 
 
-def pack(held: Items, taken: str) -> bytes:
+def pack(held: ItemList, taken: str) -> bytes:
     content = msgspec.to_builtins(Content(held.commit_index, held.epoch, taken, held.items))
     file = {"form": FORM, "checksum": _checksum(content), "content": content}
     return msgspec.json.format(msgspec.json.encode(file), indent=1) + b"\n"
@@ -67,4 +67,4 @@
         if item.body is None:
             dropped[kind].append({"Name": name, "Revision": f"r{item.version}"})
     remove = {"Routes": dropped["route"], "Plants": dropped["plant"]}
-    return msgspec.json.encode({"Apply": layout(items.items()), "Remove": remove})
+    return msgspec.json.encode({"Apply": config_document(items.items()), "Remove": remove})
--- a/brackengate/meshctl/ask.py
+++ b/brackengate/meshctl/ask.py
@@ -7,25 +7,25 @@
 from typing import Any
 
 from brackengate.net.sockets import Address, parse_address
-from brackengate.protocol.json_connection import Lines
+from brackengate.protocol.json_connection import JsonConnection
 from brackengate.protocol.messages import (
     Amend,
     CommandResult,
     Configuration,
     Explain,
     Followers,
-    Follows,
+    FollowerStatus,
     Held,
-    Inquire,
+    Inquiry,
     InquiryResult,
-    Items,
+    ItemList,
     Leave,
-    Line,
+    Message,
     Read,
     Rejoin,
+    ReplicaStatus,
     Result,
     Stand,
-    Standing,
 )
 
 CONNECT_S = 1.0
@@ -50,15 +50,15 @@
     answer: asyncio.Future[QuestionResult] = loop.create_future()
     name = type(what).__name__.lower()
 
-    def on_line(lines: Lines, word: Line) -> None:
+    def on_line(lines: JsonConnection, word: Message) -> None:
         if isinstance(word, Result) and not answer.done():
             answer.set_result(word.result)
 
-    def on_lost(lines: Lines) -> None:
+    def on_lost(lines: JsonConnection) -> None:
         if not answer.done():
             answer.set_exception(Unanswered(name, address, "it ended the connection; an older program?"))
 
-    made = Lines(on_line, lambda lines: lines.send(Inquire(1, what)), on_lost)
+    made = JsonConnection(on_line, lambda lines: lines.send(Inquiry(1, what)), on_lost)
     try:
         async with asyncio.timeout(CONNECT_S):
             await loop.create_connection(lambda: made, *address)
@@ -108,9 +108,9 @@
             failed.append(Unanswered(type(what).__name__.lower(), address, why))
         raise ExceptionGroup("no lighthouse answered", failed)
 
-    async def standings(self) -> tuple[list[Standing], list[Unanswered]]:
+    async def standings(self) -> tuple[list[ReplicaStatus], list[Unanswered]]:
         """Everybody whom those that are asked know of; a group of `Unanswered` where nobody answers."""
-        found: dict[Address, Standing] = {}
+        found: dict[Address, ReplicaStatus] = {}
         failed: dict[Address, Unanswered] = {}
         wanted = self._at
         for _ in range(ROUNDS):
@@ -121,7 +121,7 @@
                 elif isinstance(answer, BaseException):
                     raise answer
                 else:
-                    assert isinstance(answer, Standing)
+                    assert isinstance(answer, ReplicaStatus)
                     found[address] = answer
             known = {
                 self.address(addr)
@@ -139,15 +139,15 @@
         by_name = {one.addr: one for one in found.values()}
         return [by_name[addr] for addr in sorted(by_name)], list(failed.values())
 
-    async def items(self) -> Items:
+    async def items(self) -> ItemList:
         """The operator's items, by a lighthouse that is in touch with the others."""
 
         def good(answer: QuestionResult) -> str:
-            serves = isinstance(answer, Items) and answer.serves
+            serves = isinstance(answer, ItemList) and answer.serves
             return "" if serves else "it is out of touch with the others"
 
         found = await self.first(Held(), good=good)
-        assert isinstance(found, Items)
+        assert isinstance(found, ItemList)
         return found
 
     async def of_members(self, what: Question, members: Sequence[str]) -> list[QuestionResult]:
@@ -165,7 +165,7 @@
         assert isinstance(found, Configuration)
         return found.content
 
-    async def explain(self, attempt: str, members: Sequence[str]) -> list[Follows]:
+    async def explain(self, attempt: str, members: Sequence[str]) -> list[FollowerStatus]:
         answers = await self.of_members(Explain(attempt), members)
         told = [answer for answer in answers if isinstance(answer, Followers)]
         return [one for answer in told for one in answer.pilots]
--- a/brackengate/meshctl/changes.py
+++ b/brackengate/meshctl/changes.py
@@ -1,8 +1,8 @@
 """What a call of the operator would do, item by item, before it is sent.  Pure.
 
 The lighthouses' own checker says what is sound (`protocol/config_items.py`) and what has effect
-(`control/orders.py`); here it is only asked about each item on its own too, so that a call with several
-faults shows them all.  What was acknowledged of versions that do not hold any more is not known here.
+(`control/config_changes.py`); here it is only asked about each item on its own too, so that a call with
+several faults shows them all.  What was acknowledged of versions that do not hold any more is not known here.
 """
 
 from __future__ import annotations
@@ -12,10 +12,10 @@
 
 import msgspec
 
+from brackengate.control.config_changes import History, decide
 from brackengate.control.item_index import ItemIndex
-from brackengate.control.orders import History, decide
-from brackengate.protocol.config_items import Invalid, Item, Name, Order, read_call
-from brackengate.protocol.messages import CommandDone, HeldItem
+from brackengate.protocol.config_items import ConfigChange, InvalidConfig, Item, ItemName, parse_change
+from brackengate.protocol.messages import CommandDone, StoredItem
 
 SET, DROPPED, NO_EFFECT, INVALID = "set", "dropped", "no effect", "invalid"
 
@@ -48,15 +48,15 @@
     return data
 
 
-def items_of(held: Iterable[HeldItem]) -> dict[Name, Item]:
+def items_of(held: Iterable[StoredItem]) -> dict[ItemName, Item]:
     return {(one.kind, one.name): Item(one.version, one.host, one.body) for one in held}
 
 
-def compare(call: bytes, held: Mapping[Name, Item]) -> list[Change]:
+def compare(call: bytes, held: Mapping[ItemName, Item]) -> list[Change]:
     """Every item of the call, in its order; faults of the whole call come last."""
     try:
-        read = read_call(call)
-    except Invalid as error:
+        read = parse_change(call)
+    except InvalidConfig as error:
         faults = list(_faults(call))
         told = any(one.why == str(error) for one in faults)
         return faults if told else [*faults, Change("call", "", INVALID, why=str(error))]
@@ -82,8 +82,8 @@
     return found + out
 
 
-def _highest(order: Order) -> dict[Name, int]:
-    found: dict[Name, int] = {}
+def _highest(order: ConfigChange) -> dict[ItemName, int]:
+    found: dict[ItemName, int] = {}
     for name, item in order:
         found[name] = max(item.version, found.get(name, 0))
     return found
@@ -108,8 +108,8 @@
         return  # not even laid out as a call
     for kind, raw, alone in singles:
         try:
-            read_call(msgspec.json.encode({"Apply": alone}))
-        except Invalid as why:
+            parse_change(msgspec.json.encode({"Apply": alone}))
+        except InvalidConfig as why:
             name = raw.get("Name") if isinstance(raw, dict) else None
             yield Change(kind, str(name or "?"), INVALID, why=str(why))
 
--- a/brackengate/meshctl/commands.py
+++ b/brackengate/meshctl/commands.py
@@ -22,7 +22,7 @@
 if TYPE_CHECKING:
     from brackengate.meshctl.ask import Bridge
     from brackengate.meshctl.changes import Change
-    from brackengate.protocol.messages import Standing
+    from brackengate.protocol.messages import ReplicaStatus
 
 FAILED, BAD, REFUSED, INCOMPLETE = 1, 2, 3, 4
 LOOK_S = 0.1  # between two looks at what is waited for
@@ -228,7 +228,7 @@
 
 async def _until_pilots_have(bridge: Bridge, changes: Sequence[Change], wait: float, as_json: bool) -> int:
     from brackengate.meshctl import figures
-    from brackengate.protocol.messages import Held, Items
+    from brackengate.protocol.messages import Held, ItemList
 
     names = [((one.kind, one.name), one.version) for one in changes]
     until, late, place = time.monotonic() + wait, ["nobody could be asked"], None
@@ -237,7 +237,7 @@
             standings, _ = await bridge.standings()
             if place is None:
                 told = await bridge.of_members(Held(), [one.addr for one in standings])
-                place = figures.place_of(names, [one for one in told if isinstance(one, Items)])
+                place = figures.place_of(names, [one for one in told if isinstance(one, ItemList)])
             if place is not None:
                 late = figures.behind(standings, place)
                 count = sum(len(one.pilots) for one in standings)
@@ -279,7 +279,7 @@
 # --- the core
 
 
-def _member(standings: Sequence[Standing], name: str) -> Standing:
+def _member(standings: Sequence[ReplicaStatus], name: str) -> ReplicaStatus:
     found = [one for one in standings if name in (one.addr, one.addr.rpartition(":")[0])]
     if not found:
         fail(f"no lighthouse {name} answered; there are {' '.join(one.addr for one in standings)}", REFUSED)
@@ -290,7 +290,7 @@
     """Tell a member to leave or to come back, and wait for the view that says so."""
     from brackengate.meshctl import figures
     from brackengate.meshctl.ask import Unanswered, ask
-    from brackengate.protocol.messages import SeatAnswer
+    from brackengate.protocol.messages import MembershipAnswer
 
     standings, _ = await bridge.standings()
     member = _member(standings, name)
@@ -298,7 +298,7 @@
         answer = await ask(bridge.address(member.addr), what)
     except Unanswered as error:
         raise ExceptionGroup("a member did not answer", [error]) from None
-    assert isinstance(answer, SeatAnswer)
+    assert isinstance(answer, MembershipAnswer)
     if answer.refused:
         click.echo(f"brackengate: step {type(what).__name__.lower()}: {answer.refused}", err=True)
         return REFUSED
--- a/brackengate/meshctl/figures.py
+++ b/brackengate/meshctl/figures.py
@@ -6,18 +6,18 @@
 from collections.abc import Iterable, Sequence
 from typing import Any
 
-from brackengate.protocol.config_items import Name
-from brackengate.protocol.messages import Items, Standing
+from brackengate.protocol.config_items import ItemName
+from brackengate.protocol.messages import ItemList, ReplicaStatus
 
 STATES = ("ready", "draining", "away", "gone")
 
 
-def newest(standings: Iterable[Standing]) -> Standing:
+def newest(standings: Iterable[ReplicaStatus]) -> ReplicaStatus:
     """Whose word on the view and the list counts: the highest epoch, then the highest agreed place."""
     return max(standings, key=lambda one: (one.epoch, one.is_member, one.commit_index))
 
 
-def state(one: Standing, view: Standing) -> str:
+def state(one: ReplicaStatus, view: ReplicaStatus) -> str:
     words = []
     if one.epoch != view.epoch:
         words.append(f"still in view {one.epoch}")
@@ -36,7 +36,7 @@
     return ", ".join(words) or "serves"
 
 
-def members(standings: Sequence[Standing], lost: Iterable[tuple[str, str]] = ()) -> list[dict[str, Any]]:
+def members(standings: Sequence[ReplicaStatus], lost: Iterable[tuple[str, str]] = ()) -> list[dict[str, Any]]:
     """The view's members in the order of the chain, then the others.  `lost`: who did not answer, and why."""
     view = newest(standings)
     agreed = max(one.commit_index for one in standings)
@@ -62,7 +62,7 @@
     return out
 
 
-def pilots(standings: Sequence[Standing]) -> list[dict[str, Any]]:
+def pilots(standings: Sequence[ReplicaStatus]) -> list[dict[str, Any]]:
     """`behind`: places up to the last one that concerns pilots; None: it did not say how far it is."""
     public = max(one.public for one in standings)
     out = []
@@ -73,21 +73,21 @@
     return sorted(out, key=lambda row: str(row["pilot"]))
 
 
-def unseen(standings: Sequence[Standing]) -> list[str]:
+def unseen(standings: Sequence[ReplicaStatus]) -> list[str]:
     """Machines in the list of upstreams whose pilot follows none of those who answered."""
     following = {it.addr for one in standings for it in one.pilots}
     listed = (machine for machine, it in newest(standings).upstreams if it.state != "gone")
     return [machine for machine in listed if machine not in following]
 
 
-def services(standings: Sequence[Standing]) -> list[dict[str, Any]]:
+def services(standings: Sequence[ReplicaStatus]) -> list[dict[str, Any]]:
     counts: dict[str, Counter[str]] = {}
     for _, instance in newest(standings).upstreams:
         counts.setdefault(instance.plant, Counter())[instance.state] += 1
     return [{"service": name, **{s: count[s] for s in STATES}} for name, count in sorted(counts.items())]
 
 
-def place_of(names: Iterable[tuple[Name, int]], told: Sequence[Items]) -> int | None:
+def place_of(names: Iterable[tuple[ItemName, int]], told: Sequence[ItemList]) -> int | None:
     """From which place on a follower has these items, at these versions or higher; None: not all hold yet.
 
     Guards against a member that caught up and took several entries as one: it puts items at a later place
@@ -107,12 +107,12 @@
     return most
 
 
-def behind(standings: Sequence[Standing], place: int) -> list[str]:
+def behind(standings: Sequence[ReplicaStatus], place: int) -> list[str]:
     """Pilots that follow and have not said that they have this place."""
     return sorted(it.addr for one in standings for it in one.pilots if it.index is None or it.index < place)
 
 
-def spare(standings: Sequence[Standing]) -> int:
+def spare(standings: Sequence[ReplicaStatus]) -> int:
     """How many more members may be lost while a majority is left to mend the view, and enough disks to write.
 
     Only those who answered and whose disk is fit count as there.  Below 0: so many are missing.
@@ -123,7 +123,7 @@
     return min(there - (len(view.members) // 2 + 1), there - view.min_replicas)
 
 
-def complete(standings: Sequence[Standing]) -> bool:
+def complete(standings: Sequence[ReplicaStatus]) -> bool:
     """Whether every member of the view answered and serves, in one and the same view."""
     view = newest(standings)
     said = {one.addr: one for one in standings}
--- a/brackengate/meshctl/hops.py
+++ b/brackengate/meshctl/hops.py
@@ -6,12 +6,12 @@
 from collections.abc import Iterable
 from typing import Any
 
-from brackengate.protocol.messages import Follows
+from brackengate.protocol.messages import FollowerStatus
 
 Hop = dict[str, Any]
 
 
-def in_order(pilots: Iterable[Follows]) -> list[tuple[str, Hop]]:
+def in_order(pilots: Iterable[FollowerStatus]) -> list[tuple[str, Hop]]:
     """By the pilots' own clocks, which may differ between machines; a way out before its gates."""
     found = [(one.addr, hop) for one in pilots for hop in one.wake]
     return sorted(found, key=lambda one: (one[1]["at"], one[1]["hop"] == "gate"))
--- a/brackengate/model_check/chart.py
+++ b/brackengate/model_check/chart.py
@@ -15,26 +15,26 @@
     Accepted,
     Ack,
     Append,
+    BallotRejected,
     CommandResult,
     Configuration,
-    ConflictingOrder,
-    CopyPiece,
-    CopyRequest,
+    ConflictingChange,
+    EntriesRequest,
     HeldBy,
-    InvalidOrder,
-    Line,
+    InvalidChange,
+    Message,
     NewView,
-    Outvoted,
     Ping,
     Pong,
-    Position,
     Prepare,
     Promise,
     Result,
+    SnapshotPiece,
+    SnapshotRequest,
     Submit,
-    UndecidedOrder,
+    UndecidedChange,
     View,
-    WantView,
+    ViewRequest,
 )
 
 WIDTH = 30
@@ -134,7 +134,7 @@
             return f"refused, {owner} holds it"
         case Configuration(content):
             return " ".join(one["Revision"] for one in content["Plants"]) or "nothing"
-        case InvalidOrder(reason) | ConflictingOrder(reason) | UndecidedOrder(reason):
+        case InvalidChange(reason) | ConflictingChange(reason) | UndecidedChange(reason):
             return f"refused, {reason}"
         case None:
             return "not known"
@@ -145,7 +145,7 @@
     return f"view {view.epoch}: {' '.join(member.addr for member in view.members)}"
 
 
-def _word(word: Line) -> str:
+def _word(word: Message) -> str:
     match word:
         case Prepare(epoch, ballot):
             return f"prepare view {epoch}, ballot {ballot[0]}{ballot[1]}"
@@ -156,19 +156,19 @@
             return f"accept {_view(view)}, ballot {ballot[0]}{ballot[1]}"
         case Accepted(epoch, ballot):
             return f"accepted view {epoch}, ballot {ballot[0]}{ballot[1]}"
-        case Outvoted(epoch, ballot):
+        case BallotRejected(epoch, ballot):
             return f"view {epoch}: outvoted by {ballot[0]}{ballot[1]}"
         case NewView(view):
             return f"agreed: {_view(view)}"
-        case WantView():
+        case ViewRequest():
             return "which view?"
-        case Position(epoch, index):
+        case EntriesRequest(epoch, index):
             return f"view {epoch}: has {index if index >= 0 else 'nothing'}"
         case Append(epoch, after, entries):
             return f"view {epoch}: after {after}: {' '.join(str(e.index) for e in entries) or 'nothing'}"
-        case CopyRequest(_, position):
+        case SnapshotRequest(_, position):
             return f"copy: what follows bucket {position.bucket} at {position.index}?"
-        case CopyPiece(_, position):
+        case SnapshotPiece(_, position):
             return f"copy: up to bucket {position.bucket} at {position.index}"
         case Ack(epoch, index):
             return f"view {epoch}: stored {index}"
--- a/brackengate/model_check/mistakes.py
+++ b/brackengate/model_check/mistakes.py
@@ -13,19 +13,19 @@
 from brackengate.control.replica import Replica
 from brackengate.control.view import Agreement, LogStatus
 from brackengate.model_check.model import FREE, Bounds
-from brackengate.protocol.config_items import read_call, route
+from brackengate.protocol.config_items import parse_change, parse_route
 from brackengate.protocol.messages import (
     Amend,
     Command,
     CommandDone,
-    ConflictingOrder,
-    CopyPiece,
+    ConflictingChange,
     Entry,
-    InvalidOrder,
+    InvalidChange,
     Member,
     Pong,
     Promise,
     Read,
+    SnapshotPiece,
     Submit,
 )
 
@@ -102,7 +102,7 @@
 
 
 class _KeepsWhatIsFreed(Chain):
-    def _on_copy_piece(self, addr: str, piece: CopyPiece) -> list[Action]:
+    def _on_copy_piece(self, addr: str, piece: SnapshotPiece) -> list[Action]:
         """What follows a copy is taken without its deletions, and is not checked whole."""
         entries = tuple(
             Entry(entry.index, tuple(row for row in entry.rows if row[2] is not None))
@@ -115,7 +115,7 @@
 class _EqualVersionChain(Chain):
     def _reply(self, reply: PendingReply) -> list[Action]:
         """An order of equal version and other content gives no news, and is acknowledged."""
-        if isinstance(reply.result, ConflictingOrder):
+        if isinstance(reply.result, ConflictingChange):
             reply.result = CommandDone()
         return super()._reply(reply)
 
@@ -126,9 +126,11 @@
         out = super()._execute(addr, word, now)
         if isinstance(word.what, Amend) and self._pending_replies:
             known = {name for (kind, name), item in self.items.items() if kind == "plant" and item.body}
-            order = [item for (kind, _), item in read_call(word.what.body.encode()) if kind == "route"]
-            if any(part.plant not in known for item in order if item.body for part in route(item).parts):
-                self._pending_replies[-1].result = InvalidOrder("it names a service that is not known")
+            order = [item for (kind, _), item in parse_change(word.what.body.encode()) if kind == "route"]
+            if any(
+                part.plant not in known for item in order if item.body for part in parse_route(item).parts
+            ):
+                self._pending_replies[-1].result = InvalidChange("it names a service that is not known")
         return out
 
 
--- a/brackengate/model_check/model.py
+++ b/brackengate/model_check/model.py
@@ -41,7 +41,7 @@
     Ping,
     Pong,
     Promise,
-    UndecidedOrder,
+    UndecidedChange,
     View,
 )
 
@@ -749,7 +749,7 @@
                 of = f"{len(holds)} of {self.model.bounds.min_replicas} disks"
                 raise Broken(f"write {number} was acknowledged when {of} had stored it")
             self.past = replace(past, acked=past.acked | {number}, seen=max(past.seen, number))
-        elif result is None or isinstance(result, UndecidedOrder):
+        elif result is None or isinstance(result, UndecidedChange):
             pass  # no clear answer
         elif number in past.acked:
             raise Broken(f"write {number} was acknowledged, and is refused when it comes again")
--- a/brackengate/model_check/vessel.py
+++ b/brackengate/model_check/vessel.py
@@ -23,7 +23,7 @@
 from brackengate.protocol.messages import (
     Accepted,
     Ballot,
-    Line,
+    Message,
     Ping,
     Pong,
     Promise,
@@ -33,7 +33,7 @@
 WINDOW = 60_000_000
 Act = tuple[Any, ...]
 Effect = tuple[Any, ...]
-decode: Callable[[bytes], Line] = msgspec.json.Decoder(Line).decode
+decode: Callable[[bytes], Message] = msgspec.json.Decoder(Message).decode
 encode = msgspec.json.encode
 
 
@@ -262,7 +262,7 @@
 
     def carry_out(self, actions: Iterable[Action], torn: bool) -> None:
         vessel, me = self.vessel, self.vessel.name
-        own: deque[Line] = deque()
+        own: deque[Message] = deque()
         while True:
             for action in actions:
                 match action:
@@ -317,5 +317,5 @@
     return named, replica.agreement.view, replica.chain.commit_index
 
 
-def _bare(word: Line) -> Line:
+def _bare(word: Message) -> Message:
     return msgspec.structs.replace(word, index=0) if isinstance(word, Promise) else word
--- a/brackengate/protocol/config_items.py
+++ b/brackengate/protocol/config_items.py
@@ -1,6 +1,6 @@
 """The operator's items: routes, services (plants) and limits, each under a version of its own.  Pure.
 
-A call is read whole before anything of it counts; `Invalid` says which item and what is wrong with it.
+A call is read whole before anything of it counts; `InvalidConfig` says which item and what is wrong with it.
 """
 
 from __future__ import annotations
@@ -15,18 +15,18 @@
 
 from brackengate.installation.units import duration
 
-MINUTE = 60_000_000
-REVISION = re.compile(r"r([0-9]{1,18})")
-KINDS = ("idempotent", "effectful", "keyed")
+MINUTE_US = 60_000_000
+REVISION_PATTERN = re.compile(r"r([0-9]{1,18})")
+SIGNAL_KINDS = ("idempotent", "effectful", "keyed")
 
 _NESTING = (dict, list)
-MOST_DEPTH = 32  # of an item's body; deeper ones could be taken and then not be written
-SLICE_ROUTES = 200  # that are read in one step
+MAX_BODY_DEPTH = 32  # of an item's body; deeper ones could be taken and then not be written
+ROUTES_PER_SLICE = 200  # that are read in one step
 
-Name = tuple[str, str]  # kind of item, name of item
+ItemName = tuple[str, str]  # kind of item, name of item
 
 
-class Invalid(Exception):
+class InvalidConfig(Exception):
     """A configuration that must not be in force, in any part."""
 
 
@@ -38,10 +38,10 @@
     body: dict[str, Any] | None = None
 
 
-NamedItem = tuple[Name, Item]
+NamedItem = tuple[ItemName, Item]
 
 
-class Part(msgspec.Struct, frozen=True):
+class WeightedService(msgspec.Struct, frozen=True):
     """A service among those that a route goes to, and its weight."""
 
     plant: str
@@ -58,11 +58,11 @@
     cutoff: int
     setpoint: int
     priority: int
-    parts: tuple[Part, ...]
+    parts: tuple[WeightedService, ...]
     attempts: int
 
 
-class Plant(msgspec.Struct, frozen=True):
+class Service(msgspec.Struct, frozen=True):
     name: str
     health: str
     connections: int
@@ -70,7 +70,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Order:
+class ConfigChange:
     """What one call sets and drops.  A name may be set under one version and dropped under another.
 
     `routes`: those that it sets, as they were read, by name.
@@ -83,12 +83,12 @@
         return iter(self.items)
 
 
-class _Split(msgspec.Struct, rename="pascal"):
+class _WireSplit(msgspec.Struct, rename="pascal"):
     plant: str
     gain: float
 
 
-class _Route(msgspec.Struct, rename="pascal"):
+class _WireRoute(msgspec.Struct, rename="pascal"):
     name: str
     path_prefix: str
     signal_kind: str
@@ -97,11 +97,11 @@
     setpoint: str | None = None
     priority: int = 0
     plant: str | None = None
-    split: list[_Split] | None = None
+    split: list[_WireSplit] | None = None
     max_attempts: int = 1
 
 
-class _Plant(msgspec.Struct, rename="pascal"):
+class _WireService(msgspec.Struct, rename="pascal"):
     name: str
     revision: str
     health_path: str = "/health"
@@ -109,72 +109,72 @@
     deduplicates: bool = False
 
 
-class _Limits(msgspec.Struct, rename="pascal"):
+class _WireLimits(msgspec.Struct, rename="pascal"):
     revision: str
 
 
-class _Host(msgspec.Struct, rename="pascal"):
+class _WireHost(msgspec.Struct, rename="pascal"):
     host: str
     paths: list[dict[str, Any]]
 
 
-class _Dropped(msgspec.Struct, rename="pascal"):
+class _WireRemoval(msgspec.Struct, rename="pascal"):
     name: str
     revision: str
 
 
-class _Apply(msgspec.Struct, rename="pascal"):
+class _WireApply(msgspec.Struct, rename="pascal"):
     plants: list[dict[str, Any]] = []
     limits: dict[str, Any] | None = None
-    hosts: list[_Host] = []
+    hosts: list[_WireHost] = []
 
 
-class _Remove(msgspec.Struct, rename="pascal"):
-    routes: list[_Dropped] = []
-    plants: list[_Dropped] = []
+class _WireRemove(msgspec.Struct, rename="pascal"):
+    routes: list[_WireRemoval] = []
+    plants: list[_WireRemoval] = []
 
 
-class _Call(msgspec.Struct, rename="pascal"):
-    apply: _Apply = msgspec.field(default_factory=_Apply)
-    remove: _Remove = msgspec.field(default_factory=_Remove)
+class _WireChange(msgspec.Struct, rename="pascal"):
+    apply: _WireApply = msgspec.field(default_factory=_WireApply)
+    remove: _WireRemove = msgspec.field(default_factory=_WireRemove)
 
 
 def _version(text: str) -> int:
-    found = REVISION.fullmatch(text)
+    found = REVISION_PATTERN.fullmatch(text)
     if found is None:
-        raise Invalid(f"a version is r and a number, not {text[:40]!r}")
+        raise InvalidConfig(f"a version is r and a number, not {text[:40]!r}")
     return int(found[1])
 
 
 @lru_cache(1_024)
-def _time(text: str) -> int:
+def _duration_us(text: str) -> int:
     """ValueError where it is none.  A configuration has few different ones."""
     return int(duration(text))
 
 
-def route(item: Item) -> Route:
-    """Read a route's item; `Invalid` where it can't be one."""
+def parse_route(item: Item) -> Route:
+    """Read a route's item; `InvalidConfig` where it can't be one."""
     try:
-        it = msgspec.convert(item.body, _Route)
+        it = msgspec.convert(item.body, _WireRoute)
     except msgspec.ValidationError as error:
-        raise Invalid(f"a route: {error}") from None
+        raise InvalidConfig(f"a route: {error}") from None
     try:
-        return _checked(it, item.host)
+        return _validated_route(it, item.host)
     except ValueError as why:
-        raise Invalid(f"route {it.name[:40]!r}: {why}") from None
+        raise InvalidConfig(f"route {it.name[:40]!r}: {why}") from None
 
 
-def _checked(it: _Route, host: str) -> Route:
+def _validated_route(it: _WireRoute, host: str) -> Route:
     """ValueError says what is wrong with it."""
     if not it.name or not host:
         raise ValueError("its name and its host must not be empty")
     if not it.path_prefix.startswith("/"):
         raise ValueError(f"PathPrefix must begin with a slash, not {it.path_prefix[:40]!r}")
-    if it.signal_kind not in KINDS:
-        raise ValueError(f"SignalKind is one of {', '.join(KINDS)}, not {it.signal_kind[:40]!r}")
-    cutoff = _named_time(it.cutoff, "Cutoff")
-    setpoint = _named_time(it.setpoint, "Setpoint") if it.setpoint is not None else cutoff
-    if setpoint - cutoff >= MINUTE:
+    if it.signal_kind not in SIGNAL_KINDS:
+        raise ValueError(f"SignalKind is one of {', '.join(SIGNAL_KINDS)}, not {it.signal_kind[:40]!r}")
+    cutoff = _named_duration(it.cutoff, "Cutoff")
+    setpoint = _named_duration(it.setpoint, "Setpoint") if it.setpoint is not None else cutoff
+    if setpoint - cutoff >= MINUTE_US:
         raise ValueError("Setpoint is a minute or more above Cutoff")
     if it.max_attempts < 1:
         raise ValueError("MaxAttempts must be 1 or more")
@@ -186,24 +186,24 @@
         cutoff,
         setpoint,
         it.priority,
-        _parts(it),
+        _weighted_services(it),
         it.max_attempts,
     )
 
 
-def _named_time(text: str, name: str) -> int:
+def _named_duration(text: str, name: str) -> int:
     try:
-        return _time(text)
+        return _duration_us(text)
     except ValueError as error:
         raise ValueError(f"{name}: {error}") from None
 
 
-def _parts(it: _Route) -> tuple[Part, ...]:
+def _weighted_services(it: _WireRoute) -> tuple[WeightedService, ...]:
     if not it.split:
         if not it.plant:
             raise ValueError("it names no service")
-        return (Part(it.plant, 1.0),)
-    parts = tuple(Part(one.plant, one.gain) for one in it.split)
+        return (WeightedService(it.plant, 1.0),)
+    parts = tuple(WeightedService(one.plant, one.gain) for one in it.split)
     if any(not one.gain >= 0 for one in parts):
         raise ValueError("a weight under 0")
     if sum(one.gain for one in parts) <= 0:
@@ -211,48 +211,48 @@
     return parts
 
 
-def plant(item: Item) -> Plant:
+def parse_service(item: Item) -> Service:
     try:
-        it = msgspec.convert(item.body, _Plant)
+        it = msgspec.convert(item.body, _WireService)
     except msgspec.ValidationError as error:
-        raise Invalid(f"a service: {error}") from None
+        raise InvalidConfig(f"a service: {error}") from None
     if not it.name:
-        raise Invalid("a service without a name")
-    return Plant(it.name, it.health_path, it.conn_limit, it.deduplicates)
+        raise InvalidConfig("a service without a name")
+    return Service(it.name, it.health_path, it.conn_limit, it.deduplicates)
 
 
-def read_call(body: bytes) -> Order:
-    """All that one order sets and drops, each item checked on its own; `Invalid` where any is not sound."""
-    reading = read_in_slices(body)
+def parse_change(body: bytes) -> ConfigChange:
+    """All that one order sets and drops, each item checked alone; `InvalidConfig` where one is not sound."""
+    reading = parse_in_slices(body)
     while True:
         try:
             next(reading)
         except StopIteration as end:
-            order: Order = end.value
+            order: ConfigChange = end.value
             return order
 
 
-def read_in_slices(body: bytes) -> Generator[None, None, Order]:
-    """As `read_call`, with a pause after each `SLICE_ROUTES` routes; returns the order."""
+def parse_in_slices(body: bytes) -> Generator[None, None, ConfigChange]:
+    """As `parse_change`, with a pause after each `ROUTES_PER_SLICE` routes; returns the order."""
     try:
-        call: _Call = msgspec.json.decode(body, type=_Call)
+        call: _WireChange = msgspec.json.decode(body, type=_WireChange)
     except (msgspec.DecodeError, UnicodeDecodeError, RecursionError) as error:
-        raise Invalid(f"the call cannot be read: {error}") from None
+        raise InvalidConfig(f"the call cannot be read: {error}") from None
     routes: list[tuple[Route, Item]] = []
     for one in _routes(call):
         routes.append(one)
-        if len(routes) % SLICE_ROUTES == 0:
+        if len(routes) % ROUTES_PER_SLICE == 0:
             yield
-    return _order(call, routes)
+    return _change(call, routes)
 
 
-def _order(call: _Call, routes: list[tuple[Route, Item]]) -> Order:
-    found: dict[tuple[Name, int], Item] = {}
-    names: set[Name] = set()
+def _change(call: _WireChange, routes: list[tuple[Route, Item]]) -> ConfigChange:
+    found: dict[tuple[ItemName, int], Item] = {}
+    names: set[ItemName] = set()
     set_items = ((("route", read.name), item) for read, item in routes)
-    for name, item in (*_plants(call), *_limits(call), *set_items):
+    for name, item in (*_services(call), *_limits(call), *set_items):
         if name in names:
-            raise Invalid(f"{name[0]} {name[1][:40]!r} stands twice in one call")
+            raise InvalidConfig(f"{name[0]} {name[1][:40]!r} stands twice in one call")
         names.add(name)
         found[name, item.version] = item
     for kind, dropped in (("route", call.remove.routes), ("plant", call.remove.plants)):
@@ -260,54 +260,54 @@
             version = _version(one.revision)
             found.setdefault(((kind, one.name), version), Item(version))
     items = tuple((name, item) for (name, _), item in found.items())
-    return Order(items, {read.name: read for read, _ in routes})
+    return ConfigChange(items, {read.name: read for read, _ in routes})
 
 
-def _sound(item: Item) -> Item:
+def _versioned_item(item: Item) -> Item:
     """With the version that its body names."""
     assert item.body is not None
     text = item.body.get("Revision")
     if not isinstance(text, str):
-        raise Invalid("an item's Revision is missing")
-    if _depth_over(item.body, MOST_DEPTH):
-        raise Invalid(f"an item is nested more than {MOST_DEPTH} deep")
+        raise InvalidConfig("an item's Revision is missing")
+    if _nested_deeper_than(item.body, MAX_BODY_DEPTH):
+        raise InvalidConfig(f"an item is nested more than {MAX_BODY_DEPTH} deep")
     return Item(_version(text), item.host, item.body)
 
 
-def _depth_over(value: dict[str, Any] | list[Any], most: int) -> bool:
+def _nested_deeper_than(value: dict[str, Any] | list[Any], most: int) -> bool:
     if most == 0:
         return True
     for one in value.values() if isinstance(value, dict) else value:
-        if isinstance(one, _NESTING) and _depth_over(one, most - 1):
+        if isinstance(one, _NESTING) and _nested_deeper_than(one, most - 1):
             return True
     return False
 
 
-def _plants(call: _Call) -> Iterator[NamedItem]:
+def _services(call: _WireChange) -> Iterator[NamedItem]:
     for raw in call.apply.plants:
         item = Item(0, body=raw)
-        yield ("plant", plant(item).name), _sound(item)
+        yield ("plant", parse_service(item).name), _versioned_item(item)
 
 
-def _limits(call: _Call) -> Iterator[NamedItem]:
+def _limits(call: _WireChange) -> Iterator[NamedItem]:
     if call.apply.limits is not None:
-        yield ("limits", ""), _sound(Item(0, body=call.apply.limits))
+        yield ("limits", ""), _versioned_item(Item(0, body=call.apply.limits))
 
 
-def _routes(call: _Call) -> Iterator[tuple[Route, Item]]:
+def _routes(call: _WireChange) -> Iterator[tuple[Route, Item]]:
     places: dict[tuple[str, str], str] = {}
     for host in call.apply.hosts:
         if not host.host:
-            raise Invalid("a Host is empty")
+            raise InvalidConfig("a Host is empty")
         for raw in host.paths:
             item = Item(0, host.host, raw)
-            read = route(item)
+            read = parse_route(item)
             if places.setdefault((read.host, read.prefix), read.name) != read.name:
-                raise Invalid(f"two routes at {read.host}{read.prefix}")
-            yield read, _sound(item)
+                raise InvalidConfig(f"two routes at {read.host}{read.prefix}")
+            yield read, _versioned_item(item)
 
 
-def layout(items: Iterable[tuple[Name, Item]]) -> dict[str, Any]:
+def config_document(items: Iterable[tuple[ItemName, Item]]) -> dict[str, Any]:
     """All items that stand, as the first call lays them out."""
     plants: list[dict[str, Any]] = []
     hosts: dict[str, list[dict[str, Any]]] = {}
--- a/brackengate/protocol/contents.py
+++ b/brackengate/protocol/contents.py
@@ -21,7 +21,7 @@
 from brackengate.protocol.config_items import Item
 
 DIGEST_BYTES = 12
-TIMES = {"route": ("Cutoff", "Setpoint"), "limits": ("HeaderWait", "IdleCutoff")}
+DURATION_KEYS = {"route": ("Cutoff", "Setpoint"), "limits": ("HeaderWait", "IdleCutoff")}
 
 
 def digest(kind: str, item: Item) -> str:
@@ -34,25 +34,25 @@
 def _content(kind: str, item: Item) -> list[Any]:
     if item.body is None:
         return ["dropped"]
-    body = {key: _plain(value) for key, value in item.body.items() if key != "Revision"}
-    for key in TIMES.get(kind, ()):
+    body = {key: _normalized(value) for key, value in item.body.items() if key != "Revision"}
+    for key in DURATION_KEYS.get(kind, ()):
         if key in body:
-            body[key] = _time(body[key])
+            body[key] = _normalized_duration(body[key])
     return ["set", item.host.lower(), body]
 
 
-def _plain(value: Any) -> Any:
+def _normalized(value: Any) -> Any:
     """Numbers that are equal are written alike; the encoder sees to keys and strings."""
     if isinstance(value, float) and value.is_integer():
         return int(value)
     if isinstance(value, dict):
-        return {key: _plain(one) for key, one in value.items()}
+        return {key: _normalized(one) for key, one in value.items()}
     if isinstance(value, list):
-        return [_plain(one) for one in value]
+        return [_normalized(one) for one in value]
     return value
 
 
-def _time(value: Any) -> Any:
+def _normalized_duration(value: Any) -> Any:
     """A text that is no time stays as it is."""
     try:
         return {"us": exact_duration(value)}
--- a/brackengate/protocol/http_api.py
+++ b/brackengate/protocol/http_api.py
@@ -16,11 +16,11 @@
 from brackengate.net.server import Server
 from brackengate.net.sockets import SocketBudget
 
-ONCE = frozenset(
+SINGLE_VALUE_HEADERS = frozenset(
     b"content-length transfer-encoding host expect x-brackengate-attempt-id x-brackengate-deadline-ms"
     b" x-brackengate-operation-key x-brackengate-caller-service x-brackengate-target-instance".split()
 )
-MOST_BODY = 64 << 20
+MAX_BODY_BYTES = 64 << 20
 
 
 class NoCore:
@@ -46,7 +46,7 @@
         raise NotImplementedError
 
 
-def listener(
+def create_server(
     loop: asyncio.AbstractEventLoop,
     clock: Clock,
     sockets: Sequence[socket.socket],
@@ -57,10 +57,19 @@
     """A server whose every path is one front's.  `bytes_`: what its bodies in pieces may hold."""
     fronts: Mapping[bytes, Front] = {ANY: front}
     budget = budget or SocketBudget(512)
-    return Server(loop, NoCore(clock), budget, sockets, fronts=fronts, bytes_=bytes_, once=ONCE, bare=True)
-
-
-def rpc(target: bytes) -> tuple[str, str]:
+    return Server(
+        loop,
+        NoCore(clock),
+        budget,
+        sockets,
+        fronts=fronts,
+        bytes_=bytes_,
+        once=SINGLE_VALUE_HEADERS,
+        bare=True,
+    )
+
+
+def parse_rpc_target(target: bytes) -> tuple[str, str]:
     """The call of an rpc target, and what it is of; empty where the path is another one."""
     path, _, query = target.decode("latin-1").partition("?")
     if path != "/v1/rpc":
@@ -69,7 +78,7 @@
     return fields.get("call", [""])[0], fields.get("of", [""])[0]
 
 
-def collect(arrival: Arrival, done: Callable[[bytes], None]) -> None:
+def collect_body(arrival: Arrival, done: Callable[[bytes], None]) -> None:
     """The whole body of a request, also of one that comes in pieces."""
     stream = arrival.stream
     if stream is None:
--- a/brackengate/protocol/json_connection.py
+++ b/brackengate/protocol/json_connection.py
@@ -1,8 +1,8 @@
 """Lines of JSON over TCP: the connections between the system's own processes.
 
-Long lines go compressed and in parts (`message_parts.py`).  The messages of the stream (`STREAM`) keep their
-order; other long ones go in the background, and other short ones at once: liveness never waits behind bulk,
-nor do news behind what is not in force yet.
+Long lines go compressed and in parts (`message_parts.py`). The messages of the stream (`ORDERED_MESSAGES`)
+keep their order; other long ones go in the background, and other short ones at once: liveness never waits
+behind bulk, nor do news behind what is not in force yet.
 """
 
 from __future__ import annotations
@@ -17,34 +17,36 @@
 
 from brackengate.net.sockets import Address
 from brackengate.protocol.message_parts import (
-    MOST_BYTES,
+    MAX_MESSAGE_BYTES,
     EncodedMessage,
-    Incoming,
-    Outgoing,
-    Unreadable,
-    packed,
+    IncomingMessages,
+    MalformedMessage,
+    OutgoingMessages,
+    compress_long,
 )
-from brackengate.protocol.messages import Append, Changes, CopyPiece, Line, Part, PartReceived
+from brackengate.protocol.messages import Append, Changes, Message, MessagePart, PartReceived, SnapshotPiece
 
 log = logging.getLogger("brackengate.lines")
 
-STREAM = (Append, Changes, CopyPiece)
-SILENT_MS = 1_200  # a connection whose bytes nobody takes for so long is given up: a cut says nothing
-DIAL_S = 0.6
-AGAIN_S, AGAIN_MOST_S = 0.05, 0.4
+ORDERED_MESSAGES = (Append, Changes, SnapshotPiece)
+UNACKNOWLEDGED_TIMEOUT_MS = (
+    1_200  # a connection whose bytes nobody takes for so long is given up: a cut says nothing
+)
+CONNECT_TIMEOUT_S = 0.6
+RECONNECT_DELAY_S, MAX_RECONNECT_DELAY_S = 0.05, 0.4
 
 _encode = msgspec.json.Encoder().encode
-_decode: Callable[[bytes], Line] = msgspec.json.Decoder(Line).decode
+_decode: Callable[[bytes], Message] = msgspec.json.Decoder(Message).decode
 
 
-class Lines(asyncio.Protocol):
+class JsonConnection(asyncio.Protocol):
     """One connection.  `on_line` gets every word; one that can't be read ends the connection."""
 
     def __init__(
         self,
-        on_line: Callable[[Lines, Line], None],
-        on_open: Callable[[Lines], None],
-        on_lost: Callable[[Lines], None],
+        on_line: Callable[[JsonConnection, Message], None],
+        on_open: Callable[[JsonConnection], None],
+        on_lost: Callable[[JsonConnection], None],
         on_part: Callable[[], None] = lambda: None,
     ) -> None:
         """`on_part`: a part of a long message has come: the other side is slow, but not silent."""
@@ -53,7 +55,7 @@
         self._transport: asyncio.Transport | None = None
         self._rest: list[bytes] = []  # of a line that is not whole yet
         self._waits = 0  # bytes of it
-        self._incoming, self._outgoing = Incoming(), Outgoing()
+        self._incoming, self._outgoing = IncomingMessages(), OutgoingMessages()
         self.peer = ""  # who speaks, by its first line
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
@@ -61,7 +63,7 @@
         sock = transport.get_extra_info("socket")
         if sock is not None:
             sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
-            sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_USER_TIMEOUT, SILENT_MS)
+            sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_USER_TIMEOUT, UNACKNOWLEDGED_TIMEOUT_MS)
         self._on_open(self)
 
     def data_received(self, data: bytes) -> None:
@@ -69,7 +71,7 @@
         if not end:
             self._rest.append(data)
             self._waits += len(data)
-            return self.close() if self._waits > MOST_BYTES else None
+            return self.close() if self._waits > MAX_MESSAGE_BYTES else None
         whole = b"".join((*self._rest, whole))
         self._rest, self._waits = [rest], len(rest)
         for one in whole.split(b"\n"):
@@ -77,7 +79,7 @@
                 return
             try:
                 self._read(one)
-            except (msgspec.DecodeError, UnicodeDecodeError, Unreadable) as error:
+            except (msgspec.DecodeError, UnicodeDecodeError, MalformedMessage) as error:
                 log.warning("lines: unreadable from %s: %s", self.peer or "a stranger", error)
                 return self.close()
 
@@ -86,7 +88,7 @@
         if isinstance(word, PartReceived):
             self._outgoing.window.acknowledged(self._loop.time())
             self._send_waiting()
-        elif isinstance(word, Part):
+        elif isinstance(word, MessagePart):
             self.send(PartReceived())
             self._on_part()
             whole = self._incoming.take(word)
@@ -99,8 +101,8 @@
         self._transport = None
         self._on_lost(self)
 
-    def send(self, word: Line) -> None:
-        self._send(encoded(word), isinstance(word, STREAM))
+    def send(self, word: Message) -> None:
+        self._send(encode_message(word), isinstance(word, ORDERED_MESSAGES))
 
     def send_raw(self, message: EncodedMessage, stream: bool = True) -> None:
         """One that is encoded for several connections.  `stream`: it is of the stream."""
@@ -111,7 +113,7 @@
         if transport is None or transport.is_closing():
             return
         waiting = transport.get_write_buffer_size() + self._outgoing.waiting_bytes
-        if waiting > MOST_BYTES:
+        if waiting > MAX_MESSAGE_BYTES:
             return self.close()
         if message.size or (stream and self._outgoing.stream.messages):
             self._outgoing.add(message, background=not stream)
@@ -133,9 +135,9 @@
             self._transport.abort()
 
 
-def encoded(word: Line) -> EncodedMessage:
+def encode_message(word: Message) -> EncodedMessage:
     """For any number of connections."""
-    return packed(_encode(word) + b"\n")
+    return compress_long(_encode(word) + b"\n")
 
 
 class Dialer:
@@ -144,7 +146,7 @@
     def __init__(
         self,
         address: Address,
-        on_line: Callable[[Line], None],
+        on_line: Callable[[Message], None],
         on_open: Callable[[Dialer], None],
         on_lost: Callable[[], None] = lambda: None,
         on_refused: Callable[[], None] = lambda: None,
@@ -152,11 +154,11 @@
         on_part: Callable[[], None] = lambda: None,
     ) -> None:
         """`tries`: given up after so many failures in a row; 0: never.  `on_lost` is called then too.
-        `on_part`: as of `Lines`."""
+        `on_part`: as of `JsonConnection`."""
         self.address = address
         self._line, self._opened, self._lost, self._refused = on_line, on_open, on_lost, on_refused
         self._tries, self._on_part = tries, on_part
-        self._lines: Lines | None = None
+        self._lines: JsonConnection | None = None
         self._gone = asyncio.Event()
         self._task = asyncio.get_running_loop().create_task(self._work())
 
@@ -164,7 +166,7 @@
     def open(self) -> bool:
         return self._lines is not None
 
-    def send(self, word: Line) -> None:
+    def send(self, word: Message) -> None:
         if self._lines is not None:
             self._lines.send(word)
 
@@ -184,19 +186,19 @@
             self._lines.close()
 
     async def _work(self) -> None:
-        pause, failed = AGAIN_S, 0
+        pause, failed = RECONNECT_DELAY_S, 0
         loop = asyncio.get_running_loop()
         while True:
             self._gone.clear()
             try:
-                async with asyncio.timeout(DIAL_S):
+                async with asyncio.timeout(CONNECT_TIMEOUT_S):
                     await loop.create_connection(self._new, *self.address)
             except ConnectionRefusedError:
                 self._refused()
             except OSError as error:  # TimeoutError is one
                 log.debug("lines: no connection to %s:%d: %r", *self.address, error)
             else:
-                pause, failed = AGAIN_S, 0
+                pause, failed = RECONNECT_DELAY_S, 0
                 await self._gone.wait()
                 self._lost()
                 continue
@@ -205,16 +207,16 @@
                 self._lost()
                 return
             await asyncio.sleep(pause)
-            pause = min(AGAIN_MOST_S, pause * 2)
+            pause = min(MAX_RECONNECT_DELAY_S, pause * 2)
 
-    def _new(self) -> Lines:
-        return Lines(lambda _, word: self._line(word), self._made, self._ended, self._on_part)
+    def _new(self) -> JsonConnection:
+        return JsonConnection(lambda _, word: self._line(word), self._made, self._ended, self._on_part)
 
-    def _made(self, lines: Lines) -> None:
+    def _made(self, lines: JsonConnection) -> None:
         self._lines = lines
         self._opened(self)
 
-    def _ended(self, lines: Lines) -> None:
+    def _ended(self, lines: JsonConnection) -> None:
         if self._lines is lines:
             self._lines = None
         self._gone.set()
--- a/brackengate/protocol/message_parts.py
+++ b/brackengate/protocol/message_parts.py
@@ -13,17 +13,17 @@
 from collections import deque
 from dataclasses import dataclass, field
 
-from brackengate.protocol.messages import Part
+from brackengate.protocol.messages import MessagePart
 
-LONG = 1_024  # a line of that size or more is sent compressed and in parts
+COMPRESS_FROM_BYTES = 1_024  # a line of that size or more is sent compressed and in parts
 PART_BYTES = 4_096  # of compressed data in one part
-MOST_BYTES = 32 << 20  # of one message, and of what may wait to be sent
-LEVEL = 1  # of zlib: 1,520 routes take 0.6 ms and become a twenty-fifth
-LEAST_WINDOW, FIRST_WINDOW, MOST_WINDOW = 2 * PART_BYTES, 4 * PART_BYTES, 64 * PART_BYTES
-QUICK_S, SLOW_S = 0.06, 0.15  # acknowledgements that widen the window and that halve it
+MAX_MESSAGE_BYTES = 32 << 20  # of one message, and of what may wait to be sent
+ZLIB_LEVEL = 1  # of zlib: 1,520 routes take 0.6 ms and become a twenty-fifth
+MIN_WINDOW_BYTES, INITIAL_WINDOW_BYTES, MAX_WINDOW_BYTES = 2 * PART_BYTES, 4 * PART_BYTES, 64 * PART_BYTES
+FAST_ACK_S, SLOW_ACK_S = 0.06, 0.15  # acknowledgements that widen the window and that halve it
 
 
-class Unreadable(Exception):
+class MalformedMessage(Exception):
     """The parts of a message do not make one."""
 
 
@@ -41,24 +41,24 @@
         return len(self.data)
 
 
-def packed(line: bytes) -> EncodedMessage:
+def compress_long(line: bytes) -> EncodedMessage:
     """`line`: with its line feed."""
-    if len(line) < LONG:
+    if len(line) < COMPRESS_FROM_BYTES:
         return EncodedMessage(line)
-    return EncodedMessage(zlib.compress(line, LEVEL), len(line))
+    return EncodedMessage(zlib.compress(line, ZLIB_LEVEL), len(line))
 
 
-def unpacked(data: bytes, size: int) -> bytes:
-    """`Unreadable` where it does not become `size` bytes exactly."""
-    if not 0 < size <= MOST_BYTES:
-        raise Unreadable(f"a message of {size} bytes")
+def decompress(data: bytes, size: int) -> bytes:
+    """`MalformedMessage` where it does not become `size` bytes exactly."""
+    if not 0 < size <= MAX_MESSAGE_BYTES:
+        raise MalformedMessage(f"a message of {size} bytes")
     unpacking = zlib.decompressobj()
     try:
         line = unpacking.decompress(data, size + 1)
     except zlib.error as error:
-        raise Unreadable(str(error)) from None
+        raise MalformedMessage(str(error)) from None
     if len(line) != size or not unpacking.eof or unpacking.unused_data:
-        raise Unreadable(f"not the {size} bytes that were told")
+        raise MalformedMessage(f"not the {size} bytes that were told")
     return line
 
 
@@ -66,7 +66,7 @@
 class SendWindow:
     """How many bytes may be unacknowledged."""
 
-    size: int = FIRST_WINDOW
+    size: int = INITIAL_WINDOW_BYTES
     unacknowledged: deque[tuple[float, int]] = field(default_factory=deque)  # when sent, how many bytes
     in_flight: int = 0
 
@@ -80,17 +80,17 @@
     def acknowledged(self, now: float) -> None:
         """The oldest part has arrived."""
         if not self.unacknowledged:
-            raise Unreadable("an acknowledgement of nothing")
+            raise MalformedMessage("an acknowledgement of nothing")
         sent, count = self.unacknowledged.popleft()
         self.in_flight -= count
-        if now - sent < QUICK_S:
-            self.size = min(MOST_WINDOW, self.size + PART_BYTES)
-        elif now - sent > SLOW_S:
-            self.size = max(LEAST_WINDOW, self.size // 2)
+        if now - sent < FAST_ACK_S:
+            self.size = min(MAX_WINDOW_BYTES, self.size + PART_BYTES)
+        elif now - sent > SLOW_ACK_S:
+            self.size = max(MIN_WINDOW_BYTES, self.size // 2)
 
 
 @dataclass
-class Waiting:
+class SendQueue:
     """Messages in their order, the first of them sent in part."""
 
     background: bool
@@ -102,7 +102,7 @@
         self.messages.append(message)
         self.size += len(message)
 
-    def next(self) -> Part | bytes:
+    def next(self) -> MessagePart | bytes:
         """A part, or a short line whose turn it is."""
         message = self.messages[0]
         if not message.size:
@@ -111,9 +111,9 @@
         data = message.data[self._sent : self._sent + PART_BYTES]
         self._sent += len(data)
         if self._sent < len(message.data):
-            return Part(data, 0, self.background)
+            return MessagePart(data, 0, self.background)
         self._leaves(message)
-        return Part(data, message.size, self.background)
+        return MessagePart(data, message.size, self.background)
 
     def _leaves(self, message: EncodedMessage) -> None:
         self.messages.popleft()
@@ -122,11 +122,11 @@
 
 
 @dataclass
-class Outgoing:
+class OutgoingMessages:
     """What waits on one connection: a stream in its order, and what it passes, in the background."""
 
-    stream: Waiting = field(default_factory=lambda: Waiting(False))
-    background: Waiting = field(default_factory=lambda: Waiting(True))
+    stream: SendQueue = field(default_factory=lambda: SendQueue(False))
+    background: SendQueue = field(default_factory=lambda: SendQueue(True))
     window: SendWindow = field(default_factory=SendWindow)
 
     @property
@@ -136,13 +136,13 @@
     def add(self, message: EncodedMessage, background: bool = False) -> None:
         (self.background if background else self.stream).add(message)
 
-    def next(self, now: float) -> Part | bytes | None:
+    def next(self, now: float) -> MessagePart | bytes | None:
         """What may be sent now."""
         waiting = self.stream if self.stream.messages else self.background
         if not waiting.messages or not self.window.room():
             return None
         found = waiting.next()
-        if isinstance(found, Part):
+        if isinstance(found, MessagePart):
             self.window.sent(len(found.data), now)
         return found
 
@@ -154,22 +154,22 @@
     parts: list[bytes] = field(default_factory=list)
     size: int = 0
 
-    def take(self, part: Part) -> bytes | None:
+    def take(self, part: MessagePart) -> bytes | None:
         self.parts.append(part.data)
         self.size += len(part.data)
-        if self.size > MOST_BYTES:
-            raise Unreadable(f"a message of more than {MOST_BYTES} bytes")
+        if self.size > MAX_MESSAGE_BYTES:
+            raise MalformedMessage(f"a message of more than {MAX_MESSAGE_BYTES} bytes")
         if not part.size:
             return None
         data, self.parts, self.size = b"".join(self.parts), [], 0
-        return unpacked(data, part.size)
+        return decompress(data, part.size)
 
 
 @dataclass
-class Incoming:
+class IncomingMessages:
     stream: PartialMessage = field(default_factory=PartialMessage)
     background: PartialMessage = field(default_factory=PartialMessage)
 
-    def take(self, part: Part) -> bytes | None:
-        """The line, with its last part.  `Unreadable` ends the connection."""
+    def take(self, part: MessagePart) -> bytes | None:
+        """The line, with its last part.  `MalformedMessage` ends the connection."""
         return (self.background if part.background else self.stream).take(part)
--- a/brackengate/protocol/messages.py
+++ b/brackengate/protocol/messages.py
@@ -11,11 +11,11 @@
 import msgspec
 
 Row = tuple[str, str, Any]  # kind, name, value; None as a value: the row is gone
-PUBLIC = frozenset(("route", "plant", "limits", "inst", "silent"))  # kinds of rows that pilots follow
-ITEMS = frozenset(("route", "plant", "limits"))  # of these, the operator's
+PUBLIC_KINDS = frozenset(("route", "plant", "limits", "inst", "silent"))  # kinds of rows that pilots follow
+ITEM_KINDS = frozenset(("route", "plant", "limits"))  # of these, the operator's
 
 
-class Word(msgspec.Struct, tag_field="t", omit_defaults=True, frozen=True):
+class BaseMessage(msgspec.Struct, tag_field="t", omit_defaults=True, frozen=True):
     """One line."""
 
 
@@ -61,14 +61,14 @@
     value: Any
 
 
-class CopyPosition(msgspec.Struct, frozen=True, array_like=True):
+class SnapshotPosition(msgspec.Struct, frozen=True, array_like=True):
     """How far a copy is: it holds the rows of all buckets below `bucket` as they stood at `index`."""
 
     bucket: int = 0
     index: int = 0
 
 
-class CopyTotal(msgspec.Struct, frozen=True, array_like=True):
+class SnapshotTotal(msgspec.Struct, frozen=True, array_like=True):
     """What a complete copy holds: a copy that differs from it does not count."""
 
     count: int
@@ -112,7 +112,7 @@
     attempt: str
 
 
-class Report(msgspec.Struct, tag_field="t", tag="report", frozen=True):
+class ReportUpstream(msgspec.Struct, tag_field="t", tag="report", frozen=True):
     """What a pilot knows of the upstream beside it."""
 
     name: str
@@ -126,7 +126,7 @@
     silent: tuple[str, ...]
 
 
-Command = Amend | Read | Claim | Unclaim | Report | Suspect
+Command = Amend | Read | Claim | Unclaim | ReportUpstream | Suspect
 
 
 # --- what becomes of a command
@@ -143,19 +143,19 @@
     attempt: str
 
 
-class InvalidOrder(msgspec.Struct, tag_field="t", tag="invalid", frozen=True):
+class InvalidChange(msgspec.Struct, tag_field="t", tag="invalid", frozen=True):
     """An order of the operator that must not be in force, in any part."""
 
     reason: str
 
 
-class ConflictingOrder(msgspec.Struct, tag_field="t", tag="conflict", frozen=True):
+class ConflictingChange(msgspec.Struct, tag_field="t", tag="conflict", frozen=True):
     """Another order was acknowledged with other content under the same version; no part is in force."""
 
     reason: str
 
 
-class UndecidedOrder(msgspec.Struct, tag_field="t", tag="undecided", frozen=True):
+class UndecidedChange(msgspec.Struct, tag_field="t", tag="undecided", frozen=True):
     """Whether it was acknowledged before is no longer known; no part is in force by it now."""
 
     reason: str
@@ -167,13 +167,13 @@
     content: dict[str, Any]
 
 
-CommandResult = CommandDone | HeldBy | InvalidOrder | ConflictingOrder | UndecidedOrder | Configuration
+CommandResult = CommandDone | HeldBy | InvalidChange | ConflictingChange | UndecidedChange | Configuration
 
 
 # --- on every connection
 
 
-class Part(Word, frozen=True, tag="part"):
+class MessagePart(BaseMessage, frozen=True, tag="part"):
     """A part of a long message, see `message_parts.py`.
 
     `size`: with the last one, of the line when unpacked.
@@ -184,21 +184,21 @@
     background: bool = False  # of a message that others may pass
 
 
-class PartReceived(Word, frozen=True, tag="got"):
+class PartReceived(BaseMessage, frozen=True, tag="got"):
     """The oldest part that was not acknowledged yet has come."""
 
 
 # --- among lighthouses
 
 
-class Hello(Word, frozen=True, tag="hello"):
+class Hello(BaseMessage, frozen=True, tag="hello"):
     """The first line on a connection: who speaks."""
 
     addr: str
     pilot: bool = False
 
 
-class Ping(Word, frozen=True, tag="ping"):
+class Ping(BaseMessage, frozen=True, tag="ping"):
     incarnation: str
     epoch: int
     index: int = 0  # stored
@@ -212,29 +212,29 @@
     copied: int = -1  # a learner's complete copy reaches to this index of the log; -1: it is not complete
 
 
-class Pong(Word, frozen=True, tag="pong"):
+class Pong(BaseMessage, frozen=True, tag="pong"):
     epoch: int
     sent: int = 0  # of the ping that this answers: a lease runs from its sending
     closed: bool = False  # the sender has promised to store nothing more in this epoch
     incarnation: str = ""  # of the process that answers
 
 
-class WantView(Word, frozen=True, tag="view?"):
+class ViewRequest(BaseMessage, frozen=True, tag="view?"):
     pass
 
 
-class NewView(Word, frozen=True, tag="view"):
+class NewView(BaseMessage, frozen=True, tag="view"):
     """A view that has been agreed."""
 
     view: View
 
 
-class Prepare(Word, frozen=True, tag="prep"):
+class Prepare(BaseMessage, frozen=True, tag="prep"):
     epoch: int  # of the view that is to be agreed
     ballot: Ballot
 
 
-class Promise(Word, frozen=True, tag="prom"):
+class Promise(BaseMessage, frozen=True, tag="prom"):
     """The sender has closed the epoch before this one: it stores nothing more in it."""
 
     epoch: int
@@ -245,30 +245,30 @@
     taken: View | None = None
 
 
-class Accept(Word, frozen=True, tag="acc"):
+class Accept(BaseMessage, frozen=True, tag="acc"):
     epoch: int
     ballot: Ballot
     view: View
 
 
-class Accepted(Word, frozen=True, tag="accd"):
+class Accepted(BaseMessage, frozen=True, tag="accd"):
     epoch: int
     ballot: Ballot
 
 
-class Outvoted(Word, frozen=True, tag="nack"):
+class BallotRejected(BaseMessage, frozen=True, tag="nack"):
     epoch: int
     ballot: Ballot  # the higher one that was promised
 
 
-class Position(Word, frozen=True, tag="have"):
+class EntriesRequest(BaseMessage, frozen=True, tag="have"):
     """To the one before in the chain: send what follows this index."""
 
     epoch: int
     index: int
 
 
-class Append(Word, frozen=True, tag="fwd"):
+class Append(BaseMessage, frozen=True, tag="fwd"):
     """The entries that follow an index, each as it was made."""
 
     epoch: int
@@ -277,14 +277,14 @@
     until: int = 0  # what the sender has stored: a new member holds all that it owes from there on
 
 
-class Ack(Word, frozen=True, tag="ack"):
+class Ack(BaseMessage, frozen=True, tag="ack"):
     """From the sender on to the tail, all have this index on disk."""
 
     epoch: int
     index: int
 
 
-class Submit(Word, frozen=True, tag="do"):
+class Submit(BaseMessage, frozen=True, tag="do"):
     """To the head: a command that came to another replica.
 
     `epoch`: of the view in which it was submitted.  One that lay in a queue until the view was another one
@@ -296,13 +296,13 @@
     epoch: int = 0
 
 
-class Underway(Word, frozen=True, tag="way"):
+class CommandInProgress(BaseMessage, frozen=True, tag="way"):
     """From the head: the command of that submission is being delivered; no need to submit it again yet."""
 
     id: int
 
 
-class Stage(Word, frozen=True, tag="stage"):
+class StageChange(BaseMessage, frozen=True, tag="stage"):
     """From the head: deliver this order to your followers, ahead of its decision."""
 
     epoch: int
@@ -310,14 +310,14 @@
     pieces: tuple[tuple[Row, ...], ...]
 
 
-class Delivered(Word, frozen=True, tag="dlvd"):
+class ChangeDelivered(BaseMessage, frozen=True, tag="dlvd"):
     """To the head: all followers of the sender that are in touch hold this order."""
 
     epoch: int
     id: str
 
 
-class Result(Word, frozen=True, tag="done"):
+class Result(BaseMessage, frozen=True, tag="done"):
     """`result` None: it is not known what becomes of the command."""
 
     id: int
@@ -327,14 +327,14 @@
 # --- copies: of a replica for a learner, of the public rows for a follower
 
 
-class CopyRequest(Word, frozen=True, tag="copy?"):
+class SnapshotRequest(BaseMessage, frozen=True, tag="copy?"):
     """Send the next piece of the copy.  Asked for once the piece before it is stored."""
 
     id: int  # comes back with the piece; one that answers no open request is left alone
-    position: CopyPosition
+    position: SnapshotPosition
 
 
-class CopyPiece(Word, frozen=True, tag="copy"):
+class SnapshotPiece(BaseMessage, frozen=True, tag="copy"):
     """The entries that bring what is held to a later index, then the rows that come next.
 
     `anew`: the entries after the position's index are gone, so that the copy begins at its first row.
@@ -342,11 +342,11 @@
     """
 
     id: int
-    position: CopyPosition  # with this piece taken
+    position: SnapshotPosition  # with this piece taken
     anew: bool = False
     entries: tuple[Entry, ...] = ()
     rows: tuple[CommittedRow, ...] = ()
-    total: CopyTotal | None = None
+    total: SnapshotTotal | None = None
 
 
 # --- between a pilot and a lighthouse
@@ -359,37 +359,37 @@
     pieces: int
 
 
-class Follow(Word, frozen=True, tag="follow"):
+class Follow(BaseMessage, frozen=True, tag="follow"):
     """Send the changes from this index on; a copy of the public rows first where they are not at hand."""
 
     index: int
-    tells: bool = False  # it answers `Look`
-    copy: CopyPosition = CopyPosition()  # of a copy that was cut off
+    tells: bool = False  # it answers `ProgressRequest`
+    copy: SnapshotPosition = SnapshotPosition()  # of a copy that was cut off
     sent: int = 0  # the follower's steady clock; the next heartbeat brings it back
     staged: tuple[StagedPosition, ...] = ()
 
 
-class ClockRequest(Word, frozen=True, tag="clk"):
+class HeartbeatRequest(BaseMessage, frozen=True, tag="clk"):
     """Send a heartbeat that brings this time back.  `sent`: the follower's steady clock."""
 
     sent: int
 
 
-class StageOffer(Word, frozen=True, tag="stg"):
+class StageOffer(BaseMessage, frozen=True, tag="stg"):
     """An order of so many pieces may come into force soon."""
 
     id: str
     pieces: int
 
 
-class StageRequest(Word, frozen=True, tag="stg?"):
+class StageRequest(BaseMessage, frozen=True, tag="stg?"):
     """Send that piece of an order.  The number of its pieces: all are here."""
 
     id: str
     piece: int
 
 
-class StagePiece(Word, frozen=True, tag="stgp"):
+class StagePiece(BaseMessage, frozen=True, tag="stgp"):
     """Rows of an order that is not in force."""
 
     id: str
@@ -404,25 +404,25 @@
     without: tuple[int, ...] = ()
 
 
-class FollowerCommand(Word, frozen=True, tag="ask"):
+class FollowerCommand(BaseMessage, frozen=True, tag="ask"):
     id: int
     what: Command
 
 
-class Changes(Word, frozen=True, tag="chg"):
+class Changes(BaseMessage, frozen=True, tag="chg"):
     index: int
     rows: tuple[Row, ...] = ()
     staged: tuple[StagedRows, ...] = ()  # in force with these rows
 
 
-class Core(Word, frozen=True, tag="core"):
+class ControlReplicas(BaseMessage, frozen=True, tag="core"):
     """The members by now, and their zones; and whether this one is in touch with them."""
 
     members: tuple[tuple[str, str], ...]
     touch: bool = True
 
 
-class Beat(Word, frozen=True, tag="b"):
+class Heartbeat(BaseMessage, frozen=True, tag="b"):
     """A heartbeat to a follower, with what makes it current.
 
     Everything that was acknowledged by `now` less `age` is in force at `index`.  Times are the sender's
@@ -435,18 +435,18 @@
     echo: int = msgspec.field(name="e", default=0)  # the `sent` that this answers; 0: of none
 
 
-class Away(Word, frozen=True, tag="away"):
+class Redirect(BaseMessage, frozen=True, tag="away"):
     """Go to another one: this one does not know what is agreed by now."""
 
 
-class Look(Word, frozen=True, tag="look"):
+class ProgressRequest(BaseMessage, frozen=True, tag="look"):
     """To a pilot, when an operator asks: how far are you, and what did you decide of this attempt."""
 
     id: int
     attempt: str = ""  # empty: only how far
 
 
-class Seen(Word, frozen=True, tag="seen"):
+class ProgressReport(BaseMessage, frozen=True, tag="seen"):
     id: int
     index: int
     wake: tuple[dict[str, Any], ...] = ()  # what it decided, the oldest first
@@ -456,11 +456,11 @@
 
 
 class Stand(msgspec.Struct, tag_field="t", tag="stand", frozen=True):
-    """How do you stand?  Answered by `Standing`, by this lighthouse about itself."""
+    """How do you stand?  Answered by `ReplicaStatus`, by this lighthouse about itself."""
 
 
 class Held(msgspec.Struct, tag_field="t", tag="held", frozen=True):
-    """Which of the operator's items are in force here, and which were dropped?  Answered by `Items`."""
+    """Which of the operator's items are in force here, and which were dropped?  Answered by `ItemList`."""
 
 
 class Leave(msgspec.Struct, tag_field="t", tag="leave", frozen=True):
@@ -483,53 +483,53 @@
     attempt: str
 
 
-class Inquire(Word, frozen=True, tag="inq"):
+class Inquiry(BaseMessage, frozen=True, tag="inq"):
     """Answered by `Done`, and by nobody else than the one who hears it; calls go on to the chain."""
 
     id: int
     what: Stand | Held | Leave | Rejoin | Explain | Amend | Read
 
 
-Line = (
-    Part
+Message = (
+    MessagePart
     | PartReceived
     | Hello
     | Ping
     | Pong
-    | WantView
+    | ViewRequest
     | NewView
     | Prepare
     | Promise
     | Accept
     | Accepted
-    | Outvoted
-    | Position
+    | BallotRejected
+    | EntriesRequest
     | Append
-    | CopyRequest
-    | CopyPiece
+    | SnapshotRequest
+    | SnapshotPiece
     | Ack
     | Submit
-    | Underway
-    | Stage
-    | Delivered
+    | CommandInProgress
+    | StageChange
+    | ChangeDelivered
     | Result
     | Follow
-    | ClockRequest
+    | HeartbeatRequest
     | StageOffer
     | StageRequest
     | StagePiece
     | FollowerCommand
     | Changes
-    | Core
-    | Beat
-    | Away
-    | Look
-    | Seen
-    | Inquire
+    | ControlReplicas
+    | Heartbeat
+    | Redirect
+    | ProgressRequest
+    | ProgressReport
+    | Inquiry
 )
 
 
-class Instance(msgspec.Struct, frozen=True, omit_defaults=True):
+class UpstreamReport(msgspec.Struct, frozen=True, omit_defaults=True):
     """One upstream, as the pilot beside it reports it.  Its row's name is its machine's address."""
 
     id: str
@@ -544,7 +544,7 @@
 # --- what a lighthouse says to an operator's command
 
 
-class Neighbour(msgspec.Struct, frozen=True, omit_defaults=True):
+class PeerStatus(msgspec.Struct, frozen=True, omit_defaults=True):
     """Another lighthouse, as this one hears it."""
 
     addr: str
@@ -555,13 +555,13 @@
     leaves: bool = False
 
 
-class SeatAnswer(msgspec.Struct, tag_field="t", tag="seat", frozen=True, omit_defaults=True):
+class MembershipAnswer(msgspec.Struct, tag_field="t", tag="seat", frozen=True, omit_defaults=True):
     """To `Leave` and `Rejoin`.  `refused`: why it does not; empty: it does."""
 
     refused: str = ""
 
 
-class Follows(msgspec.Struct, frozen=True, omit_defaults=True):
+class FollowerStatus(msgspec.Struct, frozen=True, omit_defaults=True):
     """A pilot that follows this lighthouse."""
 
     addr: str
@@ -573,10 +573,10 @@
 class Followers(msgspec.Struct, tag_field="t", tag="followers", frozen=True):
     """To `Explain`: the pilots that follow, each with what it decided."""
 
-    pilots: tuple[Follows, ...]
+    pilots: tuple[FollowerStatus, ...]
 
 
-class Standing(msgspec.Struct, tag_field="t", tag="standing", frozen=True, omit_defaults=True):
+class ReplicaStatus(msgspec.Struct, tag_field="t", tag="standing", frozen=True, omit_defaults=True):
     """One lighthouse, by its own word.  Places are of the log; -1: none is known."""
 
     addr: str
@@ -599,12 +599,12 @@
     routes: int = 0
     plants: int = 0
     duties: tuple[str, ...] = ()
-    upstreams: tuple[tuple[str, Instance], ...] = ()  # by machine
-    neighbours: tuple[Neighbour, ...] = ()
-    pilots: tuple[Follows, ...] = ()
+    upstreams: tuple[tuple[str, UpstreamReport], ...] = ()  # by machine
+    neighbours: tuple[PeerStatus, ...] = ()
+    pilots: tuple[FollowerStatus, ...] = ()
 
 
-class HeldItem(msgspec.Struct, frozen=True, omit_defaults=True):
+class StoredItem(msgspec.Struct, frozen=True, omit_defaults=True):
     """One item of the operator's.  `body` None: it was dropped."""
 
     kind: str
@@ -615,11 +615,11 @@
     body: dict[str, Any] | None = None
 
 
-class Items(msgspec.Struct, tag_field="t", tag="items", frozen=True):
+class ItemList(msgspec.Struct, tag_field="t", tag="items", frozen=True):
     serves: bool
     commit_index: int
     epoch: int
-    items: tuple[HeldItem, ...]
+    items: tuple[StoredItem, ...]
 
 
-InquiryResult = SeatAnswer | Followers | Standing | Items
+InquiryResult = MembershipAnswer | Followers | ReplicaStatus | ItemList
--- a/brackengate/protocol/settings.py
+++ b/brackengate/protocol/settings.py
@@ -12,26 +12,26 @@
 from brackengate.installation.units import duration
 from brackengate.net.sockets import Address, parse_address
 
-VARIABLE = "BRACKENGATE_NODE_FILE"
+SETTINGS_VARIABLE = "BRACKENGATE_NODE_FILE"
 
 
-class BadSettings(Exception):
+class InvalidSettings(Exception):
     """One line: the file, the key and what is allowed."""
 
 
-class Time(int):
+class DurationUs(int):
     """Whole microseconds, written in the file as a number with its unit."""
 
 
-class At(tuple[str, int]):
+class HostPort(tuple[str, int]):
     """An address, written in the file as host:port."""
 
 
 class Listen(msgspec.Struct, rename="pascal", frozen=True):
-    inbound: At | None = None
-    outbound: At | None = None
-    readiness: At | None = None
-    control: At | None = None
+    inbound: HostPort | None = None
+    outbound: HostPort | None = None
+    readiness: HostPort | None = None
+    control: HostPort | None = None
 
 
 class Limits(msgspec.Struct, rename="pascal", frozen=True):
@@ -48,22 +48,22 @@
     regions: int = 0
 
 
-def _s(seconds: float) -> Time:
-    return Time(round(seconds * 1e6))
+def _seconds(seconds: float) -> DurationUs:
+    return DurationUs(round(seconds * 1e6))
 
 
 class Bounds(msgspec.Struct, rename="pascal", frozen=True):
-    contact: Time = _s(3)
-    ack: Time = _s(4)
-    settling: Time = _s(4)
-    drain: Time = _s(2)
-    grace: Time = _s(6)
-    apply_time: Time = msgspec.field(name="Apply_time", default=_s(2))
+    contact: DurationUs = _seconds(3)
+    ack: DurationUs = _seconds(4)
+    settling: DurationUs = _seconds(4)
+    drain: DurationUs = _seconds(2)
+    grace: DurationUs = _seconds(6)
+    apply_time: DurationUs = msgspec.field(name="Apply_time", default=_seconds(2))
     retry_ratio: float = 0.2
-    retry_window: Time = _s(10)
+    retry_window: DurationUs = _seconds(10)
     retry_slack: float = 10.0
-    dedupe_window: Time = _s(60)
-    reuse_delay: Time = _s(2)
+    dedupe_window: DurationUs = _seconds(60)
+    reuse_delay: DurationUs = _seconds(2)
 
 
 class Settings(msgspec.Struct, rename="pascal", frozen=True):
@@ -74,12 +74,12 @@
     zone: str = ""
     region: str = ""
     internal_ports: tuple[int, int] = (0, 0)
-    seeds: tuple[At, ...] = ()
+    seeds: tuple[HostPort, ...] = ()
     initial_start: bool = False
     counted: bool = False
     data_dir: str = ""
-    feedback: Time = _s(1.5)
-    application: At | None = None
+    feedback: DurationUs = _seconds(1.5)
+    application: HostPort | None = None
     plant: str = ""
     listen: Listen = Listen()
     limits: Limits = Limits()
@@ -97,55 +97,62 @@
         return self.tolerance.machines + 1
 
 
-def _decode(kind: type, value: Any) -> Any:
-    if kind is Time:
-        return Time(duration(value))
-    if kind is At:
+def _decode_value(kind: type, value: Any) -> Any:
+    if kind is DurationUs:
+        return DurationUs(duration(value))
+    if kind is HostPort:
         if not isinstance(value, str):
             raise ValueError("expected an address as host:port")
-        return At(parse_address(value))
+        return HostPort(parse_address(value))
     raise NotImplementedError(kind)
 
 
 def parse(text: str, source: str = "settings") -> Settings:
-    """Read the file's text; `BadSettings` names the key and what is allowed."""
+    """Read the file's text; `InvalidSettings` names the key and what is allowed."""
     try:
         table = tomllib.loads(text)
-        return msgspec.convert(table, Settings, dec_hook=_decode)
+        return msgspec.convert(table, Settings, dec_hook=_decode_value)
     except (tomllib.TOMLDecodeError, msgspec.ValidationError, ValueError) as error:
-        raise BadSettings(f"{source}: {error}") from None
+        raise InvalidSettings(f"{source}: {error}") from None
 
 
 def load(path: str) -> Settings:
-    """`BadSettings` also where it can't be read."""
+    """`InvalidSettings` also where it can't be read."""
     try:
         text = Path(path).read_text("utf-8")
     except (OSError, UnicodeDecodeError) as error:
-        raise BadSettings(f"{path}: {error}") from None
+        raise InvalidSettings(f"{path}: {error}") from None
     return parse(text, path)
 
 
-PILOT = ("Listen.Inbound", "Listen.Outbound", "Listen.Readiness", "Listen.Control", "Application", "Plant")
-LIGHTHOUSE = ("Listen.Control", "DataDir")
+PROXY_KEYS = (
+    "Listen.Inbound",
+    "Listen.Outbound",
+    "Listen.Readiness",
+    "Listen.Control",
+    "Application",
+    "Plant",
+)
+CONTROL_REPLICA_KEYS = ("Listen.Control", "DataDir")
 
 
-def check(settings: Settings, needed: tuple[str, ...], source: str) -> None:
-    """What a role can't do without; an exception group of `BadSettings` names all that is missing."""
-    missing: list[BadSettings] = []
+def check_required(settings: Settings, needed: tuple[str, ...], source: str) -> None:
+    """What a role can't do without; an exception group of `InvalidSettings` names all that is missing."""
+    missing: list[InvalidSettings] = []
     for key in needed:
         held: Any = settings
         for part in key.split("."):
             held = getattr(held, re.sub(r"(?<!^)(?=[A-Z])", "_", part).lower())
         if not held:
-            missing.append(BadSettings(f"{source}: {key} is missing; this role needs it"))
+            missing.append(InvalidSettings(f"{source}: {key} is missing; this role needs it"))
     if settings.internal_ports[0] < 1 or settings.internal_ports[1] < settings.internal_ports[0]:
-        missing.append(BadSettings(f"{source}: InternalPorts must be two ports, the lower one first"))
+        missing.append(InvalidSettings(f"{source}: InternalPorts must be two ports, the lower one first"))
     if missing:
         raise ExceptionGroup("settings", missing)
 
 
-def plain(address: At | None, key: str) -> Address:
+def required_address(address: HostPort | None, key: str) -> Address:
     """An address that a role cannot do without."""
     if address is None:
-        raise BadSettings(f"Listen.{key} is missing; this role needs it")
+        raise InvalidSettings(f"Listen.{key} is missing; this role needs it")
     return address[0], address[1]
--- a/brackengate/proxy/admission.py
+++ b/brackengate/proxy/admission.py
@@ -11,7 +11,7 @@
 from dataclasses import dataclass, field
 from enum import Enum
 
-from brackengate.protocol.messages import Instance
+from brackengate.protocol.messages import UpstreamReport
 
 ADOPTED_BEATS = 1.5  # for so long what an earlier process knew holds without a beat
 SILENT_BEATS = 3.4  # an upstream that lets as many beats pass is taken for gone
@@ -59,7 +59,7 @@
         self.beat, self._heard = beat, now
         return True
 
-    def adopt(self, known: Instance, now: int) -> None:
+    def adopt(self, known: UpstreamReport, now: int) -> None:
         """What the core last heard of this machine, until the first beat says what is.
 
         Guards against the time that a restarted pilot would turn everything away.  The upstream itself turns
@@ -97,14 +97,14 @@
             return "draining"
         return ""
 
-    def report(self, now: int) -> Instance | None:
+    def report(self, now: int) -> UpstreamReport | None:
         """What the core should know; None: nothing yet."""
         beat = self.beat
         if beat is None:
             return None
         state = "gone" if self.silent(now) else "away" if self.leaving else beat.state
         zone = beat.zone or self.zone
-        return Instance(beat.id, beat.plant, zone, state, beat.capacity, beat.warmup, self.life)
+        return UpstreamReport(beat.id, beat.plant, zone, state, beat.capacity, beat.warmup, self.life)
 
 
 class State(Enum):
--- a/brackengate/proxy/copy.py
+++ b/brackengate/proxy/copy.py
@@ -6,17 +6,17 @@
 
 from brackengate.control.rows import CommittedRows
 from brackengate.control.transfer import NOTHING, Differs, check, taken
-from brackengate.protocol.messages import CopyPiece, CopyPosition, Row
+from brackengate.protocol.messages import Row, SnapshotPiece, SnapshotPosition
 
 
 @dataclass
 class PublicCopy:
     """It goes on where it was cut off, at whichever replica."""
 
-    position: CopyPosition = NOTHING
+    position: SnapshotPosition = NOTHING
     rows: CommittedRows = field(default_factory=CommittedRows)
 
-    def take(self, asked: CopyPosition, piece: CopyPiece) -> bool:
+    def take(self, asked: SnapshotPosition, piece: SnapshotPiece) -> bool:
         """Whether it is whole.  `asked`: what the piece follows; it may have gone on elsewhere since then.
 
         Differs, and it begins anew, where it is not what its sender holds.
--- a/brackengate/proxy/egress.py
+++ b/brackengate/proxy/egress.py
@@ -33,8 +33,8 @@
 from brackengate.net.upstream import Pool, Result
 from brackengate.policy.state import MOST_TRIES
 from brackengate.protocol.config_items import Route
-from brackengate.protocol.http_api import MOST_BODY
-from brackengate.protocol.messages import Instance
+from brackengate.protocol.http_api import MAX_BODY_BYTES
+from brackengate.protocol.messages import UpstreamReport
 from brackengate.proxy.budget import ration
 from brackengate.proxy.hop_headers import CALLER, DEADLINE, HOP, KEY, Said, Step, forwarded, hop_of, passed_on
 from brackengate.proxy.leaving import REFUSED_FOR, LeavePlan
@@ -152,7 +152,7 @@
         self._started: dict[str, int] = {}  # when an upstream became known here, less what it had been up
         self._pilots: dict[str, str] = {}  # by upstream, the life of the pilot beside it
 
-    def listed(self, rows: list[tuple[str, Instance, Address]]) -> None:
+    def listed(self, rows: list[tuple[str, UpstreamReport, Address]]) -> None:
         now = self._clock.now()
         named = {instance.id for _, instance, _ in rows}
         self._started = {id_: at for id_, at in self._started.items() if id_ in named}
@@ -192,7 +192,7 @@
 class WayOut:
     """The front of `Outbound`."""
 
-    most_body = MOST_BODY
+    most_body = MAX_BODY_BYTES
 
     def __init__(
         self,
--- a/brackengate/proxy/follow.py
+++ b/brackengate/proxy/follow.py
@@ -1,7 +1,7 @@
 """A pilot's link to the lighthouses: it follows the log of changes, and asks.
 
 Nearest first: a member in its own zone, then the others in an order of its own (rendezvous hashing), so that
-those who lose theirs do not all go to the same one.  Silence, a broken connection or `Away` moves it on.
+those who lose theirs do not all go to the same one.  Silence, a broken connection or `Redirect` moves it on.
 Asks that have no answer are asked again wherever it goes: each says what is wanted, so again does no harm.
 """
 
@@ -18,23 +18,23 @@
 from brackengate.net.sockets import parse_address
 from brackengate.protocol.json_connection import Dialer
 from brackengate.protocol.messages import (
-    Away,
-    Beat,
     Changes,
-    ClockRequest,
     Command,
-    CopyPiece,
-    CopyPosition,
-    CopyRequest,
-    Core,
+    ControlReplicas,
     Follow,
     FollowerCommand,
+    Heartbeat,
+    HeartbeatRequest,
     Hello,
-    Line,
-    Look,
+    Message,
+    ProgressReport,
+    ProgressRequest,
+    Redirect,
     Result,
     Row,
-    Seen,
+    SnapshotPiece,
+    SnapshotPosition,
+    SnapshotRequest,
     StageOffer,
     StagePiece,
     StageRequest,
@@ -86,7 +86,7 @@
             address, self._line, self._opened, self._ended, tries=1, on_part=self._heard_something
         )
 
-    def send(self, word: Line) -> None:
+    def send(self, word: Message) -> None:
         self._dialer.send(word)
 
     def close(self) -> None:
@@ -106,18 +106,18 @@
             )
         )
 
-    def ask_for_piece(self, position: CopyPosition) -> None:
+    def ask_for_piece(self, position: SnapshotPosition) -> None:
         self._asked, self._request = position, self._request + 1
-        self.send(CopyRequest(self._request, position))
+        self.send(SnapshotRequest(self._request, position))
 
-    def asked_for(self, piece: CopyPiece) -> CopyPosition | None:
+    def asked_for(self, piece: SnapshotPiece) -> SnapshotPosition | None:
         """The position that this piece follows; None where it answers no open request."""
         return self._asked if piece.id in (0, self._request) else None
 
     def _heard_something(self) -> None:
         self.heard = self._follow.now()
 
-    def _line(self, word: Line) -> None:
+    def _line(self, word: Message) -> None:
         self._heard_something()
         self._follow.line(self, word)
 
@@ -198,9 +198,9 @@
             return
         self._loop.call_later(CLOCK_S, self._exchange_times)
         if self._link is not None and self._link.good:
-            self._link.send(ClockRequest(self.now()))
+            self._link.send(HeartbeatRequest(self.now()))
 
-    def _heartbeat(self, link: Link, beat: Beat) -> None:
+    def _heartbeat(self, link: Link, beat: Heartbeat) -> None:
         now = self.now()
         if not beat.now:
             return
@@ -254,20 +254,20 @@
         if self._members[best[0]] == self.zone and link.addr != best[0]:
             self._home = Link(self, best[0])
 
-    def line(self, link: Link, word: Line) -> None:
-        if isinstance(word, Away):
+    def line(self, link: Link, word: Message) -> None:
+        if isinstance(word, Redirect):
             self.lost(link, "it is out of touch")
-        elif isinstance(word, Look):
+        elif isinstance(word, ProgressRequest):
             seen = self._wake(word.attempt) if word.attempt else ()
-            link.send(Seen(word.id, self.table.index, seen))
-        elif isinstance(word, Core):
+            link.send(ProgressReport(word.id, self.table.index, seen))
+        elif isinstance(word, ControlReplicas):
             self._members = dict(word.members)
         elif isinstance(word, Result):
             question = self._questions.pop(word.id, None)
             if question is not None:
                 question.timer.cancel()
                 question.done(word.result)
-        elif isinstance(word, Beat):
+        elif isinstance(word, Heartbeat):
             self._heartbeat(link, word)
         elif isinstance(word, Changes):
             self._followed(link)
@@ -279,11 +279,11 @@
             wanted = self.staged.take(word)
             if wanted is not None:
                 link.send(StageRequest(word.id, wanted))
-        elif isinstance(word, CopyPiece):
+        elif isinstance(word, SnapshotPiece):
             self._followed(link)
             self._piece(link, word)
 
-    def _piece(self, link: Link, piece: CopyPiece) -> None:
+    def _piece(self, link: Link, piece: SnapshotPiece) -> None:
         asked = link.asked_for(piece)
         if asked is None:
             return
--- a/brackengate/proxy/heartbeats.py
+++ b/brackengate/proxy/heartbeats.py
@@ -10,7 +10,7 @@
 from brackengate.http.message import Arrival, Bad
 from brackengate.installation.units import duration
 from brackengate.net.http import CallerConnection
-from brackengate.protocol.http_api import collect, rpc
+from brackengate.protocol.http_api import collect_body, parse_rpc_target
 from brackengate.proxy.admission import Beat
 
 log = logging.getLogger("brackengate.beats")
@@ -36,9 +36,9 @@
         self._heard, self._leaves = heard, leaves
 
     def begin(self, arrival: Arrival, connection: CallerConnection) -> None:
-        call, of = rpc(arrival.target)
+        call, of = parse_rpc_target(arrival.target)
         if call == "instances.feedback" and of:
-            collect(arrival, lambda body: self._beat(of, body, connection))
+            collect_body(arrival, lambda body: self._beat(of, body, connection))
         elif call == "instances.leave" and of:
             self._leaves(of)
             connection.respond(200, b"{}", JSON)
--- a/brackengate/proxy/ingress.py
+++ b/brackengate/proxy/ingress.py
@@ -19,7 +19,7 @@
 from brackengate.net.node import Clock, Reply
 from brackengate.net.sockets import Address
 from brackengate.net.upstream import Begun, Job, Pool, Result
-from brackengate.protocol.http_api import MOST_BODY
+from brackengate.protocol.http_api import MAX_BODY_BYTES
 from brackengate.protocol.messages import Command
 from brackengate.proxy.admission import Gate, State
 from brackengate.proxy.hop_headers import (
@@ -50,7 +50,7 @@
 class Entry:
     """The front of `Inbound`."""
 
-    most_body = MOST_BODY
+    most_body = MAX_BODY_BYTES
 
     def __init__(
         self,
--- a/brackengate/proxy/role.py
+++ b/brackengate/proxy/role.py
@@ -26,9 +26,9 @@
 from brackengate.net.sockets import Address, SocketBudget
 from brackengate.net.upstream import Pool
 from brackengate.protocol import settings as files
-from brackengate.protocol.http_api import Readiness, listener
-from brackengate.protocol.messages import Instance, Report
-from brackengate.protocol.settings import BadSettings, Settings, plain
+from brackengate.protocol.http_api import Readiness, create_server
+from brackengate.protocol.messages import ReportUpstream, UpstreamReport
+from brackengate.protocol.settings import InvalidSettings, Settings, required_address
 from brackengate.proxy.admission import Beat, Gate
 from brackengate.proxy.egress import WayOut
 from brackengate.proxy.follow import Following
@@ -69,7 +69,7 @@
             settings.limits.file_limit - 250, resource.getrlimit(resource.RLIMIT_NOFILE)[0] - 100
         )
         self._budget = SocketBudget(max(64, descriptors))
-        inbound = plain(settings.listen.inbound, "Inbound")
+        inbound = required_address(settings.listen.inbound, "Inbound")
         self._port = inbound[1]
         self.table = Table()
         wake, wire = Wake(), ground.wire
@@ -127,7 +127,7 @@
             self._own,
             self.gate,
             settings.ip,
-            plain(settings.application, "Application") if settings.application else inbound,
+            required_address(settings.application, "Application") if settings.application else inbound,
             settings.bounds.dedupe_window,
             self.following.ask,
             self._gates,
@@ -136,17 +136,19 @@
             wake,
         )
         listen = settings.listen
-        self._clients = listener(
-            loop, clock, [bind(plain(listen.outbound, "Outbound"))], self.way, self._budget, bytes_
+        self._clients = create_server(
+            loop, clock, [bind(required_address(listen.outbound, "Outbound"))], self.way, self._budget, bytes_
         )
-        self._gate_door = listener(loop, clock, [bind(inbound)], self.entry, self._budget, bytes_)
+        self._gate_door = create_server(loop, clock, [bind(inbound)], self.entry, self._budget, bytes_)
         readiness = Readiness(lambda: self.ready)
         self._others: list[Server] = [
-            listener(loop, clock, [bind(plain(listen.readiness, "Readiness"))], readiness, self._budget),
-            listener(
+            create_server(
+                loop, clock, [bind(required_address(listen.readiness, "Readiness"))], readiness, self._budget
+            ),
+            create_server(
                 loop,
                 clock,
-                [bind(plain(listen.control, "Control"))],
+                [bind(required_address(listen.control, "Control"))],
                 Beats(self._beat, self._leave),
                 self._budget,
             ),
@@ -168,7 +170,7 @@
         """As the file names them now: they may have changed without a signal."""
         try:
             self.settings = self._read()
-        except BadSettings as error:
+        except InvalidSettings as error:
             log.warning("pilot: the settings stay as they are: %s", error)
         return [f"{host}:{port}" for host, port in self.settings.seeds]
 
@@ -261,7 +263,7 @@
         if same or self._reporting or not self.following.in_touch:
             return
         self._reporting = True
-        self.following.ask(Report(me, msgspec.to_builtins(wanted)), self._reported, REPORT_WITHIN_S)
+        self.following.ask(ReportUpstream(me, msgspec.to_builtins(wanted)), self._reported, REPORT_WITHIN_S)
 
     def _reported(self, result: object) -> None:
         self._reporting = False
@@ -294,7 +296,7 @@
         self._gates.break_off(machine)
 
 
-def _said(instance: Instance) -> tuple[str, str, str]:
+def _said(instance: UpstreamReport) -> tuple[str, str, str]:
     """What of a report is news; the rest goes with it."""
     return instance.id, instance.state, instance.pilot
 
--- a/brackengate/proxy/routing_table.py
+++ b/brackengate/proxy/routing_table.py
@@ -12,8 +12,16 @@
 
 import msgspec
 
-from brackengate.protocol.config_items import Invalid, Item, Part, Plant, Route, plant, route
-from brackengate.protocol.messages import ITEMS, Instance, Row
+from brackengate.protocol.config_items import (
+    InvalidConfig,
+    Item,
+    Route,
+    Service,
+    WeightedService,
+    parse_route,
+    parse_service,
+)
+from brackengate.protocol.messages import ITEM_KINDS, Row, UpstreamReport
 
 
 @dataclass(frozen=True, slots=True)
@@ -21,7 +29,7 @@
     """An operator's item, read.  `read` None: dropped, or not to be followed."""
 
     item: Item
-    read: Route | Plant | None = None
+    read: Route | Service | None = None
 
 
 def prepared(kind: str, value: Any) -> Prepared:
@@ -30,11 +38,11 @@
         return Prepared(item)
     try:
         return Prepared(item, _READERS[kind](item))
-    except Invalid:  # the lighthouses check; one that a newer program let in is not followed
+    except InvalidConfig:  # the lighthouses check; one that a newer program let in is not followed
         return Prepared(item)
 
 
-_READERS: dict[str, Callable[[Item], Route | Plant]] = {"route": route, "plant": plant}
+_READERS: dict[str, Callable[[Item], Route | Service]] = {"route": parse_route, "plant": parse_service}
 
 
 @dataclass(slots=True)
@@ -51,12 +59,12 @@
     def __init__(self) -> None:
         self.index = -1  # of the log of changes; -1: nothing is known yet
         self._items: dict[tuple[str, str], Item] = {}
-        self.plants: dict[str, Plant] = {}
-        self.instances: dict[str, Instance] = {}  # by machine
+        self.plants: dict[str, Service] = {}
+        self.instances: dict[str, UpstreamReport] = {}  # by machine
         self.noticed: dict[str, tuple[str, ...]] = {}  # by watcher, the machines that it does not hear
         self._routes: dict[str, Route] = {}
         self._hosts: dict[str, dict[str, Route]] = {}  # by host and prefix
-        self._upstreams: dict[str, dict[str, Instance]] = {}  # those that are not gone, by service
+        self._upstreams: dict[str, dict[str, UpstreamReport]] = {}  # those that are not gone, by service
         self._touched = Touched()
         self.known = False  # whether there is a whole configuration: without one, no request can be routed
 
@@ -91,12 +99,12 @@
         """
         changed: set[str] = set()
         for kind, name, value in rows:
-            if kind in ITEMS:
+            if kind in ITEM_KINDS:
                 if self._item(kind, name, value if isinstance(value, Prepared) else prepared(kind, value)):
                     changed.add(kind)
             elif kind == "inst":
                 changed.add(kind)
-                self._instance(name, msgspec.convert(value, Instance) if value is not None else None)
+                self._instance(name, msgspec.convert(value, UpstreamReport) if value is not None else None)
             elif kind == "silent":
                 changed.add(kind)
                 if value:
@@ -109,7 +117,7 @@
         touched, self._touched = self._touched, Touched()
         return touched
 
-    def _instance(self, machine: str, now: Instance | None) -> None:
+    def _instance(self, machine: str, now: UpstreamReport | None) -> None:
         before = self.instances.pop(machine, None)
         if before is not None:
             self._touched.services.add(before.plant)
@@ -141,7 +149,7 @@
         self._items[kind, name] = one.item
         if kind == "route":
             self._set_route(name, one.read if isinstance(one.read, Route) else None)
-        elif isinstance(one.read, Plant):
+        elif isinstance(one.read, Service):
             self.plants[name] = one.read
         else:
             self.plants.pop(name, None)
@@ -151,7 +159,7 @@
         """The machines whose pilot has an upstream beside it."""
         return [machine for upstreams in self._upstreams.values() for machine in upstreams]
 
-    def upstreams_of(self, service: str) -> Mapping[str, Instance]:
+    def upstreams_of(self, service: str) -> Mapping[str, UpstreamReport]:
         """Those that are not gone, by machine."""
         return self._upstreams.get(service, {})
 
@@ -174,7 +182,7 @@
         return None
 
 
-def choose(parts: tuple[Part, ...], at: float) -> str:
+def choose(parts: tuple[WeightedService, ...], at: float) -> str:
     """The service at a index between 0 and 1 of the weights laid side by side."""
     ends: list[float] = []
     total = 0.0
--- a/brackengate/proxy/staged.py
+++ b/brackengate/proxy/staged.py
@@ -7,7 +7,7 @@
 
 from dataclasses import dataclass, field
 
-from brackengate.protocol.messages import ITEMS, Row, StagedPosition, StagedRows, StagePiece
+from brackengate.protocol.messages import ITEM_KINDS, Row, StagedPosition, StagedRows, StagePiece
 from brackengate.proxy.routing_table import Prepared, prepared
 
 KEPT = 12  # orders that are held at most, so that several can be under way at once; the oldest goes
@@ -43,7 +43,7 @@
         if found is None or piece.piece != found.pieces:
             return None
         found.rows += [
-            (kind, name, prepared(kind, value)) for kind, name, value in piece.rows if kind in ITEMS
+            (kind, name, prepared(kind, value)) for kind, name, value in piece.rows if kind in ITEM_KINDS
         ]
         found.pieces += 1
         return found.pieces
--- a/tests/control/corekit.py
+++ b/tests/control/corekit.py
@@ -34,12 +34,12 @@
 from brackengate.control.replica import FIRST, Replica, StoredState
 from brackengate.control.store import NAME, open_disk
 from brackengate.model_check.disk import DiskState
-from brackengate.protocol.messages import Command, Line
+from brackengate.protocol.messages import Command, Message
 from standins.mesh import spoil
 
 TICK, NET, SYNC = 50_000, 900, 600
 WINDOW = 60_000_000
-_decode = msgspec.json.Decoder(Line).decode
+_decode = msgspec.json.Decoder(Message).decode
 
 
 class FileState:
