--- a/tests/control/test_admin_commands.py
+++ b/tests/control/test_admin_commands.py
@@ -10,10 +10,18 @@
 from timeline import play
 
 from brackengate.control import admin_commands
-from brackengate.control.admin_commands import Watchroom
-from brackengate.control.status import held, standing
+from brackengate.control.admin_commands import AdminCommands
+from brackengate.control.status import item_list, replica_status
 from brackengate.meshctl import figures
-from brackengate.protocol.messages import Amend, Explain, Followers, Inquire, Look, Result, Seen
+from brackengate.protocol.messages import (
+    Amend,
+    Explain,
+    Followers,
+    Inquiry,
+    ProgressReport,
+    ProgressRequest,
+    Result,
+)
 
 PLANT = '{"Apply":{"Plants":[{"Name":"p","Revision":"r%d"}]},"Remove":{"Plants":[%s]}}'
 HOP = {"hop": "out", "at": 1}
@@ -37,7 +45,7 @@
     """What `status` makes of the core at the end: how many may be lost; chain, duties and state of each."""
     core, _ = play(text)
     members = [host.replica for host in core.hosts.values() if host.replica is not None]
-    standings = [standing(member, (), core.now) for member in members]
+    standings = [replica_status(member, (), core.now) for member in members]
     rows = figures.members(standings)
     found = [(row["chain"], " ".join(row.get("duties", "?")), row["state"]) for row in rows]
     return figures.spare(standings), found
@@ -86,25 +94,27 @@
         host.ask(Amend(PLANT % (version, dropped)), lambda _: None)
         core.run(core.now + 1_000_000)
     assert host.replica is not None
-    found = held(host.replica, core.now)
+    found = item_list(host.replica, core.now)
     assert [(one.name, one.version, one.body, one.index) for one in found.items] == [("p", 7, None, 2)]
     assert found.serves
 
 
 def test_pilots_that_are_silent_or_older_hold_nothing_up(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(admin_commands, "LOOK_S", 0.0)  # by the time that the loop turns, it is over
+    monkeypatch.setattr(
+        admin_commands, "PROGRESS_TIMEOUT_S", 0.0
+    )  # by the time that the loop turns, it is over
 
     async def play() -> None:
         quick, silent, older, gone = (Lines(name) for name in ("quick", "silent", "older", "gone"))
         followers = {quick: follower(), silent: follower(), older: follower(tells=False)}
         followers[gone] = follower(follows=False)
-        room = Watchroom(None, followers, None, None)  # type: ignore[arg-type]
+        room = AdminCommands(None, followers, None, None)  # type: ignore[arg-type]
         asker = Lines("")
-        room.heard(asker, Inquire(3, Explain("id-1")))  # type: ignore[arg-type]
-        assert quick.sent == silent.sent == [Look(1, "id-1")]
+        room.heard(asker, Inquiry(3, Explain("id-1")))  # type: ignore[arg-type]
+        assert quick.sent == silent.sent == [ProgressRequest(1, "id-1")]
         assert older.sent == gone.sent == []  # a line that it can't read would end its connection
-        room.seen(quick, Seen(1, 9, (HOP,)))  # type: ignore[arg-type]
-        room.seen(quick, Seen(8, 9))  # type: ignore[arg-type]
+        room.seen(quick, ProgressReport(1, 9, (HOP,)))  # type: ignore[arg-type]
+        room.seen(quick, ProgressReport(8, 9))  # type: ignore[arg-type]
         assert asker.sent == []
         await asker.said.wait()
         [done] = asker.sent
@@ -112,21 +122,21 @@
         assert isinstance(done.result, Followers)
         told = {one.addr: (one.index, one.wake) for one in done.result.pilots}
         assert told == {"quick": (9, (HOP,)), "silent": (None, ()), "older": (None, ())}
-        room.seen(silent, Seen(1, 9))  # type: ignore[arg-type]
+        room.seen(silent, ProgressReport(1, 9))  # type: ignore[arg-type]
 
     asyncio.run(asyncio.wait_for(play(), 10))
 
 
 def test_the_last_answer_ends_the_look(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(admin_commands, "LOOK_S", 3600.0)
+    monkeypatch.setattr(admin_commands, "PROGRESS_TIMEOUT_S", 3600.0)
 
     async def play() -> None:
         one, two, asker = Lines("one"), Lines("two"), Lines("")
-        room = Watchroom(None, {one: follower(), two: follower()}, None, None)  # type: ignore[arg-type]
-        room.heard(asker, Inquire(1, Explain("id-1")))  # type: ignore[arg-type]
-        room.seen(one, Seen(1, 9))  # type: ignore[arg-type]
+        room = AdminCommands(None, {one: follower(), two: follower()}, None, None)  # type: ignore[arg-type]
+        room.heard(asker, Inquiry(1, Explain("id-1")))  # type: ignore[arg-type]
+        room.seen(one, ProgressReport(1, 9))  # type: ignore[arg-type]
         assert asker.sent == []
-        room.seen(two, Seen(1, 8))  # type: ignore[arg-type]
+        room.seen(two, ProgressReport(1, 8))  # type: ignore[arg-type]
         assert [one.index for one in asker.sent[0].result.pilots] == [9, 8]
 
     asyncio.run(play())
--- a/tests/control/test_ages.py
+++ b/tests/control/test_ages.py
@@ -6,7 +6,7 @@
 from brackengate.control.log import RECENT, RECENT_PUBLIC, PublicChanges, ReplicaLog
 from brackengate.control.replica import FIRST, Replica, StoredState
 from brackengate.control.rows import KEY, CommittedRows, State
-from brackengate.protocol.messages import Claim, Entry, Report
+from brackengate.protocol.messages import Claim, Entry, ReportUpstream
 
 S = 1_000_000
 WINDOW = 4 * S
@@ -67,7 +67,7 @@
 def test_claims_do_not_push_out_what_followers_have_to_hear() -> None:
     """The suspect of the 2,000 entries: only entries with public rows are kept for followers."""
     replica = alone()
-    replica.ask(Report("10.0.0.1", {"id": "i"}), 1, 0)
+    replica.ask(ReportUpstream("10.0.0.1", {"id": "i"}), 1, 0)
     replica.stored(1, replica.chain.generation)
     seen = replica.chain.commit_index
     for n in range(3 * RECENT_PUBLIC):
@@ -75,11 +75,11 @@
         replica.stored(replica.chain.index, replica.chain.generation)
     assert replica.chain.changes_since(seen) == PublicChanges(3 * RECENT_PUBLIC + 1, ())
     for n in range(RECENT_PUBLIC):
-        replica.ask(Report("10.0.0.1", {"id": f"i{n}"}), n, 0)
+        replica.ask(ReportUpstream("10.0.0.1", {"id": f"i{n}"}), n, 0)
         replica.stored(replica.chain.index, replica.chain.generation)
     changes = replica.chain.changes_since(seen)
     assert changes is not None and len(changes.rows) == RECENT_PUBLIC
-    replica.ask(Report("10.0.0.1", {"id": "last"}), 1, 0)
+    replica.ask(ReportUpstream("10.0.0.1", {"id": "last"}), 1, 0)
     replica.stored(replica.chain.index, replica.chain.generation)
     assert replica.chain.changes_since(seen) is None  # it takes a copy
     assert replica.chain.changes_since(seen + 3 * RECENT_PUBLIC + 1) is not None
--- a/tests/control/test_bounded_steps.py
+++ b/tests/control/test_bounded_steps.py
@@ -14,7 +14,7 @@
 
 from brackengate.control import prepared_rows, rows
 from brackengate.control.actions import Store
-from brackengate.control.head_orders import Examining, HeadOrders, Wait
+from brackengate.control.change_coordinator import AwaitDelivery, ChangeCoordinator, Examining
 from brackengate.control.item_index import ItemIndex
 from brackengate.control.log import FOLD_AT_ONCE, FOLD_MOST, ReplicaLog
 from brackengate.control.prepared_rows import MOST_ROWS, SLICE_ROWS, PreparedRows
@@ -49,7 +49,7 @@
 
 
 def counting(monkeypatch: pytest.MonkeyPatch, counted: Counter[str]) -> None:
-    read, encode = config_items._checked, rows._encode
+    read, encode = config_items._validated_route, rows._encode
 
     def reads(*of: Any) -> Any:
         counted["routes read"] += 1
@@ -59,7 +59,7 @@
         counted["values encoded"] += not isinstance(value, str)
         return encode(value)
 
-    monkeypatch.setattr(config_items, "_checked", reads)
+    monkeypatch.setattr(config_items, "_validated_route", reads)
     monkeypatch.setattr(rows, "_encode", encodes)
     monkeypatch.setattr(prepared_rows, "_encode", encodes)
 
@@ -138,7 +138,7 @@
 def test_two_long_orders_are_read_by_turns_and_one_that_cannot_be_read_holds_up_none(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    read, raised = config_items._checked, Counter[str]()
+    read, raised = config_items._validated_route, Counter[str]()
 
     def reads(it: Any, host: str) -> Any:
         if it.name == "spoilt0" and not raised["spoilt"]:
@@ -146,8 +146,8 @@
             raise ZeroDivisionError
         return read(it, host)
 
-    monkeypatch.setattr(config_items, "_checked", reads)
-    orders = HeadOrders()
+    monkeypatch.setattr(config_items, "_validated_route", reads)
+    orders = ChangeCoordinator()
     held = ItemIndex.of([(("plant", "p"), Item(1, body={"Name": "p", "Revision": "r1"}))])
     long = {name: order(*(route(f"{name}{n}", 5) for n in range(ROUTES))) for name in ("a", "spoilt", "b")}
     for number, body in enumerate(long.values(), 1):
@@ -160,6 +160,6 @@
         except ZeroDivisionError:
             continue
         if outcome is not None:
-            assert isinstance(outcome.taken, Wait)
+            assert isinstance(outcome.taken, AwaitDelivery)
             done += [one.id for one in outcome.submissions]
     assert done == [1, 3] and raised["spoilt"] == 1
--- a/tests/control/test_commands_pending.py
+++ b/tests/control/test_commands_pending.py
@@ -20,7 +20,7 @@
     RefusedOrders,
     patience_for,
 )
-from brackengate.control.operator_api import Control, answer_to
+from brackengate.control.operator_api import OperatorApi, answer_to
 from brackengate.http.message import Arrival
 from brackengate.protocol.messages import (
     Amend,
@@ -29,21 +29,21 @@
     CommandDone,
     CommandResult,
     Configuration,
-    ConflictingOrder,
+    ConflictingChange,
     HeldBy,
-    InvalidOrder,
-    Line,
+    InvalidChange,
+    Message,
     Read,
     Result,
-    UndecidedOrder,
+    UndecidedChange,
 )
 
 ORDER = Amend("{}")
 REFUSED: list[CommandResult] = [
     HeldBy("g", "1"),
-    InvalidOrder("why"),
-    ConflictingOrder("why"),
-    UndecidedOrder("why"),
+    InvalidChange("why"),
+    ConflictingChange("why"),
+    UndecidedChange("why"),
 ]
 
 
@@ -97,7 +97,7 @@
 
 @pytest.mark.parametrize("result", [*REFUSED, CommandDone(), Configuration({"Plants": []}), None])
 def test_a_result_is_read_as_it_was_written(result: CommandResult | None) -> None:
-    assert msgspec.json.decode(msgspec.json.encode(Result(5, result)), type=Line) == Result(5, result)
+    assert msgspec.json.decode(msgspec.json.encode(Result(5, result)), type=Message) == Result(5, result)
 
 
 @pytest.mark.parametrize(
@@ -105,9 +105,9 @@
     [
         (CommandDone(), 200),
         (Configuration({"Plants": []}), 200),
-        (InvalidOrder("why"), 400),
-        (ConflictingOrder("why"), 409),
-        (UndecidedOrder("why"), 503),
+        (InvalidChange("why"), 400),
+        (ConflictingChange("why"), 409),
+        (UndecidedChange("why"), 503),
         (None, 503),
     ],
 )
@@ -143,8 +143,8 @@
 
 def test_an_order_whose_caller_goes_is_withdrawn() -> None:
     asks, connection = Asks(), Connection()
-    Control(asks).begin(arrival("config.amend"), connection)  # type: ignore[arg-type]
-    Control(asks).begin(arrival("config.read"), Connection())  # type: ignore[arg-type]
+    OperatorApi(asks).begin(arrival("config.amend"), connection)  # type: ignore[arg-type]
+    OperatorApi(asks).begin(arrival("config.read"), Connection())  # type: ignore[arg-type]
     assert asks.asked == [ORDER, Read()]
     connection.gone()
     assert asks.withdrawn == [1]
--- a/tests/control/test_copies.py
+++ b/tests/control/test_copies.py
@@ -17,11 +17,20 @@
 from brackengate.control.rows import KEY, CommittedRows
 from brackengate.control.transfer import COMPLETE
 from brackengate.model_check.disk import DiskState
-from brackengate.protocol.messages import Amend, Claim, CommandDone, CopyPiece, Line, Member, Unclaim, View
+from brackengate.protocol.messages import (
+    Amend,
+    Claim,
+    CommandDone,
+    Member,
+    Message,
+    SnapshotPiece,
+    Unclaim,
+    View,
+)
 
 NAMES = [f"10.0.0.{n}:80" for n in range(1, 6)]
 ROWS = 1_000
-decode = msgspec.json.Decoder(Line).decode
+decode = msgspec.json.Decoder(Message).decode
 
 
 @pytest.fixture(autouse=True)
@@ -52,7 +61,7 @@
         self.learner.start = lambda first=False: None  # type: ignore[method-assign]
         self.acked: dict[str, str] = {}
         self.freed: set[str] = set()
-        self.pieces: list[tuple[str, CopyPiece]] = []  # that the learner heard
+        self.pieces: list[tuple[str, SnapshotPiece]] = []  # that the learner heard
         core.run(1_500_000)
         del self.learner.start
 
@@ -62,7 +71,7 @@
 
         def heard(addr: str, line: bytes) -> None:
             word = decode(line)
-            if isinstance(word, CopyPiece) and self.learner.replica is not None:
+            if isinstance(word, SnapshotPiece) and self.learner.replica is not None:
                 self.pieces.append((addr, word))
             hear(addr, line)
 
@@ -124,11 +133,11 @@
     return state.index, state.rows.count, state.rows.checksum
 
 
-def anew(pieces: list[tuple[str, CopyPiece]]) -> int:
+def anew(pieces: list[tuple[str, SnapshotPiece]]) -> int:
     return sum(piece.anew for _, piece in pieces)
 
 
-def sent(pieces: list[tuple[str, CopyPiece]]) -> int:
+def sent(pieces: list[tuple[str, SnapshotPiece]]) -> int:
     return sum(len(piece.rows) for _, piece in pieces)
 
 
@@ -468,19 +477,19 @@
 def test_a_sender_that_has_less_than_the_taker_says_nothing() -> None:
     rows = CommittedRows.of((KEY, f"k{n}", n, ["g", "1"]) for n in range(1, 50))
     entries = recent.RecentEntries(10, 1_000, start=49)
-    request = transfer.CopyRequest(5, transfer.CopyPosition(COMPLETE, 50))
+    request = transfer.SnapshotRequest(5, transfer.SnapshotPosition(COMPLETE, 50))
     assert transfer.next_piece(rows, entries, 49, request) is None
-    learner = Learner(transfer.CopyPosition(9, 50))
+    learner = Learner(transfer.SnapshotPosition(9, 50))
     asked = learner.next_request(["a"], 100)
     assert asked is not None
-    older = CopyPiece(asked.id, transfer.CopyPosition(12, 49), anew=True)
+    older = SnapshotPiece(asked.id, transfer.SnapshotPosition(12, 49), anew=True)
     assert not learner.answered("a", older)
 
 
-def pieces_of(rows: CommittedRows, entries: recent.RecentEntries, index: int) -> Iterator[CopyPiece]:
+def pieces_of(rows: CommittedRows, entries: recent.RecentEntries, index: int) -> Iterator[SnapshotPiece]:
     position = transfer.NOTHING
     while True:
-        piece = transfer.next_piece(rows, entries, index, transfer.CopyRequest(1, position))
+        piece = transfer.next_piece(rows, entries, index, transfer.SnapshotRequest(1, position))
         assert piece is not None
         yield piece
         position = piece.position
--- a/tests/control/test_disk.py
+++ b/tests/control/test_disk.py
@@ -15,7 +15,7 @@
 
 from brackengate.control.actions import Store
 from brackengate.control.replica import FIRST, StoredState
-from brackengate.control.role import Lighthouse
+from brackengate.control.role import ControlReplica
 from brackengate.control.store import ASIDE, NAME, TALLY, Disk, NewerForm, damaged, open_disk
 from brackengate.protocol.messages import Member, View
 from brackengate.protocol.settings import parse
@@ -313,7 +313,7 @@
     assert damaged(broken.value)
 
     async def told() -> int:
-        lighthouse = Lighthouse(parse(SETTINGS % served))
+        lighthouse = ControlReplica(parse(SETTINGS % served))
         done: asyncio.Future[None] = asyncio.get_running_loop().create_future()
         done.set_exception(broken.value)
         lighthouse._written([], done)
--- a/tests/control/test_disk_copies.py
+++ b/tests/control/test_disk_copies.py
@@ -214,4 +214,4 @@
     member = begun()
     member.chain.held.commit(29)
     keep_committed(member.chain.held, member.chain.learner)
-    assert member.chain.learner.position == transfer.CopyPosition(COMPLETE, 29)
+    assert member.chain.learner.position == transfer.SnapshotPosition(COMPLETE, 29)
--- a/tests/control/test_followers.py
+++ b/tests/control/test_followers.py
@@ -10,20 +10,20 @@
 from brackengate.control import transfer
 from brackengate.control.actions import Publish
 from brackengate.control.follower_connections import FollowerConnections
-from brackengate.control.follower_messages import MOST_CHANGES, MOST_INDEXES, FollowerMessages
+from brackengate.control.follower_messages import MAX_CHANGES_MESSAGES, MAX_START_INDEXES, FollowerMessages
 from brackengate.control.replica import FIRST, Replica, StoredState
-from brackengate.protocol.message_parts import EncodedMessage, unpacked
+from brackengate.protocol.message_parts import EncodedMessage, decompress
 from brackengate.protocol.messages import (
     Changes,
     Claim,
     Command,
     CommandDone,
-    CopyPiece,
-    CopyRequest,
     Follow,
     FollowerCommand,
-    Line,
-    Report,
+    Message,
+    ReportUpstream,
+    SnapshotPiece,
+    SnapshotRequest,
 )
 
 
@@ -33,22 +33,22 @@
     peer = "10.0.0.9"
 
     def __init__(self) -> None:
-        self.words: list[Line] = []
+        self.words: list[Message] = []
         self.messages: list[EncodedMessage] = []
 
-    def send(self, word: Line) -> None:
+    def send(self, word: Message) -> None:
         self.words.append(word)
 
     def send_raw(self, message: EncodedMessage, stream: bool = True) -> None:
         self.messages.append(message)
-        line = unpacked(message.data, message.size) if message.size else message.data
-        self.words.append(msgspec.json.decode(line, type=Line))
+        line = decompress(message.data, message.size) if message.size else message.data
+        self.words.append(msgspec.json.decode(line, type=Message))
 
     def changes(self) -> list[Changes]:
         return [word for word in self.words if isinstance(word, Changes)]
 
-    def last_piece(self) -> CopyPiece:
-        assert isinstance(self.words[-1], CopyPiece)
+    def last_piece(self) -> SnapshotPiece:
+        assert isinstance(self.words[-1], SnapshotPiece)
         return self.words[-1]
 
 
@@ -56,7 +56,7 @@
     made = Replica("a:1", "", StoredState(FIRST), ["a:1"], True, 1, 1_000_000, 0)
     made.start(0)
     for n in range(rows):
-        made.ask(Report(f"10.0.0.{n}", {"id": f"i{n}"}), n, 0)
+        made.ask(ReportUpstream(f"10.0.0.{n}", {"id": f"i{n}"}), n, 0)
         made.stored(made.chain.index, made.chain.generation)
     made.chain.held.recent_public.begin(made.chain.index)  # as after a restart
     made.serves = lambda now: True  # type: ignore[method-assign]
@@ -82,7 +82,7 @@
         assert follower.copying
         connections.publish(Publish(41, (("inst", "10.0.0.1", None),)))
         assert heard.changes() == []
-        connections.heard(lines, CopyRequest(len(pieces), pieces[-1].position))
+        connections.heard(lines, SnapshotRequest(len(pieces), pieces[-1].position))
         pieces.append(heard.last_piece())
     assert len(pieces) > 4 and sum(len(piece.rows) for piece in pieces) == 40
     assert heard.changes() == []
@@ -102,7 +102,7 @@
         connections.joined(lines)
         connections.heard(lines, Follow(-1))
     assert len({id(end.messages[-1]) for end in ends}) == 1 and ends[0].last_piece().total is not None
-    made.ask(Report("10.0.1.1", {"id": "late"}), 99, 0)
+    made.ask(ReportUpstream("10.0.1.1", {"id": "late"}), 99, 0)
     made.stored(chain.index, chain.generation)
     connections.restart()
     assert len({id(end.messages[-1]) for end in ends}) == 1
@@ -118,7 +118,7 @@
         news = messages.missed_since(index)
         assert news is not None
         messages.changes_since(index, news, ())
-        assert len(messages._missed) <= MOST_INDEXES and len(messages._changes) <= MOST_CHANGES
+        assert len(messages._missed) <= MAX_START_INDEXES and len(messages._changes) <= MAX_CHANGES_MESSAGES
 
 
 def test_what_a_follower_asked_is_not_pursued_once_it_has_left() -> None:
--- a/tests/control/test_item_index.py
+++ b/tests/control/test_item_index.py
@@ -10,14 +10,14 @@
 
 from brackengate.control.commands import DONE, decide
 from brackengate.control.item_index import ItemIndex
-from brackengate.protocol.config_items import Invalid, Item, Name, read_call
-from brackengate.protocol.config_items import route as parsed
-from brackengate.protocol.messages import Amend, InvalidOrder
+from brackengate.protocol.config_items import InvalidConfig, Item, ItemName, parse_change
+from brackengate.protocol.config_items import parse_route as parsed
+from brackengate.protocol.messages import Amend, InvalidChange
 
 MANY = 4_000
 
 
-def sound(items: dict[Name, Item]) -> bool:
+def sound(items: dict[ItemName, Item]) -> bool:
     """By reading everything: no two routes at one place, and none to a service that is not known."""
     services = {name for (kind, name), item in items.items() if kind == "plant" and item.body is not None}
     routes = [parsed(item) for (kind, _), item in items.items() if kind == "route" and item.body is not None]
@@ -40,12 +40,12 @@
         drop = [(name, version) for name in drops if name not in sets]
         body = order(*routes, plants=plants, drop=drop, drop_plants=gone)
         try:
-            asked = dict(read_call(body.encode()))
-        except Invalid:
+            asked = dict(parse_change(body.encode()))
+        except InvalidConfig:
             continue  # two at one place within the order
         decision = decide(Amend(body), {}, held)
         allowed = sound({**held, **asked})
-        assert isinstance(decision.result, InvalidOrder) is not allowed, body
+        assert isinstance(decision.result, InvalidChange) is not allowed, body
         taken, refused = taken + allowed, refused + (not allowed)
         if allowed:
             for name, item in asked.items():
@@ -58,7 +58,7 @@
     few = order(*(route(f"r{n}", 1, at=f"/{n}/") for n in range(10)), plants=[plant("p", 1)])
     one = order(route("r1", 2, at="/1/"))
     took = {}
-    for held in (ItemIndex.of(read_call(many.encode())), ItemIndex.of(read_call(few.encode()))):
+    for held in (ItemIndex.of(parse_change(many.encode())), ItemIndex.of(parse_change(few.encode()))):
         best = float("inf")
         for _ in range(7):
             begun = time.process_time()
--- a/tests/control/test_membership.py
+++ b/tests/control/test_membership.py
@@ -13,7 +13,7 @@
 from brackengate.control.membership import MembershipFacts, next_members
 from brackengate.control.replica import FIRST, Replica, StoredState
 from brackengate.control.view import ADMISSION_LAG, Agreement
-from brackengate.protocol.messages import Accept, Line, Member, Ping, Pong, Prepare, Promise, View
+from brackengate.protocol.messages import Accept, Member, Message, Ping, Pong, Prepare, Promise, View
 
 A, B, C, D, E = (Member(name, "i", 1) for name in "ABCDE")
 NEW = Member("N", "n", 2)
@@ -127,7 +127,7 @@
         self.log = LogStatus(100, True, 1, 100)
         self.now = 0
 
-    def hear(self, addr: str, word: Line) -> list[Action]:
+    def hear(self, addr: str, word: Message) -> list[Action]:
         return self.agreement.heard(addr, word, self.now, self.log)
 
     def round(self, *others: str, copied: int = -1, learner: str = "", answers: bool = True) -> list[Action]:
--- a/tests/control/test_orders.py
+++ b/tests/control/test_orders.py
@@ -11,13 +11,20 @@
 from testtools.matchers import Equals
 
 from brackengate.control.commands import DONE, HISTORY, decide
+from brackengate.control.config_changes import MAX_OVERTAKEN_VERSIONS, History
 from brackengate.control.item_index import ItemIndex
-from brackengate.control.orders import REMEMBERED, History
-from brackengate.protocol.config_items import Item, Name
-from brackengate.protocol.messages import ITEMS, Amend, ConflictingOrder, InvalidOrder, Row, UndecidedOrder
+from brackengate.protocol.config_items import Item, ItemName
+from brackengate.protocol.messages import (
+    ITEM_KINDS,
+    Amend,
+    ConflictingChange,
+    InvalidChange,
+    Row,
+    UndecidedChange,
+)
 
 OTHER = "900ms"
-Kept = dict[Name, tuple[int, object]]
+Kept = dict[ItemName, tuple[int, object]]
 
 
 class Held:
@@ -35,15 +42,15 @@
             assert found.rows == (), "a part of what was refused is in force"
         self._set(found.rows)
         return {
-            InvalidOrder: "invalid",
-            ConflictingOrder: "conflict",
-            UndecidedOrder: "undecided",
+            InvalidChange: "invalid",
+            ConflictingChange: "conflict",
+            UndecidedChange: "undecided",
         }.get(type(found.result), "done")
 
     def _set(self, rows: Sequence[Row]) -> None:
         for kind, name, value in rows:
             self.rows[kind, name] = (len(self.rows), value)
-            if kind in ITEMS:
+            if kind in ITEM_KINDS:
                 self.items.put((kind, name), msgspec.convert(value, Item))
 
     def __getitem__(self, name: str) -> str:
@@ -176,7 +183,7 @@
 class Bounded(TestCase):
     def held(self) -> Held:
         """One version more than is remembered beside the one that holds."""
-        changes = (order(route("a", version)) for version in range(3, REMEMBERED + 4))
+        changes = (order(route("a", version)) for version in range(3, MAX_OVERTAKEN_VERSIONS + 4))
         return Held(FIRST, *changes)
 
     def test_beyond_what_is_remembered_there_is_no_clear_answer(self) -> None:
@@ -192,11 +199,11 @@
 
     def test_a_history_is_bounded_by_count(self) -> None:
         history = History()
-        for version in range(3 * REMEMBERED):
+        for version in range(3 * MAX_OVERTAKEN_VERSIONS):
             history = history.with_versions({10**17 + version: "d" * 16})
-        self.assertThat(len(history.versions()), Equals(REMEMBERED))
-        self.assertThat(history.forgotten, Equals(10**17 + 2 * REMEMBERED - 1))
-        self.assertThat(len(history.digests) < REMEMBERED * (18 + 1 + 16 + 1), Equals(True))
+        self.assertThat(len(history.versions()), Equals(MAX_OVERTAKEN_VERSIONS))
+        self.assertThat(history.forgotten, Equals(10**17 + 2 * MAX_OVERTAKEN_VERSIONS - 1))
+        self.assertThat(len(history.digests) < MAX_OVERTAKEN_VERSIONS * (18 + 1 + 16 + 1), Equals(True))
 
     def test_an_item_that_never_changed_has_no_history(self) -> None:
         self.assertThat([name for kind, name in Held(FIRST, FIRST).rows if kind == HISTORY], Equals([]))
@@ -205,10 +212,10 @@
 @pytest.mark.parametrize("first", [0, 1])
 def test_what_comes_late_may_be_forgotten_at_once(first: int) -> None:
     """It is below all that is remembered: acknowledged, and no clear answer from then on."""
-    changes = [order(route("a", version)) for version in range(10, REMEMBERED + 11)]
+    changes = [order(route("a", version)) for version in range(10, MAX_OVERTAKEN_VERSIONS + 11)]
     held = Held(FIRST, *changes[:-1])
     late = [order(route("a", 5)), order(route("a", 5, cutoff=OTHER))]
     assert held.send(late[first]) == "done"
     held.send(changes[-1])
-    held.send(order(route("a", REMEMBERED + 20)))
+    held.send(order(route("a", MAX_OVERTAKEN_VERSIONS + 20)))
     assert [held.send(one) for one in late] == ["undecided", "undecided"]
--- a/tests/control/test_staging.py
+++ b/tests/control/test_staging.py
@@ -12,22 +12,22 @@
 from operators import Sent, order, route
 from test_order_timelines import Mesh, S
 
-from brackengate.control.head_orders import DELIVER_WITHIN
+from brackengate.control.change_coordinator import MAX_DELIVERY_US
 from brackengate.control.staging import (
-    PER_ROW,
+    DELIVERY_US_PER_ROW,
     PIECE_BYTES,
-    STALLED,
+    STALLED_AFTER_US,
     FollowerProgress,
-    StagedOrders,
+    StagedChanges,
     by_reference,
-    staged_order,
+    stage_change,
 )
 from brackengate.protocol.messages import Amend, Row
 
 ROUTES = 400
 MS = 1_000
 BIG = order(*(route(f"big{n}", 5) for n in range(ROUTES)))
-BOUND = DELIVER_WITHIN + PER_ROW * ROUTES
+BOUND = MAX_DELIVERY_US + DELIVERY_US_PER_ROW * ROUTES
 
 
 def mesh(*followers_take: int | None) -> Mesh:
@@ -73,7 +73,7 @@
     made = mesh(10 * MS, None, 10 * MS)
     sent = made.operator.send(BIG, made.hosts[:1])
     took = acknowledged_after(made, sent)
-    assert DELIVER_WITHIN <= took <= BOUND + 1_500 * MS  # the operator asks again after a second
+    assert MAX_DELIVERY_US <= took <= BOUND + 1_500 * MS  # the operator asks again after a second
 
 
 def test_a_small_order_passes_one_that_is_being_delivered() -> None:
@@ -169,17 +169,17 @@
 
 def test_its_pieces_hold_all_of_it_in_order_and_small_ones_are_none() -> None:
     rows = rows_of(range(1_000))
-    made = staged_order(rows)
+    made = stage_change(rows)
     assert made is not None and list(made.rows()) == rows and len(made.pieces) > 5
     assert max(len(repr(piece)) for piece in made.pieces) < 1.3 * PIECE_BYTES
-    again = staged_order(rows)
+    again = stage_change(rows)
     assert again is not None and again.id == made.id
-    assert staged_order(rows[:50]) is None
+    assert stage_change(rows[:50]) is None
 
 
 def test_drawn_references_stand_for_the_rows_that_came_into_force() -> None:
     rng = random.Random(1)
-    orders = [staged_order(rows_of(range(at, at + 200))) for at in (0, 100, 400)]
+    orders = [stage_change(rows_of(range(at, at + 200))) for at in (0, 100, 400)]
     for _ in range(200):
         held = [one for one in orders if one is not None and rng.random() < 0.7]
         rows: dict[tuple[str, str], Any] = {}
@@ -195,7 +195,7 @@
 
 
 def test_a_follower_that_asks_for_nothing_is_not_waited_for() -> None:
-    made, orders = staged_order(rows_of(range(1_000))), StagedOrders()
+    made, orders = stage_change(rows_of(range(1_000))), StagedChanges()
     assert made is not None
     orders.add(made)
     quick, slow, dead = FollowerProgress(), FollowerProgress(), FollowerProgress()
@@ -203,7 +203,7 @@
         one.asked_at[made.id] = 0
     quick.pieces[made.id] = len(made.pieces)
     for piece in range(len(made.pieces)):
-        now = (piece + 1) * (STALLED - MS)
+        now = (piece + 1) * (STALLED_AFTER_US - MS)
         slow.pieces[made.id], slow.asked_at[made.id] = piece, now
         assert orders.take_delivered([quick, slow, dead], now) == []
     slow.pieces[made.id] = len(made.pieces)
--- a/tests/emulator/test_mesh_big_orders.py
+++ b/tests/emulator/test_mesh_big_orders.py
@@ -12,7 +12,7 @@
 from test_mesh_lab import MESH, kept
 
 from brackengate.control import staging
-from brackengate.control.role import Lighthouse
+from brackengate.control.role import ControlReplica
 from brackengate.emulator.loop import MS, S
 from brackengate.emulator.mesh import checks, faults
 from brackengate.emulator.mesh.order_troubles import OrderTroubles
@@ -142,7 +142,7 @@
 def views(outcome: Outcome) -> int:
     """The newest view that was agreed."""
     roles = [machine.role for machine in outcome.made.world.core]
-    return max(role.replica.agreement.view.epoch for role in roles if isinstance(role, Lighthouse))
+    return max(role.replica.agreement.view.epoch for role in roles if isinstance(role, ControlReplica))
 
 
 # --- taken out, each is missed
@@ -151,13 +151,13 @@
 def test_without_delivery_it_is_acknowledged_too_early(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    monkeypatch.setattr(staging, "STAGED_BYTES", 1 << 40)
+    monkeypatch.setattr(staging, "MIN_STAGED_BYTES", 1 << 40)
     assert played(content=RANDOM, routes=3000).behind != []
 
 
 def test_without_parts_liveness_waits_behind_bulk(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(staging, "STAGED_BYTES", 1 << 40)
-    monkeypatch.setattr(message_parts, "LONG", 1 << 40)
+    monkeypatch.setattr(staging, "MIN_STAGED_BYTES", 1 << 40)
+    monkeypatch.setattr(message_parts, "COMPRESS_FROM_BYTES", 1 << 40)
     assert played(content=RANDOM).made.worth < 0.8
 
 
@@ -173,6 +173,6 @@
 
     monkeypatch.setattr(WayOut, "_route_of", looked_up)
     monkeypatch.setattr(Currency, "current", lambda *_: True)
-    monkeypatch.setattr(staging, "STAGED_BYTES", 1 << 40)
-    monkeypatch.setattr(message_parts, "LONG", 1 << 40)
+    monkeypatch.setattr(staging, "MIN_STAGED_BYTES", 1 << 40)
+    monkeypatch.setattr(message_parts, "COMPRESS_FROM_BYTES", 1 << 40)
     assert "CONFIG" in played(content=RANDOM, routes=3000).made.rules
--- a/tests/emulator/test_mesh_copies.py
+++ b/tests/emulator/test_mesh_copies.py
@@ -6,7 +6,7 @@
 from test_mesh_lab import kept, played
 
 from brackengate.control import log, transfer
-from brackengate.protocol.messages import CopyPiece, CopyPosition
+from brackengate.protocol.messages import SnapshotPiece, SnapshotPosition
 from brackengate.proxy.copy import PublicCopy
 
 
@@ -15,7 +15,7 @@
     pieces: list[bool] = []
     real = PublicCopy.take
 
-    def take(self: PublicCopy, asked: CopyPosition, piece: CopyPiece) -> bool:
+    def take(self: PublicCopy, asked: SnapshotPosition, piece: SnapshotPiece) -> bool:
         pieces.append(real(self, asked, piece))
         return pieces[-1]
 
--- a/tests/emulator/test_mesh_hard.py
+++ b/tests/emulator/test_mesh_hard.py
@@ -14,7 +14,7 @@
 from test_mesh_lab import MESH, kept, played
 
 from brackengate.control.chain import Chain
-from brackengate.control.role import Lighthouse
+from brackengate.control.role import ControlReplica
 from brackengate.control.view import Agreement
 from brackengate.emulator.mesh import world
 from brackengate.emulator.mesh.play import Played, play
@@ -111,7 +111,7 @@
     word     stored -> agreed -> acked: and it is gone
     """
 
-    def write(self: Lighthouse) -> None:
+    def write(self: ControlReplica) -> None:
         batch, self._queue = self._queue, []
         self._writing_since = self.now()
         self._drive.write(batch)
@@ -119,7 +119,7 @@
         done.set_result(None)
         self._loop.call_soon(self._written, batch, done)
 
-    monkeypatch.setattr(Lighthouse, "_write", write)
+    monkeypatch.setattr(ControlReplica, "_write", write)
     assert {"CONFIG", "LOST"} & set(played("closing-power.toml", "length=30s").rules)
 
 
--- a/tests/emulator/test_mesh_leases.py
+++ b/tests/emulator/test_mesh_leases.py
@@ -13,8 +13,8 @@
 from brackengate.emulator.mesh import checks, faults
 from brackengate.emulator.mesh.scenario import changed
 from brackengate.emulator.mesh.world import CALM, World
-from brackengate.protocol.message_parts import EncodedMessage, unpacked
-from brackengate.protocol.messages import Away, Core, Line
+from brackengate.protocol.message_parts import EncodedMessage, decompress
+from brackengate.protocol.messages import ControlReplicas, Message, Redirect
 
 S = 1_000_000
 SLACK = 100_000  # a tick, and what is on its way
@@ -29,22 +29,22 @@
     text += '[[fault]]\nat = "8s"\nkind = "kill"\non = ["p0"]\nlasts = "500ms"\n'
     text += "".join(more)
     world = World(changed(text, "cut.toml", ["length=30s"]), 1)
-    told: list[tuple[int, str, str, Line]] = []
+    told: list[tuple[int, str, str, Message]] = []
     say, say_encoded = FollowerConnections._say, FollowerConnections._say_encoded
 
-    def note(self: FollowerConnections, follower: Follower, word: Line) -> None:
+    def note(self: FollowerConnections, follower: Follower, word: Message) -> None:
         member = self._replica.me.partition(":")[0]
         told.append((world.loop.now - CALM, member, follower.lines.peer, word))
 
-    def said(self: FollowerConnections, follower: Follower, word: Line) -> None:
+    def said(self: FollowerConnections, follower: Follower, word: Message) -> None:
         note(self, follower, word)
         say(self, follower, word)
 
     def said_encoded(
         self: FollowerConnections, follower: Follower, message: EncodedMessage, stream: bool = True
     ) -> None:
-        line = unpacked(message.data, message.size) if message.size else message.data
-        note(self, follower, msgspec.json.decode(line, type=Line))
+        line = decompress(message.data, message.size) if message.size else message.data
+        note(self, follower, msgspec.json.decode(line, type=Message))
         say_encoded(self, follower, message, stream)
 
     monkeypatch.setattr(FollowerConnections, "_say", said)
@@ -70,8 +70,8 @@
         if member == cut_off and 2 * S + LEASE + SLACK < when < 22 * S
     ]
     assert late != []  # it is asked, and sends them away
-    assert [word for _, word in late if not isinstance(word, Away | Core)] == []
-    assert not any(word.touch for _, word in late if isinstance(word, Core))
+    assert [word for _, word in late if not isinstance(word, Redirect | ControlReplicas)] == []
+    assert not any(word.touch for _, word in late if isinstance(word, ControlReplicas))
     found = [
         when for when, member, peer, _ in told if peer.startswith(anew) and member != cut_off and when > 8 * S
     ]
--- a/tests/emulator/test_mesh_worst_days.py
+++ b/tests/emulator/test_mesh_worst_days.py
@@ -13,9 +13,9 @@
 import pytest
 from test_mesh_lab import FIRST, MESH, S, asked, broken, kept, offers, played, ran, small
 
-from brackengate.control import orders
+from brackengate.control import config_changes
 from brackengate.control.replica import Replica
-from brackengate.control.role import Lighthouse
+from brackengate.control.role import ControlReplica
 from brackengate.emulator.mesh import checks
 from brackengate.emulator.mesh.hunt import fair, mutated
 from brackengate.emulator.mesh.play import Played, play
@@ -64,7 +64,7 @@
 
 def members(made: Played) -> set[str]:
     """The machines of the newest view at the end."""
-    roles = [one.role for one in made.world.core if isinstance(one.role, Lighthouse)]
+    roles = [one.role for one in made.world.core if isinstance(one.role, ControlReplica)]
     view = max((role.replica.agreement.view for role in roles), key=lambda view: view.epoch)
     names = {one.ip: one.name for one in made.world.core}
     return {names[member.addr.partition(":")[0]] for member in view.members}
@@ -118,7 +118,7 @@
 def test_an_acknowledgement_before_its_sync_is_seen(monkeypatch: pytest.MonkeyPatch) -> None:
     """disks  writing ...... x     |  word of it: acked, and it is gone"""
 
-    def write(self: Lighthouse) -> None:
+    def write(self: ControlReplica) -> None:
         batch, self._queue = self._queue, []
         self._writing_since = self.now()
         self._drive.write(batch)
@@ -126,25 +126,25 @@
         done.set_result(None)
         self._loop.call_soon(self._written, batch, done)
 
-    monkeypatch.setattr(Lighthouse, "_write", write)
+    monkeypatch.setattr(ControlReplica, "_write", write)
     assert "CONFIG" in played("after-sent.toml").rules
 
 
 def test_a_second_order_under_one_version_that_is_taken_is_seen(monkeypatch: pytest.MonkeyPatch) -> None:
     """Whether another content was acknowledged under its version is not asked."""
-    monkeypatch.setattr(orders, "_by_records", lambda judged: None)
+    monkeypatch.setattr(config_changes, "_refusal_by_records", lambda judged: None)
     assert "CONFIG" in first_faults("one-number", 3, 20).rules
 
 
 def test_an_order_that_is_judged_anew_when_it_comes_again_is_seen(monkeypatch: pytest.MonkeyPatch) -> None:
     """Whether it was acknowledged before is not asked."""
-    verdict = orders._verdict
+    verdict = config_changes._classify
 
-    def forgetful(*given: Any) -> orders.Verdict:
+    def forgetful(*given: Any) -> config_changes.Verdict:
         found = verdict(*given)
-        return orders.Verdict.OVERTAKEN if found is orders.Verdict.ACKNOWLEDGED else found
+        return config_changes.Verdict.OVERTAKEN if found is config_changes.Verdict.ACKNOWLEDGED else found
 
-    monkeypatch.setattr(orders, "_verdict", forgetful)
+    monkeypatch.setattr(config_changes, "_classify", forgetful)
     assert "CONFIG" in first_faults("lost-acks", 2, 9).rules
 
 
--- a/tests/meshctl/test_meshctl_pure.py
+++ b/tests/meshctl/test_meshctl_pure.py
@@ -9,21 +9,21 @@
 from testtools import ExpectedException, TestCase
 from testtools.matchers import Equals, MatchesRegex
 
+from brackengate.control.config_changes import History, decide
 from brackengate.control.item_index import ItemIndex
-from brackengate.control.orders import History, decide
 from brackengate.interface import Outcome, Request
 from brackengate.meshctl import archive, figures, hops
 from brackengate.meshctl.changes import as_call, compare, items_of, sound
-from brackengate.protocol.config_items import read_call
+from brackengate.protocol.config_items import parse_change
 from brackengate.protocol.messages import (
     CommandDone,
-    Follows,
-    HeldItem,
-    Instance,
-    Items,
+    FollowerStatus,
+    ItemList,
     Member,
-    Neighbour,
-    Standing,
+    PeerStatus,
+    ReplicaStatus,
+    StoredItem,
+    UpstreamReport,
 )
 from brackengate.proxy.hop_headers import Said
 from brackengate.proxy.request_log import MOST_OPEN, Wake
@@ -40,11 +40,11 @@
 
 
 HELD = (
-    HeldItem("plant", "p", 1, 3, body={"Name": "p", "Revision": "r3"}),
-    HeldItem("route", "a", 2, 3, "h", route("a", 3)),
-    HeldItem("route", "b", 4, 9),
+    StoredItem("plant", "p", 1, 3, body={"Name": "p", "Revision": "r3"}),
+    StoredItem("route", "a", 2, 3, "h", route("a", 3)),
+    StoredItem("route", "b", 4, 9),
 )
-ITEMS = Items(True, 7, 2, HELD)
+ITEMS = ItemList(True, 7, 2, HELD)
 
 
 class Changes(TestCase):
@@ -95,10 +95,10 @@
 class Backups(TestCase):
     def test_an_empty_mesh_gets_all_of_it_and_a_newer_one_keeps_its_own(self) -> None:
         body = archive.call_of(archive.unpack(archive.pack(ITEMS, "now")))
-        first = decide(read_call(body), ItemIndex(), lambda _: History())
+        first = decide(parse_change(body), ItemIndex(), lambda _: History())
         self.assertThat((first.result, first.items), Equals((CommandDone(), items_of(HELD))))
-        newer = items_of([*HELD[:1], HeldItem("route", "a", 9, 8), *HELD[2:]])
-        again = decide(read_call(body), ItemIndex.of(newer.items()), lambda _: History())
+        newer = items_of([*HELD[:1], StoredItem("route", "a", 9, 8), *HELD[2:]])
+        again = decide(parse_change(body), ItemIndex.of(newer.items()), lambda _: History())
         self.assertThat((again.result, again.items), Equals((CommandDone(), {})))
 
     def test_a_damaged_or_newer_file_is_turned_down(self) -> None:
@@ -112,7 +112,7 @@
         self.assertThat(archive.unpack(whole).place, Equals(7))
 
 
-def standing(addr: str, commit_index: int, seats: str = "ABC", **more: Any) -> Standing:
+def standing(addr: str, commit_index: int, seats: str = "ABC", **more: Any) -> ReplicaStatus:
     view = tuple(Member(one, "first", 1) for one in seats)
     epoch = more.pop("epoch", 4)
     given: dict[str, Any] = {
@@ -121,7 +121,7 @@
         "serves": True,
         "public": commit_index,
     }
-    return Standing(
+    return ReplicaStatus(
         addr,
         "first",
         f"z{addr}",
@@ -138,7 +138,7 @@
 class Figures(TestCase):
     def test_members_stand_in_the_chains_order_and_the_lost_are_named(self) -> None:
         told = [
-            standing("A", 9, "BAC", neighbours=(Neighbour("C", "zC", True),)),
+            standing("A", 9, "BAC", neighbours=(PeerStatus("C", "zC", True),)),
             standing("B", 12, "BAC", duties=("mend",)),
             standing("D", 3, "BAC", epoch=3, serves=False, leaves=True),
         ]
@@ -168,9 +168,12 @@
 
     def test_a_pilot_that_does_not_say_how_far_it_is_counts_as_late(self) -> None:
         told = [
-            standing("A", 9, pilots=(Follows("p1", 9, 9), Follows("p2", 9))),
+            standing("A", 9, pilots=(FollowerStatus("p1", 9, 9), FollowerStatus("p2", 9))),
             standing(
-                "B", 9, pilots=(Follows("p3", 9, 6),), upstreams=(("p4", Instance("i", "s", "z", "ready")),)
+                "B",
+                9,
+                pilots=(FollowerStatus("p3", 9, 6),),
+                upstreams=(("p4", UpstreamReport("i", "s", "z", "ready")),),
             ),
         ]
         self.assertThat(figures.behind(told, 7), Equals(["p2", "p3"]))
@@ -178,7 +181,7 @@
         self.assertThat(figures.unseen(told[1:]), Equals(["p4"]))
 
     def test_the_earliest_place_of_an_item_counts(self) -> None:
-        late = Items(True, 9, 2, tuple(msgspec.structs.replace(one, index=9) for one in HELD))
+        late = ItemList(True, 9, 2, tuple(msgspec.structs.replace(one, index=9) for one in HELD))
         names = [(("plant", "p"), 3), (("route", "a"), 3)]
         self.assertThat(figures.place_of(names, [late, ITEMS]), Equals(2))
         self.assertThat(figures.place_of([*names, (("route", "b"), 10)], [late, ITEMS]), Equals(None))
@@ -197,7 +200,7 @@
         wake.ended(request, 200, 1_000_000, 1_011_400)
         wake.visited(b"id-1", 1_000_900, 400, "r", "i-1", b"", Said.AWAY, "draining")
         wake.turned_away(b"id-2", 5_000_000, 404, "no route")
-        found = hops.in_order([Follows("10.0.0.9", 1, 1, wake.about("id-1"))])
+        found = hops.in_order([FollowerStatus("10.0.0.9", 1, 1, wake.about("id-1"))])
         self.assertThat(
             "\n".join(hops.text(*one) for one in found),
             Equals(
--- a/tests/protocol/test_config_items.py
+++ b/tests/protocol/test_config_items.py
@@ -10,9 +10,16 @@
 from testtools import ExpectedException, TestCase
 from testtools.matchers import Equals
 
+from brackengate.control.config_changes import History, decide
 from brackengate.control.item_index import ItemIndex
-from brackengate.control.orders import History, decide
-from brackengate.protocol.config_items import Invalid, Item, Name, Order, layout, read_call
+from brackengate.protocol.config_items import (
+    ConfigChange,
+    InvalidConfig,
+    Item,
+    ItemName,
+    config_document,
+    parse_change,
+)
 from brackengate.protocol.messages import CommandDone
 
 PLANT = {"Name": "p", "HealthPath": "/health", "ConnLimit": 110, "Deduplicates": False, "Revision": "r7"}
@@ -28,12 +35,12 @@
 }
 
 
-def effect(order: Order, held: Mapping[Name, Item]) -> Mapping[Name, Item]:
-    """What comes into force, where nothing was overtaken before; `Invalid` where it is refused."""
+def effect(order: ConfigChange, held: Mapping[ItemName, Item]) -> Mapping[ItemName, Item]:
+    """What comes into force, where nothing was overtaken before; `InvalidConfig` where it is refused."""
     decision = decide(order, ItemIndex.of(held.items()), lambda _: History())
     if not isinstance(decision.result, CommandDone):
         assert not decision.items and not decision.histories
-        raise Invalid(decision.result.reason)
+        raise InvalidConfig(decision.result.reason)
     return decision.items
 
 
@@ -65,38 +72,38 @@
     ],
 )
 def test_an_invalid_call_has_no_effect_in_any_part(why: str, body: bytes) -> None:
-    with pytest.raises(Invalid):
-        effect(read_call(body), {})
+    with pytest.raises(InvalidConfig):
+        effect(parse_change(body), {})
 
 
 class Versions(TestCase):
     def held(self) -> dict[tuple[str, str], Item]:
-        return dict(effect(read_call(call(ROUTE)), {}))
+        return dict(effect(parse_change(call(ROUTE)), {}))
 
     def test_the_highest_version_holds_and_an_older_call_changes_nothing(self) -> None:
         held = self.held()
-        newer = read_call(call({**ROUTE, "Cutoff": "900ms", "Revision": "r9"}, plants=()))
+        newer = parse_change(call({**ROUTE, "Cutoff": "900ms", "Revision": "r9"}, plants=()))
         self.assertThat(set(effect(newer, held)), Equals({("route", "r")}))
         held |= effect(newer, held)
-        self.assertThat(effect(read_call(call(ROUTE)), held), Equals({}))
+        self.assertThat(effect(parse_change(call(ROUTE)), held), Equals({}))
         self.assertThat(held["route", "r"].version, Equals(9))
 
     def test_what_was_dropped_stays_dropped_for_older_versions(self) -> None:
         held = self.held()
-        held |= effect(read_call(call(plants=(), remove=[{"Name": "r", "Revision": "r9"}])), held)
+        held |= effect(parse_change(call(plants=(), remove=[{"Name": "r", "Revision": "r9"}])), held)
         self.assertThat(held["route", "r"].body, Equals(None))
-        self.assertThat(effect(read_call(call({**ROUTE, "Revision": "r8"})), held), Equals({}))
+        self.assertThat(effect(parse_change(call({**ROUTE, "Revision": "r8"})), held), Equals({}))
         self.assertThat(
-            set(effect(read_call(call({**ROUTE, "Revision": "r10"})), held)), Equals({("route", "r")})
+            set(effect(parse_change(call({**ROUTE, "Revision": "r10"})), held)), Equals({("route", "r")})
         )
 
     def test_a_place_may_go_to_another_route_in_one_call_and_not_beside_it(self) -> None:
         held, other = self.held(), {**ROUTE, "Name": "other", "Revision": "r9"}
-        with ExpectedException(Invalid):
-            effect(read_call(call(other)), held)
-        moved = effect(read_call(call(other, remove=[{"Name": "r", "Revision": "r9"}])), held)
+        with ExpectedException(InvalidConfig):
+            effect(parse_change(call(other)), held)
+        moved = effect(parse_change(call(other, remove=[{"Name": "r", "Revision": "r9"}])), held)
         self.assertThat(set(moved), Equals({("route", "other"), ("route", "r")}))
 
     def test_what_is_read_back_is_what_was_sent(self) -> None:
         sent = json.loads(call(ROUTE))["Apply"]
-        self.assertThat(layout(self.held().items()), Equals(sent))
+        self.assertThat(config_document(self.held().items()), Equals(sent))
--- a/tests/protocol/test_contents.py
+++ b/tests/protocol/test_contents.py
@@ -8,7 +8,7 @@
 import msgspec
 import pytest
 
-from brackengate.protocol.config_items import Invalid, Item, read_call
+from brackengate.protocol.config_items import InvalidConfig, Item, parse_change
 from brackengate.protocol.contents import digest
 
 P, Q = '{"Plant":"p","Gain":90}', '{"Plant":"q","Gain":10}'
@@ -83,5 +83,5 @@
     for _ in range(40):
         deep = [deep]
     body = {"Apply": {"Plants": [{"Name": "p", "Revision": "r1", "Deep": deep}]}}
-    with pytest.raises(Invalid, match="nested"):
-        read_call(json.dumps(body).encode())
+    with pytest.raises(InvalidConfig, match="nested"):
+        parse_change(json.dumps(body).encode())
--- a/tests/protocol/test_message_parts.py
+++ b/tests/protocol/test_message_parts.py
@@ -9,24 +9,24 @@
 import msgspec
 import pytest
 
-from brackengate.protocol.json_connection import Lines
+from brackengate.protocol.json_connection import JsonConnection
 from brackengate.protocol.message_parts import (
-    FIRST_WINDOW,
-    LEAST_WINDOW,
-    LONG,
-    MOST_WINDOW,
+    COMPRESS_FROM_BYTES,
+    INITIAL_WINDOW_BYTES,
+    MAX_WINDOW_BYTES,
+    MIN_WINDOW_BYTES,
     PART_BYTES,
-    Incoming,
-    Outgoing,
+    IncomingMessages,
+    MalformedMessage,
+    OutgoingMessages,
     SendWindow,
-    Unreadable,
-    packed,
-    unpacked,
+    compress_long,
+    decompress,
 )
-from brackengate.protocol.messages import Changes, Line, Part, PartReceived, Ping, StagePiece
+from brackengate.protocol.messages import Changes, Message, MessagePart, PartReceived, Ping, StagePiece
 
 ROUTES = 400
-_decode = msgspec.json.Decoder(Line).decode
+_decode = msgspec.json.Decoder(Message).decode
 
 
 def incompressible(rows: int) -> Changes:
@@ -58,13 +58,13 @@
     def write(self, data: bytes) -> None:
         self.written.append(data)
 
-    def takes(self) -> list[Line]:
+    def takes(self) -> list[Message]:
         found, self.written = [_decode(one) for one in b"".join(self.written).split(b"\n")[:-1]], []
         return found
 
 
-def connection(heard: list[Line]) -> tuple[Lines, Wire]:
-    lines, wire = Lines(lambda _, word: heard.append(word), lambda _: None, lambda _: None), Wire()
+def connection(heard: list[Message]) -> tuple[JsonConnection, Wire]:
+    lines, wire = JsonConnection(lambda _, word: heard.append(word), lambda _: None, lambda _: None), Wire()
     transport: Any = wire
     lines.connection_made(transport)
     return lines, wire
@@ -74,25 +74,25 @@
     async def play() -> None:
         lines, wire = connection([])
         lines.send(incompressible(ROUTES))
-        assert sum(map(len, wire.written)) < 2 * FIRST_WINDOW  # the rest waits for acknowledgements
+        assert sum(map(len, wire.written)) < 2 * INITIAL_WINDOW_BYTES  # the rest waits for acknowledgements
         begun = wire.takes()
         lines.send(Changes(2))
         lines.send(Ping("a", 1))
         assert [type(word) for word in wire.takes()] == [Ping]
-        words: list[Line] = []
+        words: list[Message] = []
         for _ in range(1000):
             lines.data_received(msgspec.json.encode(PartReceived()) + b"\n")
             words += wire.takes()
             if Changes(2) in words:
                 break
-        assert all(isinstance(word, Part) for word in begun + words[:-1])
+        assert all(isinstance(word, MessagePart) for word in begun + words[:-1])
 
     asyncio.run(play())
 
 
 def test_a_message_of_the_stream_passes_one_in_the_background() -> None:
     async def play() -> None:
-        heard: list[Line] = []
+        heard: list[Message] = []
         (sender, out), (taker, back) = connection([]), connection(heard)
         bulk, news = StagePiece("x", 0, incompressible(ROUTES).rows), Changes(2, incompressible(40).rows)
         for word in (bulk, news, Changes(3)):
@@ -111,9 +111,9 @@
 
 def test_what_arrives_is_what_was_sent_whatever_the_pieces_it_comes_in() -> None:
     async def play() -> None:
-        heard: list[Line] = []
+        heard: list[Message] = []
         (sender, out), (taker, back) = connection([]), connection(heard)
-        said = [incompressible(ROUTES), Changes(2), Changes(3, (("inst", "x" * LONG, None),))]
+        said = [incompressible(ROUTES), Changes(2), Changes(3, (("inst", "x" * COMPRESS_FROM_BYTES, None),))]
         for word in said:
             sender.send(word)
         rng = random.Random(2)
@@ -134,13 +134,13 @@
 def test_each_part_is_a_sign_of_life() -> None:
     async def play() -> None:
         signs: list[int] = []
-        taker = Lines(lambda *_: None, lambda _: None, lambda _: None, lambda: signs.append(1))
+        taker = JsonConnection(lambda *_: None, lambda _: None, lambda _: None, lambda: signs.append(1))
         transport: Any = Wire()
         taker.connection_made(transport)
-        outgoing = Outgoing()
-        outgoing.add(packed(msgspec.json.encode(incompressible(ROUTES)) + b"\n"))
+        outgoing = OutgoingMessages()
+        outgoing.add(compress_long(msgspec.json.encode(incompressible(ROUTES)) + b"\n"))
         part = outgoing.next(0.0)
-        assert isinstance(part, Part) and not part.size
+        assert isinstance(part, MessagePart) and not part.size
         taker.data_received(msgspec.json.encode(part) + b"\n")
         assert signs == [1]
 
@@ -152,19 +152,19 @@
     for _ in range(100):
         window.sent(PART_BYTES, 0.0)
         window.acknowledged(0.01)
-    assert window.size == MOST_WINDOW and window.in_flight == 0
+    assert window.size == MAX_WINDOW_BYTES and window.in_flight == 0
     for _ in range(10):
         window.sent(PART_BYTES, 0.0)
         window.acknowledged(0.5)
-    assert window.size == LEAST_WINDOW
-    with pytest.raises(Unreadable):
+    assert window.size == MIN_WINDOW_BYTES
+    with pytest.raises(MalformedMessage):
         window.acknowledged(1.0)
 
 
 @pytest.mark.parametrize("wrong", ["short", "long", "cut", "spoilt", "more", "huge"])
 def test_parts_that_make_no_message_are_refused(wrong: str) -> None:
     """Above all one that would unfold to more than it tells."""
-    message = packed(b"x" * 100_000)
+    message = compress_long(b"x" * 100_000)
     data, size = {
         "short": (message.data, message.size - 1),
         "long": (message.data, message.size + 1),
@@ -173,12 +173,12 @@
         "more": (message.data + b"x", message.size),
         "huge": (message.data, 1 << 40),
     }[wrong]
-    with pytest.raises(Unreadable):
-        unpacked(data, size)
+    with pytest.raises(MalformedMessage):
+        decompress(data, size)
 
 
 def test_a_message_without_an_end_is_refused() -> None:
-    incoming, part = Incoming(), Part(bytes(1 << 20))
-    with pytest.raises(Unreadable):
+    incoming, part = IncomingMessages(), MessagePart(bytes(1 << 20))
+    with pytest.raises(MalformedMessage):
         for _ in range(33):
             assert incoming.take(part) is None
--- a/tests/protocol/test_settings.py
+++ b/tests/protocol/test_settings.py
@@ -8,7 +8,7 @@
 from click.testing import CliRunner
 
 from brackengate.mesh import main
-from brackengate.protocol.settings import BadSettings, parse
+from brackengate.protocol.settings import InvalidSettings, parse
 
 GOOD = """
 Node = "sidecar-1"
@@ -59,7 +59,7 @@
     ],
 )
 def test_a_wrong_field_is_one_line_with_file_and_key(line: str, bad: str, words: str) -> None:
-    with pytest.raises(BadSettings) as caught:
+    with pytest.raises(InvalidSettings) as caught:
         parse(GOOD.replace(line, bad, 1), "brackengate.toml")
     assert words in str(caught.value) and "\n" not in str(caught.value)
     assert str(caught.value).startswith("brackengate.toml: ")
--- a/tests/proxy/pilots.py
+++ b/tests/proxy/pilots.py
@@ -17,7 +17,7 @@
 from brackengate.net.node import Clock
 from brackengate.net.sockets import SocketBudget, bind
 from brackengate.net.upstream import Pool
-from brackengate.protocol.http_api import listener
+from brackengate.protocol.http_api import create_server
 from brackengate.protocol.messages import CommandDone, HeldBy
 from brackengate.proxy.admission import Beat, Gate
 from brackengate.proxy.egress import WayOut
@@ -135,7 +135,9 @@
             is_current=lambda: self.current,
         )
         doors = ((self.entry, self.inside), (self.way, self.out))
-        self.servers = [listener(loop, self.clock, [bind((LOCAL, 0))], one, sockets, b) for one, b in doors]
+        self.servers = [
+            create_server(loop, self.clock, [bind((LOCAL, 0))], one, sockets, b) for one, b in doors
+        ]
         self.inbound, self.port = (server.start()[0] for server in self.servers)
         kinds = (("read", "idempotent"), ("buy", "effectful"), ("bid", "keyed"))
         rows = [_route(name, kind) for name, kind in kinds]
--- a/tests/proxy/test_big_change.py
+++ b/tests/proxy/test_big_change.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from brackengate.protocol.json_connection import encoded
+from brackengate.protocol.json_connection import encode_message
 from brackengate.protocol.messages import Changes, Row
 
 ROUTES = 1_520  # in one order
@@ -27,4 +27,4 @@
 def test_a_change_of_many_routes_fits_a_small_link() -> None:
     """Else it is not in force in time at a machine whose link is small, and holds up its requests."""
     rows = tuple(_route(number) for number in range(ROUTES))
-    assert len(encoded(Changes(1, rows))) <= MOST_BYTES
+    assert len(encode_message(Changes(1, rows))) <= MOST_BYTES
--- a/tests/proxy/test_deciders.py
+++ b/tests/proxy/test_deciders.py
@@ -9,8 +9,8 @@
 from brackengate.interface import Earlier, Endpoint, Outcome
 from brackengate.net.node import FAILED, OVERDUE, REFUSED
 from brackengate.net.upstream import Result
-from brackengate.protocol.config_items import Part
-from brackengate.protocol.messages import Instance
+from brackengate.protocol.config_items import WeightedService
+from brackengate.protocol.messages import UpstreamReport
 from brackengate.proxy.admission import Beat, Gate, Operations, State
 from brackengate.proxy.egress import MeshWords
 from brackengate.proxy.follow import order
@@ -65,7 +65,7 @@
         self.assertThat({name: it.id for name, it in table.instances.items()}, Equals({"10.0.0.2": "i-3"}))
 
     def test_weights_and_hosts(self) -> None:
-        parts = (Part("a", 90), Part("b", 0), Part("c", 10))
+        parts = (WeightedService("a", 90), WeightedService("b", 0), WeightedService("c", 10))
         self.assertThat([choose(parts, at) for at in (0.0, 0.89, 0.9, 0.999)], Equals(["a", "a", "c", "c"]))
         self.assertThat([host_of(b"H.example:80"), host_of(b"h.example")], Equals(["h.example"] * 2))
 
@@ -118,11 +118,11 @@
     def test_a_restarted_pilot_knows_its_upstream_until_the_first_beat_is_overdue(self) -> None:
         for state, admits in (("ready", True), ("away", True), ("draining", False), ("gone", False)):
             gate = Gate("z", 1500 * MS, 2 * S)
-            gate.adopt(Instance("i-1", "p", "z", state, 6), 10 * S)
+            gate.adopt(UpstreamReport("i-1", "p", "z", state, 6), 10 * S)
             self.assertThat(gate.admits("i-1", 11 * S) == "", Equals(admits), state)
             self.assertThat(bool(gate.admits("i-1", 13 * S)), Equals(True), state)
         gate = self.gate()
-        gate.adopt(Instance("i-0", "p", "z", "ready", 6), 0)
+        gate.adopt(UpstreamReport("i-0", "p", "z", "ready", 6), 0)
         self.assertThat(gate.admits("i-1", 0), Equals(""))
 
     def test_operations_are_forgotten_by_bytes_and_age_but_never_at_work(self) -> None:
--- a/tests/proxy/test_follower_copy.py
+++ b/tests/proxy/test_follower_copy.py
@@ -9,7 +9,7 @@
 from brackengate.control import transfer
 from brackengate.control.log import ReplicaLog
 from brackengate.control.transfer import NOTHING, Differs, next_piece
-from brackengate.protocol.messages import CopyPiece, CopyRequest, Entry
+from brackengate.protocol.messages import Entry, SnapshotPiece, SnapshotRequest
 from brackengate.proxy.copy import PublicCopy
 from brackengate.proxy.routing_table import Table
 
@@ -33,9 +33,9 @@
         self.log.take(Entry(index, ((kind, name, value), ("key", f"k{index}", ["g", "1"]))))
         self.log.commit(index)
 
-    def piece(self, copy: PublicCopy) -> CopyPiece:
+    def piece(self, copy: PublicCopy) -> SnapshotPiece:
         log = self.log
-        made = next_piece(log.state.public, log.recent_public, log.index, CopyRequest(1, copy.position))
+        made = next_piece(log.state.public, log.recent_public, log.index, SnapshotRequest(1, copy.position))
         assert made is not None
         return made
 
--- a/tests/proxy/test_routing_table_indexes.py
+++ b/tests/proxy/test_routing_table_indexes.py
@@ -5,7 +5,7 @@
 import random
 import time
 
-from brackengate.protocol.messages import Instance, Row
+from brackengate.protocol.messages import Row, UpstreamReport
 from brackengate.proxy.routing_table import Table
 
 MANY = 4_000
@@ -51,7 +51,7 @@
     table.changes(2, [instance("m", "q", "ready")])
     assert table.take_touched().services == {"p", "q"}
     assert table.take_touched().services == set()
-    assert isinstance(table.upstreams_of("q")["m"], Instance)
+    assert isinstance(table.upstreams_of("q")["m"], UpstreamReport)
 
 
 def test_a_route_that_comes_to_a_place_before_the_old_one_leaves_keeps_it() -> None:
--- a/tests/proxy/test_staged.py
+++ b/tests/proxy/test_staged.py
@@ -15,14 +15,14 @@
 from brackengate.control.log import ReplicaLog
 from brackengate.control.transfer import NOTHING
 from brackengate.protocol.messages import (
-    Beat,
     Changes,
-    CopyPiece,
-    CopyPosition,
-    CopyRequest,
     Entry,
-    Line,
+    Heartbeat,
+    Message,
     Row,
+    SnapshotPiece,
+    SnapshotPosition,
+    SnapshotRequest,
     StagedPosition,
     StagedRows,
     StageOffer,
@@ -86,10 +86,10 @@
 
     def __init__(self) -> None:
         self.addr, self.good, self.closed = "10.0.0.1:80", True, False
-        self.said: list[Line] = []
+        self.said: list[Message] = []
         self.clock = follow.ClockOffset()
 
-    def send(self, word: Line) -> None:
+    def send(self, word: Message) -> None:
         self.said.append(word)
 
     def close(self) -> None:
@@ -108,7 +108,7 @@
     def _changed(self, kinds: set[str]) -> None:
         self.told.append(sum(1 for _ in self.table.routes()))
 
-    def hear(self, *words: Line) -> None:
+    def hear(self, *words: Message) -> None:
         for word in words:
             self.following.line(self.replica, word)  # type: ignore[arg-type]
 
@@ -160,7 +160,7 @@
         one.now = 1_000
         one.hear(Changes(3, (route(0, 1),)))
         one.stage(4, ROUTES // 4)
-        one.hear(Beat(4, 5_000, 100, 900), Changes(4, (), (StagedRows("x"),)))
+        one.hear(Heartbeat(4, 5_000, 100, 900), Changes(4, (), (StagedRows("x"),)))
         assert not one.following.is_current(1_000_000)
         while one.table.index < 4:
             await asyncio.sleep(0)
@@ -198,14 +198,14 @@
             self._log.take(Entry(at, (row,)))
             self._log.commit(at)
 
-    def asked_for(self, piece: CopyPiece) -> CopyPosition:
+    def asked_for(self, piece: SnapshotPiece) -> SnapshotPosition:
         return self.position
 
-    def ask_for_piece(self, position: CopyPosition) -> None:
+    def ask_for_piece(self, position: SnapshotPosition) -> None:
         self.position = position
 
-    def next_piece(self) -> CopyPiece:
-        log, request = self._log, CopyRequest(0, self.position)
+    def next_piece(self) -> SnapshotPiece:
+        log, request = self._log, SnapshotRequest(0, self.position)
         piece = transfer.next_piece(log.state.public, log.recent_public, log.index, request)
         assert piece is not None
         self.sent_whole = piece.total is not None
