--- a/benchmarks/scale/hollow.py
+++ b/benchmarks/scale/hollow.py
@@ -37,7 +37,7 @@
 )
 from brackengate.net.ground import steady_us
 from brackengate.protocol.messages import Claim, CommandDone
-from brackengate.protocol.messages import Report as UpstreamReport
+from brackengate.protocol.messages import ReportUpstream as UpstreamReport
 from brackengate.proxy import failure_detector, role
 from brackengate.proxy.admission import Admission, Heartbeat
 from brackengate.proxy.control_client import ControlClient
--- a/brackengate/proxy/admission.py
+++ b/brackengate/proxy/admission.py
@@ -11,7 +11,7 @@
 from dataclasses import dataclass, field
 from enum import Enum
 
-from brackengate.protocol.messages import Instance
+from brackengate.protocol.messages import UpstreamReport
 
 ADOPTED_INTERVALS = 1.5  # for so long what an earlier process knew holds without a beat
 SILENT_AFTER_INTERVALS = 3.4  # an upstream that lets as many beats pass is taken for gone
@@ -66,7 +66,7 @@
         self.heartbeat, self._last_heartbeat_at = heartbeat, now
         return True
 
-    def adopt(self, known: Instance, now: int) -> None:
+    def adopt(self, known: UpstreamReport, now: int) -> None:
         """What the core last heard of this machine, until the first beat says what is.
 
         Guards against the time that a restarted pilot would turn everything away.  The upstream itself turns
@@ -109,14 +109,14 @@
             return "draining"
         return ""
 
-    def report(self, now: int) -> Instance | None:
+    def report(self, now: int) -> UpstreamReport | None:
         """What the core should know; None: nothing yet."""
         heartbeat = self.heartbeat
         if heartbeat is None:
             return None
         state = "gone" if self.is_silent(now) else "away" if self.leaving else heartbeat.state
         zone = heartbeat.zone or self.zone
-        return Instance(
+        return UpstreamReport(
             heartbeat.id,
             heartbeat.service,
             zone,
--- a/brackengate/proxy/control_client.py
+++ b/brackengate/proxy/control_client.py
@@ -18,23 +18,23 @@
 from brackengate.net.sockets import parse_address
 from brackengate.protocol.json_connection import Dialer
 from brackengate.protocol.messages import (
-    Away,
-    Beat,
     Changes,
-    ClockRequest,
     Command,
-    CopyPiece,
-    CopyPosition,
-    CopyRequest,
-    Core,
+    ControlReplicas,
     Follow,
     FollowerCommand,
+    Heartbeat,
+    HeartbeatRequest,
     Hello,
-    Line,
-    Look,
+    Message,
+    ProgressReport,
+    ProgressRequest,
+    Redirect,
     Result,
     Row,
-    Seen,
+    SnapshotPiece,
+    SnapshotPosition,
+    SnapshotRequest,
     StageOffer,
     StagePiece,
     StageRequest,
@@ -86,7 +86,7 @@
             address, self._on_message, self._on_open, self._on_close, tries=1, on_part=self._note_activity
         )
 
-    def send(self, message: Line) -> None:
+    def send(self, message: Message) -> None:
         self._dialer.send(message)
 
     def close(self) -> None:
@@ -106,18 +106,18 @@
             )
         )
 
-    def request_piece(self, position: CopyPosition) -> None:
+    def request_piece(self, position: SnapshotPosition) -> None:
         self._requested_position, self._request_id = position, self._request_id + 1
-        self.send(CopyRequest(self._request_id, position))
+        self.send(SnapshotRequest(self._request_id, position))
 
-    def requested_position(self, piece: CopyPiece) -> CopyPosition | None:
+    def requested_position(self, piece: SnapshotPiece) -> SnapshotPosition | None:
         """The position that this piece follows; None where it answers no open request."""
         return self._requested_position if piece.id in (0, self._request_id) else None
 
     def _note_activity(self) -> None:
         self.last_received = self._client.now()
 
-    def _on_message(self, message: Line) -> None:
+    def _on_message(self, message: Message) -> None:
         self._note_activity()
         self._client.receive(self, message)
 
@@ -200,9 +200,9 @@
             return
         self._loop.call_later(CLOCK_EXCHANGE_S, self._exchange_times)
         if self._link is not None and self._link.established:
-            self._link.send(ClockRequest(self.now()))
+            self._link.send(HeartbeatRequest(self.now()))
 
-    def _on_heartbeat(self, link: ReplicaLink, beat: Beat) -> None:
+    def _on_heartbeat(self, link: ReplicaLink, beat: Heartbeat) -> None:
         now = self.now()
         if not beat.now:
             return
@@ -256,20 +256,20 @@
         if self._replicas[nearest[0]] == self.zone and link.addr != nearest[0]:
             self._nearer_link = ReplicaLink(self, nearest[0])
 
-    def receive(self, link: ReplicaLink, message: Line) -> None:
-        if isinstance(message, Away):
+    def receive(self, link: ReplicaLink, message: Message) -> None:
+        if isinstance(message, Redirect):
             self.drop_link(link, "it is out of touch")
-        elif isinstance(message, Look):
+        elif isinstance(message, ProgressRequest):
             seen = self._records_of(message.attempt) if message.attempt else ()
-            link.send(Seen(message.id, self.table.index, seen))
-        elif isinstance(message, Core):
+            link.send(ProgressReport(message.id, self.table.index, seen))
+        elif isinstance(message, ControlReplicas):
             self._replicas = dict(message.members)
         elif isinstance(message, Result):
             pending = self._pending.pop(message.id, None)
             if pending is not None:
                 pending.timer.cancel()
                 pending.done(message.result)
-        elif isinstance(message, Beat):
+        elif isinstance(message, Heartbeat):
             self._on_heartbeat(link, message)
         elif isinstance(message, Changes):
             self._establish(link)
@@ -281,11 +281,11 @@
             wanted = self.staged_changes.receive(message)
             if wanted is not None:
                 link.send(StageRequest(message.id, wanted))
-        elif isinstance(message, CopyPiece):
+        elif isinstance(message, SnapshotPiece):
             self._establish(link)
             self._receive_piece(link, message)
 
-    def _receive_piece(self, link: ReplicaLink, piece: CopyPiece) -> None:
+    def _receive_piece(self, link: ReplicaLink, piece: SnapshotPiece) -> None:
         requested_after = link.requested_position(piece)
         if requested_after is None:
             return
--- a/brackengate/proxy/egress.py
+++ b/brackengate/proxy/egress.py
@@ -33,8 +33,8 @@
 from brackengate.net.upstream import Pool, Result
 from brackengate.policy.state import MOST_TRIES
 from brackengate.protocol.config_items import Route
-from brackengate.protocol.http_api import MOST_BODY
-from brackengate.protocol.messages import Instance
+from brackengate.protocol.http_api import MAX_BODY_BYTES
+from brackengate.protocol.messages import UpstreamReport
 from brackengate.proxy.answer_classification import classify_proxy_answer
 from brackengate.proxy.budget import proxy_retry_budget
 from brackengate.proxy.hop_headers import (
@@ -174,7 +174,7 @@
         self._warm_since: dict[str, int] = {}  # when an upstream became known here, less what it had been up
         self._proxy_incarnations: dict[str, str] = {}  # by upstream, the life of the pilot beside it
 
-    def update_upstreams(self, rows: list[tuple[str, Instance, Address]]) -> None:
+    def update_upstreams(self, rows: list[tuple[str, UpstreamReport, Address]]) -> None:
         now = self._clock.now()
         named = {instance.id for _, instance, _ in rows}
         self._warm_since = {id_: at for id_, at in self._warm_since.items() if id_ in named}
@@ -219,7 +219,7 @@
 class Egress:
     """The front of `Outbound`."""
 
-    most_body = MOST_BODY
+    most_body = MAX_BODY_BYTES
 
     def __init__(
         self,
--- a/brackengate/proxy/role.py
+++ b/brackengate/proxy/role.py
@@ -26,9 +26,9 @@
 from brackengate.net.sockets import Address, SocketBudget
 from brackengate.net.upstream import Pool
 from brackengate.protocol import settings as files
-from brackengate.protocol.http_api import Readiness, listener
-from brackengate.protocol.messages import Instance, Report
-from brackengate.protocol.settings import BadSettings, Settings, plain
+from brackengate.protocol.http_api import Readiness, create_server
+from brackengate.protocol.messages import ReportUpstream, UpstreamReport
+from brackengate.protocol.settings import InvalidSettings, Settings, required_address
 from brackengate.proxy.admission import Admission, Heartbeat
 from brackengate.proxy.answer_classification import classify_proxy_answer, classify_upstream_answer
 from brackengate.proxy.control_client import ControlClient
@@ -71,7 +71,7 @@
             settings.limits.file_limit - 250, resource.getrlimit(resource.RLIMIT_NOFILE)[0] - 100
         )
         self._socket_budget = SocketBudget(max(64, descriptors))
-        inbound = plain(settings.listen.inbound, "Inbound")
+        inbound = required_address(settings.listen.inbound, "Inbound")
         self._port = inbound[1]
         self.table = RoutingTable()
         request_log, wire = RequestLog(), ground.wire
@@ -138,7 +138,7 @@
             self._upstream_pool,
             self.admission,
             settings.ip,
-            plain(settings.application, "Application") if settings.application else inbound,
+            required_address(settings.application, "Application") if settings.application else inbound,
             settings.bounds.dedupe_window,
             self.control_client.send_command,
             self._peer_pool,
@@ -147,26 +147,30 @@
             request_log,
         )
         listen = settings.listen
-        self._egress_server = listener(
+        self._egress_server = create_server(
             loop,
             clock,
-            [bind(plain(listen.outbound, "Outbound"))],
+            [bind(required_address(listen.outbound, "Outbound"))],
             self.egress,
             self._socket_budget,
             body_budget,
         )
-        self._ingress_server = listener(
+        self._ingress_server = create_server(
             loop, clock, [bind(inbound)], self.ingress, self._socket_budget, body_budget
         )
         readiness = Readiness(lambda: self.ready)
         self._other_servers: list[Server] = [
-            listener(
-                loop, clock, [bind(plain(listen.readiness, "Readiness"))], readiness, self._socket_budget
+            create_server(
+                loop,
+                clock,
+                [bind(required_address(listen.readiness, "Readiness"))],
+                readiness,
+                self._socket_budget,
             ),
-            listener(
+            create_server(
                 loop,
                 clock,
-                [bind(plain(listen.control, "Control"))],
+                [bind(required_address(listen.control, "Control"))],
                 HeartbeatEndpoint(self._on_heartbeat, self._on_upstream_leaving),
                 self._socket_budget,
             ),
@@ -188,7 +192,7 @@
         """As the file names them now: they may have changed without a signal."""
         try:
             self.settings = self._read()
-        except BadSettings as error:
+        except InvalidSettings as error:
             log.warning("pilot: the settings stay as they are: %s", error)
         return [f"{host}:{port}" for host, port in self.settings.seeds]
 
@@ -288,7 +292,7 @@
             return
         self._reporting = True
         self.control_client.send_command(
-            Report(me, msgspec.to_builtins(wanted)), self._on_reported, REPORT_TIMEOUT_S
+            ReportUpstream(me, msgspec.to_builtins(wanted)), self._on_reported, REPORT_TIMEOUT_S
         )
 
     def _on_reported(self, result: object) -> None:
@@ -324,7 +328,7 @@
         self._peer_pool.break_off(machine)
 
 
-def _reported_fields(instance: Instance) -> tuple[str, str, str]:
+def _reported_fields(instance: UpstreamReport) -> tuple[str, str, str]:
     """What of a report is news; the rest goes with it."""
     return instance.id, instance.state, instance.pilot
 
--- a/brackengate/proxy/routing_table.py
+++ b/brackengate/proxy/routing_table.py
@@ -12,8 +12,16 @@
 
 import msgspec
 
-from brackengate.protocol.config_items import Invalid, Item, Part, Plant, Route, plant, route
-from brackengate.protocol.messages import ITEMS, Instance, Row
+from brackengate.protocol.config_items import (
+    InvalidConfig,
+    Item,
+    Route,
+    Service,
+    WeightedService,
+    parse_route,
+    parse_service,
+)
+from brackengate.protocol.messages import ITEM_KINDS, Row, UpstreamReport
 
 
 @dataclass(frozen=True, slots=True)
@@ -21,7 +29,7 @@
     """An operator's item, read.  `read` None: dropped, or not to be followed."""
 
     item: Item
-    parsed: Route | Plant | None = None
+    parsed: Route | Service | None = None
 
 
 def parse_item(kind: str, value: Any) -> ParsedItem:
@@ -30,11 +38,11 @@
         return ParsedItem(item)
     try:
         return ParsedItem(item, _PARSERS[kind](item))
-    except Invalid:  # the lighthouses check; one that a newer program let in is not followed
+    except InvalidConfig:  # the lighthouses check; one that a newer program let in is not followed
         return ParsedItem(item)
 
 
-_PARSERS: dict[str, Callable[[Item], Route | Plant]] = {"route": route, "plant": plant}
+_PARSERS: dict[str, Callable[[Item], Route | Service]] = {"route": parse_route, "plant": parse_service}
 
 
 @dataclass(slots=True)
@@ -51,14 +59,14 @@
     def __init__(self) -> None:
         self.index = -1  # of the log of changes; -1: nothing is known yet
         self._items: dict[tuple[str, str], Item] = {}
-        self.services: dict[str, Plant] = {}
-        self.instances: dict[str, Instance] = {}  # by machine
+        self.services: dict[str, Service] = {}
+        self.instances: dict[str, UpstreamReport] = {}  # by machine
         self.suspects_by_watcher: dict[
             str, tuple[str, ...]
         ] = {}  # by watcher, the machines that it does not hear
         self._routes: dict[str, Route] = {}
         self._routes_by_host: dict[str, dict[str, Route]] = {}  # by host and prefix
-        self._upstreams: dict[str, dict[str, Instance]] = {}  # those that are not gone, by service
+        self._upstreams: dict[str, dict[str, UpstreamReport]] = {}  # those that are not gone, by service
         self._changed_names = ChangedNames()
         self.has_configuration = (
             False  # whether there is a whole configuration: without one, no request can be routed
@@ -95,14 +103,16 @@
         """
         changed: set[str] = set()
         for kind, name, value in rows:
-            if kind in ITEMS:
+            if kind in ITEM_KINDS:
                 if self._apply_item(
                     kind, name, value if isinstance(value, ParsedItem) else parse_item(kind, value)
                 ):
                     changed.add(kind)
             elif kind == "inst":
                 changed.add(kind)
-                self._apply_instance(name, msgspec.convert(value, Instance) if value is not None else None)
+                self._apply_instance(
+                    name, msgspec.convert(value, UpstreamReport) if value is not None else None
+                )
             elif kind == "silent":
                 changed.add(kind)
                 if value:
@@ -115,7 +125,7 @@
         changed_names, self._changed_names = self._changed_names, ChangedNames()
         return changed_names
 
-    def _apply_instance(self, machine: str, now: Instance | None) -> None:
+    def _apply_instance(self, machine: str, now: UpstreamReport | None) -> None:
         before = self.instances.pop(machine, None)
         if before is not None:
             self._changed_names.services.add(before.plant)
@@ -147,7 +157,7 @@
         self._items[kind, name] = one.item
         if kind == "route":
             self._set_route(name, one.parsed if isinstance(one.parsed, Route) else None)
-        elif isinstance(one.parsed, Plant):
+        elif isinstance(one.parsed, Service):
             self.services[name] = one.parsed
         else:
             self.services.pop(name, None)
@@ -157,7 +167,7 @@
         """The machines whose pilot has an upstream beside it."""
         return [machine for upstreams in self._upstreams.values() for machine in upstreams]
 
-    def upstreams_of(self, service: str) -> Mapping[str, Instance]:
+    def upstreams_of(self, service: str) -> Mapping[str, UpstreamReport]:
         """Those that are not gone, by machine."""
         return self._upstreams.get(service, {})
 
@@ -180,7 +190,7 @@
         return None
 
 
-def choose_service(parts: tuple[Part, ...], at: float) -> str:
+def choose_service(parts: tuple[WeightedService, ...], at: float) -> str:
     """The service at a index between 0 and 1 of the weights laid side by side."""
     ends: list[float] = []
     total = 0.0
--- a/brackengate/proxy/staged_changes.py
+++ b/brackengate/proxy/staged_changes.py
@@ -7,7 +7,7 @@
 
 from dataclasses import dataclass, field
 
-from brackengate.protocol.messages import ITEMS, Row, StagedPosition, StagedRows, StagePiece
+from brackengate.protocol.messages import ITEM_KINDS, Row, StagedPosition, StagedRows, StagePiece
 from brackengate.proxy.routing_table import ParsedItem, parse_item
 
 MAX_STAGED_CHANGES = (
@@ -45,7 +45,7 @@
         if change is None or piece.piece != change.pieces:
             return None
         change.rows += [
-            (kind, name, parse_item(kind, value)) for kind, name, value in piece.rows if kind in ITEMS
+            (kind, name, parse_item(kind, value)) for kind, name, value in piece.rows if kind in ITEM_KINDS
         ]
         change.pieces += 1
         return change.pieces
--- a/tests/emulator/test_mesh_copies.py
+++ b/tests/emulator/test_mesh_copies.py
@@ -6,7 +6,7 @@
 from test_mesh_lab import kept, played
 
 from brackengate.control import log, transfer
-from brackengate.protocol.messages import CopyPiece, CopyPosition
+from brackengate.protocol.messages import SnapshotPiece, SnapshotPosition
 from brackengate.proxy.snapshot_receiver import SnapshotReceiver
 
 
@@ -15,7 +15,7 @@
     pieces: list[bool] = []
     real = SnapshotReceiver.receive
 
-    def take(self: SnapshotReceiver, asked: CopyPosition, piece: CopyPiece) -> bool:
+    def take(self: SnapshotReceiver, asked: SnapshotPosition, piece: SnapshotPiece) -> bool:
         pieces.append(real(self, asked, piece))
         return pieces[-1]
 
--- a/tests/proxy/proxy_pair.py
+++ b/tests/proxy/proxy_pair.py
@@ -17,7 +17,7 @@
 from brackengate.net.node import Clock
 from brackengate.net.sockets import SocketBudget, bind
 from brackengate.net.upstream import Pool
-from brackengate.protocol.http_api import listener
+from brackengate.protocol.http_api import create_server
 from brackengate.protocol.messages import CommandDone, HeldBy
 from brackengate.proxy.admission import Admission, Heartbeat
 from brackengate.proxy.answer_classification import classify_proxy_answer, classify_upstream_answer
@@ -138,7 +138,7 @@
         )
         frontends = ((self.ingress, self.ingress_budget), (self.egress, self.egress_budget))
         self.servers = [
-            listener(loop, self.clock, [bind((LOCAL, 0))], one, sockets, b) for one, b in frontends
+            create_server(loop, self.clock, [bind((LOCAL, 0))], one, sockets, b) for one, b in frontends
         ]
         self.inbound, self.port = (server.start()[0] for server in self.servers)
         kinds = (("read", "idempotent"), ("buy", "effectful"), ("bid", "keyed"))
--- a/tests/proxy/test_proxy_decisions.py
+++ b/tests/proxy/test_proxy_decisions.py
@@ -9,8 +9,8 @@
 from brackengate.interface import EarlierAttempt, Endpoint, Outcome
 from brackengate.net.node import FAILED, OVERDUE, REFUSED
 from brackengate.net.upstream import Result
-from brackengate.protocol.config_items import Part
-from brackengate.protocol.messages import Instance
+from brackengate.protocol.config_items import WeightedService
+from brackengate.protocol.messages import UpstreamReport
 from brackengate.proxy.admission import Admission, Heartbeat, OperationState, OperationStore
 from brackengate.proxy.control_client import rank_replicas
 from brackengate.proxy.egress import EgressReplies
@@ -65,7 +65,7 @@
         self.assertThat({name: it.id for name, it in table.instances.items()}, Equals({"10.0.0.2": "i-3"}))
 
     def test_weights_and_hosts(self) -> None:
-        parts = (Part("a", 90), Part("b", 0), Part("c", 10))
+        parts = (WeightedService("a", 90), WeightedService("b", 0), WeightedService("c", 10))
         self.assertThat(
             [choose_service(parts, at) for at in (0.0, 0.89, 0.9, 0.999)], Equals(["a", "a", "c", "c"])
         )
@@ -137,11 +137,11 @@
     def test_a_restarted_pilot_knows_its_upstream_until_the_first_beat_is_overdue(self) -> None:
         for state, admits in (("ready", True), ("away", True), ("draining", False), ("gone", False)):
             admission = Admission("z", 1500 * MS, 2 * S)
-            admission.adopt(Instance("i-1", "p", "z", state, 6), 10 * S)
+            admission.adopt(UpstreamReport("i-1", "p", "z", state, 6), 10 * S)
             self.assertThat(admission.rejection_reason("i-1", 11 * S) == "", Equals(admits), state)
             self.assertThat(bool(admission.rejection_reason("i-1", 13 * S)), Equals(True), state)
         admission = self.admission()
-        admission.adopt(Instance("i-0", "p", "z", "ready", 6), 0)
+        admission.adopt(UpstreamReport("i-0", "p", "z", "ready", 6), 0)
         self.assertThat(admission.rejection_reason("i-1", 0), Equals(""))
 
     def test_operations_are_forgotten_by_bytes_and_age_but_never_at_work(self) -> None:
--- a/tests/proxy/test_snapshot_receiver.py
+++ b/tests/proxy/test_snapshot_receiver.py
@@ -9,7 +9,7 @@
 from brackengate.control import transfer
 from brackengate.control.log import ReplicaLog
 from brackengate.control.transfer import NOTHING, Differs, next_piece
-from brackengate.protocol.messages import CopyPiece, CopyRequest, Entry
+from brackengate.protocol.messages import Entry, SnapshotPiece, SnapshotRequest
 from brackengate.proxy.routing_table import RoutingTable
 from brackengate.proxy.snapshot_receiver import SnapshotReceiver
 
@@ -33,9 +33,11 @@
         self.log.take(Entry(index, ((kind, name, value), ("key", f"k{index}", ["g", "1"]))))
         self.log.commit(index)
 
-    def piece(self, receiver: SnapshotReceiver) -> CopyPiece:
+    def piece(self, receiver: SnapshotReceiver) -> SnapshotPiece:
         log = self.log
-        made = next_piece(log.state.public, log.recent_public, log.index, CopyRequest(1, receiver.position))
+        made = next_piece(
+            log.state.public, log.recent_public, log.index, SnapshotRequest(1, receiver.position)
+        )
         assert made is not None
         return made
 
--- a/tests/proxy/test_staged_changes.py
+++ b/tests/proxy/test_staged_changes.py
@@ -15,14 +15,14 @@
 from brackengate.control.log import ReplicaLog
 from brackengate.control.transfer import NOTHING
 from brackengate.protocol.messages import (
-    Beat,
     Changes,
-    CopyPiece,
-    CopyPosition,
-    CopyRequest,
     Entry,
-    Line,
+    Heartbeat,
+    Message,
     Row,
+    SnapshotPiece,
+    SnapshotPosition,
+    SnapshotRequest,
     StagedPosition,
     StagedRows,
     StageOffer,
@@ -88,10 +88,10 @@
 
     def __init__(self) -> None:
         self.addr, self.established, self.closed = "10.0.0.1:80", True, False
-        self.sent: list[Line] = []
+        self.sent: list[Message] = []
         self.clock = control_client.ClockOffset()
 
-    def send(self, message: Line) -> None:
+    def send(self, message: Message) -> None:
         self.sent.append(message)
 
     def close(self) -> None:
@@ -110,7 +110,7 @@
     def _on_changed(self, kinds: set[str]) -> None:
         self.route_counts.append(sum(1 for _ in self.table.routes()))
 
-    def deliver(self, *messages: Line) -> None:
+    def deliver(self, *messages: Message) -> None:
         for message in messages:
             self.client.receive(self.replica, message)  # type: ignore[arg-type]
 
@@ -167,7 +167,7 @@
         follower.now = 1_000
         follower.deliver(Changes(3, (route(0, 1),)))
         follower.stage(4, ROUTES // 4)
-        follower.deliver(Beat(4, 5_000, 100, 900), Changes(4, (), (StagedRows("x"),)))
+        follower.deliver(Heartbeat(4, 5_000, 100, 900), Changes(4, (), (StagedRows("x"),)))
         assert not follower.client.is_current(1_000_000)
         while follower.table.index < 4:
             await asyncio.sleep(0)
@@ -205,14 +205,14 @@
             self._log.take(Entry(at, (row,)))
             self._log.commit(at)
 
-    def requested_position(self, piece: CopyPiece) -> CopyPosition:
+    def requested_position(self, piece: SnapshotPiece) -> SnapshotPosition:
         return self.position
 
-    def request_piece(self, position: CopyPosition) -> None:
+    def request_piece(self, position: SnapshotPosition) -> None:
         self.position = position
 
-    def next_piece(self) -> CopyPiece:
-        log, request = self._log, CopyRequest(0, self.position)
+    def next_piece(self) -> SnapshotPiece:
+        log, request = self._log, SnapshotRequest(0, self.position)
         piece = transfer.next_piece(log.state.public, log.recent_public, log.index, request)
         assert piece is not None
         self.sent_all = piece.total is not None
