--- a/benchmarks/scale/hollow.py
+++ b/benchmarks/scale/hollow.py
@@ -109,10 +109,10 @@
         wanted, known = self.gate.report(steady_us()), self.table.instances.get(self.ip)
         if wanted is None or self._reporting or not self.following.in_touch:
             return
-        if known is not None and (known.id, known.state, known.pilot) == (
+        if known is not None and (known.id, known.state, known.proxy_incarnation) == (
             wanted.id,
             wanted.state,
-            wanted.pilot,
+            wanted.proxy_incarnation,
         ):
             return
         self._reporting = True
--- a/benchmarks/scale/measure.py
+++ b/benchmarks/scale/measure.py
@@ -99,7 +99,7 @@
     for place, standing in enumerate(chain):
         role = "head" if place == 0 else "middle" if place < last else "tail" if place == last else "out"
         old, new = before.replicas[standing.addr], after.replicas[standing.addr]
-        out.append(_replica_load(role, old, new, took, len(standing.pilots)))
+        out.append(_replica_load(role, old, new, took, len(standing.proxies)))
     out.append(_mean_load("proxy", before.proxies, after.proxies, took, len(site.proxies)))
     out.append(_mean_load("hollow", before.hollow, after.hollow, took, site.size.hollow))
     return tuple(out)
--- a/benchmarks/snapshots.py
+++ b/benchmarks/snapshots.py
@@ -102,7 +102,7 @@
         def done(result: Any) -> None:
             self.claim = max(self.claim, self.loop.time() - begun)
 
-        self.lighthouse.ask(Claim(f"claim {self.claims}", "gate", "1"), done)
+        self.lighthouse.submit(Claim(f"claim {self.claims}", "gate", "1"), done)
         self.loop.call_later(CLAIM_S, self._claim)
 
     def report(self) -> dict[str, Any]:
--- a/brackengate/control/admin_commands.py
+++ b/brackengate/control/admin_commands.py
@@ -64,7 +64,7 @@
         self._rounds: dict[int, ProgressQuery] = {}
         self._last = 0
 
-    def heard(self, lines: JsonConnection, word: Inquiry) -> None:
+    def receive(self, lines: JsonConnection, word: Inquiry) -> None:
         def say(result: CommandResult | InquiryResult | None) -> None:
             lines.send(Result(word.id, result))
 
@@ -87,7 +87,7 @@
             case Amend() | Read():
                 self._ask(word.what, say)
 
-    def seen(self, lines: JsonConnection, word: ProgressReport) -> None:
+    def receive_progress(self, lines: JsonConnection, word: ProgressReport) -> None:
         """A pilot's answer."""
         one = self._rounds.get(word.id)
         if one is not None and lines in one.asked:
@@ -99,9 +99,11 @@
         self._last += 1
         number = self._last
         following = {lines: one for lines, one in self._followers.items() if one.follows}
-        asked = {lines: one for lines, one in following.items() if one.tells}
+        asked = {lines: one for lines, one in following.items() if one.reports_progress}
         silent = tuple(
-            FollowerStatus(lines.peer, one.index) for lines, one in following.items() if not one.tells
+            FollowerStatus(lines.peer, one.index)
+            for lines, one in following.items()
+            if not one.reports_progress
         )
         self._rounds[number] = ProgressQuery(lambda said: done((*said, *silent)), asked)
         if not asked:
@@ -118,6 +120,6 @@
         out = []
         for lines, follower in one.asked.items():
             said = one.said.get(lines)
-            index, wake = (said.index, said.wake) if said is not None else (None, ())
+            index, wake = (said.index, said.decisions) if said is not None else (None, ())
             out.append(FollowerStatus(lines.peer, follower.index, index, wake))
         one.done(tuple(out))
--- a/brackengate/control/ballots.py
+++ b/brackengate/control/ballots.py
@@ -53,9 +53,9 @@
 
     def proposal(self) -> View | None:
         """The view to be accepted by all; None: wait for more promises."""
-        votes = [one for one in self.promises.values() if one.taken is not None]
+        votes = [one for one in self.promises.values() if one.accepted_view is not None]
         if votes:  # it may have been agreed: the one that was accepted last
-            return max(votes, key=lambda one: one.taken_at or NOBODY).taken
+            return max(votes, key=lambda one: one.accepted_ballot or NOBODY).accepted_view
         return self._with_complete_head()
 
     def _with_complete_head(self) -> View | None:
--- a/brackengate/control/commands.py
+++ b/brackengate/control/commands.py
@@ -247,8 +247,8 @@
 
 def _decide_claim(claim: Claim, rows: Rows) -> Decision:
     held = _value(rows, (KEY, claim.key))
-    if held is None or held == [claim.gate, claim.instead]:
-        return Decision(((KEY, claim.key, [claim.gate, claim.attempt]),))
-    if held == [claim.gate, claim.attempt]:
+    if held is None or held == [claim.owner, claim.replaces]:
+        return Decision(((KEY, claim.key, [claim.owner, claim.attempt]),))
+    if held == [claim.owner, claim.attempt]:
         return Decision(())
     return Decision((), HeldBy(held[0], held[1]))
--- a/brackengate/control/contact.py
+++ b/brackengate/control/contact.py
@@ -196,7 +196,7 @@
         for one in alive:
             said = self._fresh(one.addr, now)
             for other in alive:
-                if said is not None and other.addr not in (one.addr, self.me, *said.hears):
+                if said is not None and other.addr not in (one.addr, self.me, *said.reachable):
                     pair = (one.addr, other.addr)
                     apart[pair] = self._apart.get(pair, now)
         self._apart = apart
--- a/brackengate/control/failure_detector.py
+++ b/brackengate/control/failure_detector.py
@@ -59,7 +59,7 @@
         self.pings = tuple(sent for sent in self.pings if sent > pong.sent)
         self.answered, self.refused, self.ever = now, False, True
         self.incarnation, self.incarnation_at = pong.incarnation, pong.sent
-        if not pong.closed:
+        if not pong.epoch_closed:
             self.open_epoch, self.open_since = pong.epoch, pong.sent
         return True
 
--- a/brackengate/control/follower_connections.py
+++ b/brackengate/control/follower_connections.py
@@ -48,7 +48,7 @@
     index: int = -1
     follows: bool = False
     beat_at: int = 0  # when it got a heartbeat last
-    tells: bool = False
+    reports_progress: bool = False
     progress: FollowerProgress = field(default_factory=FollowerProgress)
     copying: bool = False  # it asks for one piece of a copy after the other; changes come after the last one
     commands: dict[int, int] = field(default_factory=dict)  # without a result, by its numbers: the replica's
@@ -68,28 +68,28 @@
         self._replica, self._now, self._carry_out = replica, now, carry_out
         self._ask, self._withdraw = ask, withdraw
         self._messages = FollowerMessages(replica.chain)
-        self.by_lines: dict[JsonConnection, Follower] = {}
+        self.by_connection: dict[JsonConnection, Follower] = {}
         self._core: ControlReplicas | None = None  # as the followers were told last
 
     # --- who follows
 
-    def joined(self, lines: JsonConnection) -> None:
-        self.by_lines[lines] = Follower(lines)
+    def add(self, lines: JsonConnection) -> None:
+        self.by_connection[lines] = Follower(lines)
 
-    def left(self, lines: JsonConnection) -> None:
+    def remove(self, lines: JsonConnection) -> None:
         """It asks elsewhere for what it waits for: what it asked here is not pursued any more."""
-        follower = self.by_lines.pop(lines, None)
+        follower = self.by_connection.pop(lines, None)
         if follower is not None:
             for number in list(follower.commands.values()):
                 self._withdraw(number)
 
     def _following(self) -> list[Follower]:
-        return [follower for follower in self.by_lines.values() if follower.follows]
+        return [follower for follower in self.by_connection.values() if follower.follows]
 
     # --- what they say
 
-    def heard(self, lines: JsonConnection, word: Message) -> None:
-        follower = self.by_lines[lines]
+    def receive(self, lines: JsonConnection, word: Message) -> None:
+        follower = self.by_connection[lines]
         match word:
             case Follow():
                 self._follow(follower, word)
@@ -105,7 +105,7 @@
                 self._command(follower, word)
 
     def _follow(self, follower: Follower, word: Follow) -> None:
-        follower.index, follower.follows, follower.tells = word.index, True, word.tells
+        follower.index, follower.follows, follower.reports_progress = word.index, True, word.reports_progress
         follower.copying = False
         if not self._serves():
             self._send_away(follower)
@@ -113,7 +113,7 @@
         self._say(follower, self._core_line())
         self._say_beat(follower, word.sent)
         self._take_positions(follower, word.staged)
-        self._catch_up(follower, word.copy, even_none=True)
+        self._catch_up(follower, word.snapshot, even_none=True)
 
     def _command(self, follower: Follower, word: FollowerCommand) -> None:
         ended = False
@@ -167,7 +167,7 @@
         follower.follows = False
         core = self._core_line()
         if core.members:
-            self._say(follower, ControlReplicas(core.members, touch=False))
+            self._say(follower, ControlReplicas(core.members, in_contact=False))
         self._say(follower, Redirect())
 
     def _part_unless_current(self) -> None:
--- a/brackengate/control/item_index.py
+++ b/brackengate/control/item_index.py
@@ -95,7 +95,7 @@
 
 
 def services_of(it: Route) -> set[str]:
-    return {part.plant for part in it.parts}
+    return {part.service for part in it.services}
 
 
 def _take_out(index: dict[_Key, set[str]], key: _Key, name: str) -> None:
--- a/brackengate/control/learning.py
+++ b/brackengate/control/learning.py
@@ -75,7 +75,7 @@
     """None: it brings nothing new."""
     before = learner.position
     changes = taken(before, piece)
-    if piece.anew:
+    if piece.from_start:
         log.forget(piece.position.index)
         learner.storing = 0  # what is under way is of before
     log.learn(piece.position.index, changes, piece.entries)
@@ -88,7 +88,7 @@
         return _store(log, learner, [], forget=True)
     if learner.position == before and not changes:
         return None
-    return _store(log, learner, changes, piece.anew)
+    return _store(log, learner, changes, piece.from_start)
 
 
 def keep_committed(log: ReplicaLog, learner: Learner) -> Store:
--- a/brackengate/control/operator_api.py
+++ b/brackengate/control/operator_api.py
@@ -31,7 +31,9 @@
 
 
 class CommandSubmitter(Protocol):
-    def ask(self, what: Command, done: Callable[[CommandResult | None], None], give_up_after: int) -> int: ...
+    def submit(
+        self, what: Command, done: Callable[[CommandResult | None], None], give_up_after: int
+    ) -> int: ...
 
     def withdraw(self, number: int) -> None: ...
 
@@ -39,8 +41,8 @@
 class OperatorApi:
     most_body = MAX_BODY_BYTES
 
-    def __init__(self, asks: CommandSubmitter) -> None:
-        self._asks = asks
+    def __init__(self, submitter: CommandSubmitter) -> None:
+        self._submitter = submitter
 
     def begin(self, arrival: Arrival, connection: CallerConnection) -> None:
         call, _ = parse_rpc_target(arrival.target)
@@ -64,8 +66,8 @@
         self, what: Command, connection: CallerConnection, call: str, patience: int = OPERATOR_PATIENCE
     ) -> None:
         """A caller that goes may be refused elsewhere: its call is not pursued any more."""
-        number = self._asks.ask(what, lambda result: self._answer(connection, call, result), patience)
-        connection.hold(lambda: self._asks.withdraw(number))
+        number = self._submitter.submit(what, lambda result: self._answer(connection, call, result), patience)
+        connection.hold(lambda: self._submitter.withdraw(number))
 
     def _answer(self, connection: CallerConnection, call: str, result: CommandResult | None) -> None:
         status, body = answer_to(result)
--- a/brackengate/control/role.py
+++ b/brackengate/control/role.py
@@ -66,12 +66,12 @@
         self.clock = ground.clock or Clock()
         control = required_address(settings.listen.control, "Control")
         self.me = f"{control[0]}:{control[1]}"
-        self._port = settings.lighthouse_port
+        self._port = settings.control_plane_port
         self._left: asyncio.Future[int] = self._loop.create_future()
         self._drive: Waits = drive or Drive(settings.data_dir or ".")
         self.replica: Replica
         self.followers: FollowerConnections
-        self._watchroom: AdminCommands
+        self._admin_commands: AdminCommands
         self._links: dict[str, Dialer] = {}
         self._queue: list[Store] = []
         self._writing_since = 0
@@ -96,8 +96,12 @@
         window = settings.bounds.dedupe_window
         self.replica = Replica(self.me, settings.zone, kept, seeds, first, settings.min_replicas, window, now)
         self.replica.chain.deliver_within(settings.bounds.ack * DELIVERY_SHARE_PERCENT // 100)
-        self.followers = FollowerConnections(self.replica, self.now, self._carry_out, self.ask, self.withdraw)
-        self._watchroom = AdminCommands(self.replica, self.followers.by_lines, self.ask, self.now)
+        self.followers = FollowerConnections(
+            self.replica, self.now, self._carry_out, self.submit, self.withdraw
+        )
+        self._admin_commands = AdminCommands(
+            self.replica, self.followers.by_connection, self.submit, self.now
+        )
         self._inner = await self._loop.create_server(
             lambda: JsonConnection(self._on_line, self._on_open, self._on_lost), settings.ip, self._port
         )
@@ -271,25 +275,25 @@
     def _on_line(self, lines: JsonConnection, word: Message) -> None:
         if isinstance(word, Hello):
             lines.peer = word.addr
-            if word.pilot:
-                self.followers.joined(lines)
+            if word.is_proxy:
+                self.followers.add(lines)
             else:
                 self.replica.met(word.addr, self.now())
                 self._carry_out(self.replica.reconnected(word.addr, self.now()))
-        elif lines in self.followers.by_lines:
+        elif lines in self.followers.by_connection:
             if isinstance(word, ProgressReport):
-                self._watchroom.seen(lines, word)
+                self._admin_commands.receive_progress(lines, word)
             else:
-                self.followers.heard(lines, word)
+                self.followers.receive(lines, word)
         elif isinstance(word, Inquiry):
-            self._watchroom.heard(lines, word)
+            self._admin_commands.receive(lines, word)
         elif lines.peer:
             self._heard(lines.peer, word)
 
     def _on_lost(self, lines: JsonConnection) -> None:
-        self.followers.left(lines)
+        self.followers.remove(lines)
 
-    def ask(self, what: Command, done: Callable[[Any], None], give_up_after: int = GIVE_UP_AFTER) -> int:
+    def submit(self, what: Command, done: Callable[[Any], None], give_up_after: int = GIVE_UP_AFTER) -> int:
         """`done` gets the result once; None: it is not known what becomes of it.  A number to withdraw it."""
         self._last_ask += 1
         number = self._last_ask
--- a/brackengate/control/status.py
+++ b/brackengate/control/status.py
@@ -30,10 +30,10 @@
     for addr, peer in sorted(agreement.peers.items()):
         said, heard = peer.said, agreement.hears(addr, now)
         if said is None:
-            neighbours.append(PeerStatus(addr, heard=heard))
+            neighbours.append(PeerStatus(addr, reachable=heard))
         else:
             neighbours.append(
-                PeerStatus(addr, said.zone, heard, said.joining, said.disk_healthy, said.leaves)
+                PeerStatus(addr, said.zone, heard, said.joining, said.disk_healthy, said.leaving)
             )
     return ReplicaStatus(
         replica.me,
--- a/brackengate/control/transfer.py
+++ b/brackengate/control/transfer.py
@@ -73,7 +73,7 @@
 
 def taken(position: SnapshotPosition, piece: SnapshotPiece) -> list[tuple[int, Row]]:
     """What changes in the rows that are held, in order; those of an `anew` piece are gone before."""
-    bucket = 0 if piece.anew else position.bucket
+    bucket = 0 if piece.from_start else position.bucket
     changes = [(entry.index, row) for entry in piece.entries for row in entry.rows]
     below = [(index, row) for index, row in changes if bucket_of(row[1]) < bucket]
     return below + [(row.index, (row.kind, row.name, row.value)) for row in piece.rows]
--- a/brackengate/control/view.py
+++ b/brackengate/control/view.py
@@ -141,7 +141,7 @@
         if member.addr == self.me:
             return self.leaves
         said = self.peers[member.addr].said if member.addr in self.peers else None
-        return said is not None and said.leaves
+        return said is not None and said.leaving
 
     def coordinator(self, now: int) -> str:
         """Whose turn it is first to change the view, by what is known here; empty where nobody can."""
@@ -157,8 +157,8 @@
         needed = max(0, log.commit_index - ADMISSION_LAG)
         others = [self._fresh(member.addr, now) for member in alive if member.addr != self.me]
         for addr, said in self._learners(now):
-            heard_by_all = all(one is not None and addr in one.hears for one in others)
-            if heard_by_all and said.copied >= needed:
+            heard_by_all = all(one is not None and addr in one.reachable for one in others)
+            if heard_by_all and said.copied_index >= needed:
                 return Member(addr, said.incarnation, self.view.epoch + 1)
         return None
 
--- a/brackengate/emulator/calls/machine.py
+++ b/brackengate/emulator/calls/machine.py
@@ -72,9 +72,9 @@
         return self._rng.choice((None, 50 * MS, 400 * MS, 1500 * MS))
 
     def _does(self, what: Claim | Unclaim) -> Any:
-        held, mine = self._held.get(what.key), (what.gate, what.attempt)
+        held, mine = self._held.get(what.key), (what.owner, what.attempt)
         if isinstance(what, Claim):
-            if held is None or held == (what.gate, what.instead):
+            if held is None or held == (what.owner, what.replaces):
                 self._held[what.key] = mine
             elif held != mine:
                 return HeldBy(held[0], held[1])
--- a/brackengate/meshctl/ask.py
+++ b/brackengate/meshctl/ask.py
@@ -128,7 +128,7 @@
                 for one in found.values()
                 for addr in (
                     *(seat.addr for seat in one.members),
-                    *(near.addr for near in one.neighbours if near.heard),
+                    *(near.addr for near in one.peers if near.reachable),
                 )
             }
             wanted = sorted(known - found.keys() - failed.keys())
@@ -143,7 +143,7 @@
         """The operator's items, by a lighthouse that is in touch with the others."""
 
         def good(answer: QuestionResult) -> str:
-            serves = isinstance(answer, ItemList) and answer.serves
+            serves = isinstance(answer, ItemList) and answer.serving
             return "" if serves else "it is out of touch with the others"
 
         found = await self.first(Held(), good=good)
@@ -168,7 +168,7 @@
     async def explain(self, attempt: str, members: Sequence[str]) -> list[FollowerStatus]:
         answers = await self.of_members(Explain(attempt), members)
         told = [answer for answer in answers if isinstance(answer, Followers)]
-        return [one for answer in told for one in answer.pilots]
+        return [one for answer in told for one in answer.proxies]
 
 
 def _agreed(answer: QuestionResult) -> str:
--- a/brackengate/meshctl/commands.py
+++ b/brackengate/meshctl/commands.py
@@ -240,7 +240,7 @@
                 place = figures.place_of(names, [one for one in told if isinstance(one, ItemList)])
             if place is not None:
                 late = figures.behind(standings, place)
-                count = sum(len(one.pilots) for one in standings)
+                count = sum(len(one.proxies) for one in standings)
                 if not late:
                     unseen = figures.unseen(standings)
                     if as_json:
--- a/brackengate/meshctl/figures.py
+++ b/brackengate/meshctl/figures.py
@@ -23,13 +23,13 @@
         words.append(f"still in view {one.epoch}")
     if not one.disk_healthy:
         words.append("disk unfit")
-    if one.leaves:
+    if one.leaving:
         words.append("leaving" if one.is_member else "left")
     elif not one.is_member:
         words.append("waits for a seat")
     elif not one.has_snapshot:
         words.append("taking its seat")
-    elif not one.serves:
+    elif not one.serving:
         words.append("out of touch")
     if one.epoch_closed:
         words.append("view being changed")
@@ -49,14 +49,18 @@
         place = "-" if at < 0 else "head" if at == 0 else "tail" if at == len(seats) - 1 else str(at + 1)
         one = said.get(addr)
         if one is None:
-            near = [it for other in standings for it in other.neighbours if it.addr == addr]
+            near = [it for other in standings for it in other.peers if it.addr == addr]
             zone = next((it.zone for it in near if it.zone), None)
             lost_row = {"member": addr, "zone": zone, "chain": place, "state": why.get(addr, "unreached")}
-            out.append({**lost_row, "heard_by": sum(it.heard for it in near)})
+            out.append({**lost_row, "heard_by": sum(it.reachable for it in near)})
             continue
         row = {"member": addr, "zone": one.zone, "view": one.epoch, "chain": place}
-        row |= {"stored": one.stored, "agreed": one.commit_index, "lag": max(0, agreed - one.stored)}
-        row |= {"pilots": len(one.pilots), "keys": one.keys, "routes": one.routes, "services": one.plants}
+        row |= {
+            "stored": one.stored_index,
+            "agreed": one.commit_index,
+            "lag": max(0, agreed - one.stored_index),
+        }
+        row |= {"pilots": len(one.proxies), "keys": one.keys, "routes": one.routes, "services": one.services}
         row |= {"duties": list(one.duties), "state": state(one, view)}
         out.append(row)
     return out
@@ -64,10 +68,10 @@
 
 def pilots(standings: Sequence[ReplicaStatus]) -> list[dict[str, Any]]:
     """`behind`: places up to the last one that concerns pilots; None: it did not say how far it is."""
-    public = max(one.public for one in standings)
+    public = max(one.public_index for one in standings)
     out = []
     for one in standings:
-        for it in one.pilots:
+        for it in one.proxies:
             behind = None if it.index is None else max(0, public - it.index)
             out.append({"pilot": it.addr, "follows": one.addr, "place": it.index, "behind": behind})
     return sorted(out, key=lambda row: str(row["pilot"]))
@@ -75,7 +79,7 @@
 
 def unseen(standings: Sequence[ReplicaStatus]) -> list[str]:
     """Machines in the list of upstreams whose pilot follows none of those who answered."""
-    following = {it.addr for one in standings for it in one.pilots}
+    following = {it.addr for one in standings for it in one.proxies}
     listed = (machine for machine, it in newest(standings).upstreams if it.state != "gone")
     return [machine for machine in listed if machine not in following]
 
@@ -83,7 +87,7 @@
 def services(standings: Sequence[ReplicaStatus]) -> list[dict[str, Any]]:
     counts: dict[str, Counter[str]] = {}
     for _, instance in newest(standings).upstreams:
-        counts.setdefault(instance.plant, Counter())[instance.state] += 1
+        counts.setdefault(instance.service, Counter())[instance.state] += 1
     return [{"service": name, **{s: count[s] for s in STATES}} for name, count in sorted(counts.items())]
 
 
@@ -109,7 +113,7 @@
 
 def behind(standings: Sequence[ReplicaStatus], place: int) -> list[str]:
     """Pilots that follow and have not said that they have this place."""
-    return sorted(it.addr for one in standings for it in one.pilots if it.index is None or it.index < place)
+    return sorted(it.addr for one in standings for it in one.proxies if it.index is None or it.index < place)
 
 
 def spare(standings: Sequence[ReplicaStatus]) -> int:
@@ -128,7 +132,7 @@
     view = newest(standings)
     said = {one.addr: one for one in standings}
     return all(
-        seat.addr in said and said[seat.addr].serves and said[seat.addr].epoch == view.epoch
+        seat.addr in said and said[seat.addr].serving and said[seat.addr].epoch == view.epoch
         for seat in view.members
     )
 
--- a/brackengate/meshctl/hops.py
+++ b/brackengate/meshctl/hops.py
@@ -13,7 +13,7 @@
 
 def in_order(pilots: Iterable[FollowerStatus]) -> list[tuple[str, Hop]]:
     """By the pilots' own clocks, which may differ between machines; a way out before its gates."""
-    found = [(one.addr, hop) for one in pilots for hop in one.wake]
+    found = [(one.addr, hop) for one in pilots for hop in one.decisions]
     return sorted(found, key=lambda one: (one[1]["at"], one[1]["hop"] == "gate"))
 
 
--- a/brackengate/model_check/chart.py
+++ b/brackengate/model_check/chart.py
@@ -150,7 +150,7 @@
         case Prepare(epoch, ballot):
             return f"prepare view {epoch}, ballot {ballot[0]}{ballot[1]}"
         case Promise(epoch, ballot):
-            taken = f", took {_view(word.taken)}" if word.taken is not None else ""
+            taken = f", took {_view(word.accepted_view)}" if word.accepted_view is not None else ""
             return f"promise for view {epoch}, ballot {ballot[0]}{ballot[1]}{taken}"
         case Accept(_, ballot, view):
             return f"accept {_view(view)}, ballot {ballot[0]}{ballot[1]}"
@@ -173,11 +173,11 @@
         case Ack(epoch, index):
             return f"view {epoch}: stored {index}"
         case Submit(_, what):
-            return f"do {type(what).__name__.lower()} {getattr(what, 'gate', '')}".rstrip()
+            return f"do {type(what).__name__.lower()} {getattr(what, 'owner', '')}".rstrip()
         case Result(_, result):
             return f"done: {_result(msgspec.json.encode(result))}"
         case Ping():
             return "ping"
         case Pong():
-            return f"answers the ping: view {word.epoch}{', closed' if word.closed else ''}"
+            return f"answers the ping: view {word.epoch}{', closed' if word.epoch_closed else ''}"
     return type(word).__name__
--- a/brackengate/model_check/mistakes.py
+++ b/brackengate/model_check/mistakes.py
@@ -74,7 +74,7 @@
     def _on_pong(self, peer: Peer, pong: Pong, now: int, log: LogStatus) -> list[Action]:
         """The lease runs from when the answer was heard, however long it was under way."""
         out = super()._on_pong(peer, pong, now, log)
-        if not pong.closed:
+        if not pong.epoch_closed:
             peer.open_since = now
             self._renew_lease(now)
         return out
@@ -83,7 +83,7 @@
 class _ClosedRenews(Agreement):
     def _on_pong(self, peer: Peer, pong: Pong, now: int, log: LogStatus) -> list[Action]:
         """A voter that has promised to leave the epoch still renews the lease in it."""
-        return super()._on_pong(peer, msgspec.structs.replace(pong, closed=False), now, log)
+        return super()._on_pong(peer, msgspec.structs.replace(pong, epoch_closed=False), now, log)
 
 
 class _LeaseByDetection(Agreement):
@@ -128,7 +128,10 @@
             known = {name for (kind, name), item in self.items.items() if kind == "plant" and item.body}
             order = [item for (kind, _), item in parse_change(word.what.body.encode()) if kind == "route"]
             if any(
-                part.plant not in known for item in order if item.body for part in parse_route(item).parts
+                part.service not in known
+                for item in order
+                if item.body
+                for part in parse_route(item).services
             ):
                 self._pending_replies[-1].result = InvalidChange("it names a service that is not known")
         return out
--- a/brackengate/protocol/config_items.py
+++ b/brackengate/protocol/config_items.py
@@ -44,8 +44,8 @@
 class WeightedService(msgspec.Struct, frozen=True):
     """A service among those that a route goes to, and its weight."""
 
-    plant: str
-    gain: float
+    service: str
+    weight: float
 
 
 class Route(msgspec.Struct, frozen=True):
@@ -58,7 +58,7 @@
     cutoff: int
     setpoint: int
     priority: int
-    parts: tuple[WeightedService, ...]
+    services: tuple[WeightedService, ...]
     attempts: int
 
 
@@ -204,9 +204,9 @@
             raise ValueError("it names no service")
         return (WeightedService(it.plant, 1.0),)
     parts = tuple(WeightedService(one.plant, one.gain) for one in it.split)
-    if any(not one.gain >= 0 for one in parts):
+    if any(not one.weight >= 0 for one in parts):
         raise ValueError("a weight under 0")
-    if sum(one.gain for one in parts) <= 0:
+    if sum(one.weight for one in parts) <= 0:
         raise ValueError("its weights add up to nothing")
     return parts
 
--- a/brackengate/protocol/messages.py
+++ b/brackengate/protocol/messages.py
@@ -99,16 +99,16 @@
     """
 
     key: str
-    gate: str
+    owner: str = msgspec.field(name="gate")
     attempt: str
-    instead: str = ""
+    replaces: str = msgspec.field(name="instead", default="")
 
 
 class Unclaim(msgspec.Struct, tag_field="t", tag="unclaim", frozen=True):
     """It has not run and never will."""
 
     key: str
-    gate: str
+    owner: str = msgspec.field(name="gate")
     attempt: str
 
 
@@ -195,7 +195,7 @@
     """The first line on a connection: who speaks."""
 
     addr: str
-    pilot: bool = False
+    is_proxy: bool = msgspec.field(name="pilot", default=False)
 
 
 class Ping(BaseMessage, frozen=True, tag="ping"):
@@ -206,16 +206,20 @@
     joining: bool = False  # it is no member, and wants to be one
     disk_healthy: bool = True  # its disk takes what it is given
     zone: str = ""
-    hears: tuple[str, ...] = ()
-    leaves: bool = False  # it was told to leave
+    reachable: tuple[str, ...] = msgspec.field(name="hears", default=())
+    leaving: bool = msgspec.field(name="leaves", default=False)  # it was told to leave
     sent: int = 0  # the sender's steady clock when it sent this; the pong brings it back
-    copied: int = -1  # a learner's complete copy reaches to this index of the log; -1: it is not complete
+    copied_index: int = msgspec.field(
+        name="copied", default=-1
+    )  # a learner's complete copy reaches to this index of the log; -1: it is not complete
 
 
 class Pong(BaseMessage, frozen=True, tag="pong"):
     epoch: int
     sent: int = 0  # of the ping that this answers: a lease runs from its sending
-    closed: bool = False  # the sender has promised to store nothing more in this epoch
+    epoch_closed: bool = msgspec.field(
+        name="closed", default=False
+    )  # the sender has promised to store nothing more in this epoch
     incarnation: str = ""  # of the process that answers
 
 
@@ -241,8 +245,8 @@
     ballot: Ballot
     index: int  # stored
     has_snapshot: bool  # it holds all that its membership owes
-    taken_at: Ballot | None = None
-    taken: View | None = None
+    accepted_ballot: Ballot | None = msgspec.field(name="taken_at", default=None)
+    accepted_view: View | None = msgspec.field(name="taken", default=None)
 
 
 class Accept(BaseMessage, frozen=True, tag="acc"):
@@ -343,7 +347,7 @@
 
     id: int
     position: SnapshotPosition  # with this piece taken
-    anew: bool = False
+    from_start: bool = msgspec.field(name="anew", default=False)
     entries: tuple[Entry, ...] = ()
     rows: tuple[CommittedRow, ...] = ()
     total: SnapshotTotal | None = None
@@ -363,8 +367,10 @@
     """Send the changes from this index on; a copy of the public rows first where they are not at hand."""
 
     index: int
-    tells: bool = False  # it answers `ProgressRequest`
-    copy: SnapshotPosition = SnapshotPosition()  # of a copy that was cut off
+    reports_progress: bool = msgspec.field(name="tells", default=False)  # it answers `ProgressRequest`
+    snapshot: SnapshotPosition = msgspec.field(
+        name="copy", default=SnapshotPosition()
+    )  # of a copy that was cut off
     sent: int = 0  # the follower's steady clock; the next heartbeat brings it back
     staged: tuple[StagedPosition, ...] = ()
 
@@ -419,7 +425,7 @@
     """The members by now, and their zones; and whether this one is in touch with them."""
 
     members: tuple[tuple[str, str], ...]
-    touch: bool = True
+    in_contact: bool = msgspec.field(name="touch", default=True)
 
 
 class Heartbeat(BaseMessage, frozen=True, tag="b"):
@@ -449,7 +455,9 @@
 class ProgressReport(BaseMessage, frozen=True, tag="seen"):
     id: int
     index: int
-    wake: tuple[dict[str, Any], ...] = ()  # what it decided, the oldest first
+    decisions: tuple[dict[str, Any], ...] = msgspec.field(
+        name="wake", default=()
+    )  # what it decided, the oldest first
 
 
 # --- between an operator's command and a lighthouse
@@ -533,12 +541,12 @@
     """One upstream, as the pilot beside it reports it.  Its row's name is its machine's address."""
 
     id: str
-    plant: str
+    service: str = msgspec.field(name="plant")
     zone: str
     state: str  # ready, draining or gone
     capacity: int = 1
     warmup: int = 0  # microseconds that it was still slow for, when this was said
-    pilot: str = ""  # the life of the pilot beside it
+    proxy_incarnation: str = msgspec.field(name="pilot", default="")  # the life of the pilot beside it
 
 
 # --- what a lighthouse says to an operator's command
@@ -549,10 +557,10 @@
 
     addr: str
     zone: str = ""
-    heard: bool = False
+    reachable: bool = msgspec.field(name="heard", default=False)
     joining: bool = False
     disk_healthy: bool = True
-    leaves: bool = False
+    leaving: bool = msgspec.field(name="leaves", default=False)
 
 
 class MembershipAnswer(msgspec.Struct, tag_field="t", tag="seat", frozen=True, omit_defaults=True):
@@ -565,15 +573,17 @@
     """A pilot that follows this lighthouse."""
 
     addr: str
-    sent: int  # the index that it was sent
+    sent_index: int = msgspec.field(name="sent")  # the index that it was sent
     index: int | None = None  # that it has, by its own word; None: it did not say
-    wake: tuple[dict[str, Any], ...] = ()  # what it decided of the attempt that was asked for
+    decisions: tuple[dict[str, Any], ...] = msgspec.field(
+        name="wake", default=()
+    )  # what it decided of the attempt that was asked for
 
 
 class Followers(msgspec.Struct, tag_field="t", tag="followers", frozen=True):
     """To `Explain`: the pilots that follow, each with what it decided."""
 
-    pilots: tuple[FollowerStatus, ...]
+    proxies: tuple[FollowerStatus, ...] = msgspec.field(name="pilots")
 
 
 class ReplicaStatus(msgspec.Struct, tag_field="t", tag="standing", frozen=True, omit_defaults=True):
@@ -586,22 +596,22 @@
     members: tuple[Member, ...]
     min_replicas: int  # disks that hold a write before it is acknowledged
     index: int
-    stored: int
+    stored_index: int = msgspec.field(name="stored")
     commit_index: int
-    public: int  # the last place of which pilots have anything to know
+    public_index: int = msgspec.field(name="public")  # the last place of which pilots have anything to know
     is_member: bool
     has_snapshot: bool
-    serves: bool
+    serving: bool = msgspec.field(name="serves")
     disk_healthy: bool = True
-    leaves: bool = False
+    leaving: bool = msgspec.field(name="leaves", default=False)
     epoch_closed: bool = False
     keys: int = 0
     routes: int = 0
-    plants: int = 0
+    services: int = msgspec.field(name="plants", default=0)
     duties: tuple[str, ...] = ()
     upstreams: tuple[tuple[str, UpstreamReport], ...] = ()  # by machine
-    neighbours: tuple[PeerStatus, ...] = ()
-    pilots: tuple[FollowerStatus, ...] = ()
+    peers: tuple[PeerStatus, ...] = msgspec.field(name="neighbours", default=())
+    proxies: tuple[FollowerStatus, ...] = msgspec.field(name="pilots", default=())
 
 
 class StoredItem(msgspec.Struct, frozen=True, omit_defaults=True):
@@ -616,7 +626,7 @@
 
 
 class ItemList(msgspec.Struct, tag_field="t", tag="items", frozen=True):
-    serves: bool
+    serving: bool = msgspec.field(name="serves")
     commit_index: int
     epoch: int
     items: tuple[StoredItem, ...]
--- a/brackengate/protocol/settings.py
+++ b/brackengate/protocol/settings.py
@@ -87,7 +87,7 @@
     bounds: Bounds = Bounds()
 
     @property
-    def lighthouse_port(self) -> int:
+    def control_plane_port(self) -> int:
         """Where lighthouses hear each other and the pilots; the same on all machines."""
         return self.internal_ports[0]
 
--- a/brackengate/proxy/admission.py
+++ b/brackengate/proxy/admission.py
@@ -66,7 +66,7 @@
         away what is for an earlier life.
         """
         if self.beat is None and not self._left and known.state in ("ready", "away"):
-            self.beat = Beat(known.id, known.plant, "ready", known.capacity, 0, 0, known.zone)
+            self.beat = Beat(known.id, known.service, "ready", known.capacity, 0, 0, known.zone)
             self._heard = now - int((SILENT_BEATS - ADOPTED_BEATS) * self._every)
 
     def leaves(self, id_: str) -> None:
--- a/brackengate/proxy/copy.py
+++ b/brackengate/proxy/copy.py
@@ -21,10 +21,10 @@
 
         Differs, and it begins anew, where it is not what its sender holds.
         """
-        if not piece.anew and asked != self.position:
+        if not piece.from_start and asked != self.position:
             return False
         changes = taken(self.position, piece)
-        if piece.anew:
+        if piece.from_start:
             self.rows.clear()
         for index, (kind, name, value) in changes:
             self.rows.set(kind, name, index, value)
--- a/brackengate/proxy/egress.py
+++ b/brackengate/proxy/egress.py
@@ -172,7 +172,10 @@
             )
             said.append((row, address))
         self.node.listed(ListKind.FULL, said)
-        before, self._pilots = self._pilots, {instance.id: instance.pilot for _, instance, _ in rows}
+        before, self._pilots = (
+            self._pilots,
+            {instance.id: instance.proxy_incarnation for _, instance, _ in rows},
+        )
         for id_, life in self._pilots.items():
             if before.get(id_, life) != life:  # a new process: what had failed was the one before it
                 self.node.told(Standing(id_, True))
@@ -247,7 +250,7 @@
         gone: dict[str, set[str]] = {}
         for name in sorted(names):
             route = self._table.route(name)
-            now = {part.plant for part in route.parts} if route is not None else set()
+            now = {part.service for part in route.services} if route is not None else set()
             for service in self._goes_to.pop(name, set()) - now:
                 gone.setdefault(service, set()).add(name)
             if route is not None:
@@ -338,11 +341,11 @@
         service.node.submit(request, message, connection)
 
     def _choose(self, route: Route, arrival: Arrival) -> str:
-        if len(route.parts) == 1:
-            return route.parts[0].plant
+        if len(route.services) == 1:
+            return route.services[0].service
         key = arrival.fields.get(KEY.lower())
         at = zlib.crc32(key) / 2**32 if key else self._rng.random()  # a repeat goes where the first one went
-        return choose(route.parts, at)
+        return choose(route.services, at)
 
     def held(self) -> int:
         return self.unrouted.count() + sum(service.node.out() for service in self.services.values())
--- a/brackengate/proxy/follow.py
+++ b/brackengate/proxy/follow.py
@@ -94,13 +94,13 @@
 
     def _opened(self, dialer: Dialer) -> None:
         self.heard = self._follow.now()
-        dialer.send(Hello(self._follow.me, pilot=True))
+        dialer.send(Hello(self._follow.me, is_proxy=True))
         self._asked, self._request = self._follow.copy.position, 0
         dialer.send(
             Follow(
                 self._follow.table.index,
-                tells=True,
-                copy=self._asked,
+                reports_progress=True,
+                snapshot=self._asked,
                 sent=self.heard,
                 staged=self._follow.staged.positions(),
             )
--- a/brackengate/proxy/role.py
+++ b/brackengate/proxy/role.py
@@ -95,7 +95,7 @@
         self.following = Following(
             settings.ip,
             settings.zone,
-            settings.lighthouse_port,
+            settings.control_plane_port,
             self._seeds,
             self.table,
             self._changed,
@@ -281,7 +281,7 @@
     def _adopt(self) -> None:
         self._adopted = True
         known = self.table.instances.get(self.settings.ip)
-        if known is not None and known.plant == self.settings.plant:
+        if known is not None and known.service == self.settings.plant:
             self.gate.adopt(known, self.clock.now())
 
     def _standing(self, machine: str, up: bool) -> None:
@@ -298,7 +298,7 @@
 
 def _said(instance: UpstreamReport) -> tuple[str, str, str]:
     """What of a report is news; the rest goes with it."""
-    return instance.id, instance.state, instance.pilot
+    return instance.id, instance.state, instance.proxy_incarnation
 
 
 async def serve(settings: Settings, path: str) -> int:
--- a/brackengate/proxy/routing_table.py
+++ b/brackengate/proxy/routing_table.py
@@ -120,14 +120,14 @@
     def _instance(self, machine: str, now: UpstreamReport | None) -> None:
         before = self.instances.pop(machine, None)
         if before is not None:
-            self._touched.services.add(before.plant)
-            self._upstreams.get(before.plant, {}).pop(machine, None)
+            self._touched.services.add(before.service)
+            self._upstreams.get(before.service, {}).pop(machine, None)
         if now is None:
             return
         self.instances[machine] = now
-        self._touched.services.add(now.plant)
+        self._touched.services.add(now.service)
         if now.state != "gone":
-            self._upstreams.setdefault(now.plant, {})[machine] = now
+            self._upstreams.setdefault(now.service, {})[machine] = now
 
     def _set_route(self, name: str, now: Route | None) -> None:
         before = self._routes.pop(name, None)
@@ -187,9 +187,9 @@
     ends: list[float] = []
     total = 0.0
     for part in parts:
-        total += part.gain
+        total += part.weight
         ends.append(total)
-    return parts[min(bisect.bisect_right(ends, at * total), len(parts) - 1)].plant
+    return parts[min(bisect.bisect_right(ends, at * total), len(parts) - 1)].service
 
 
 def host_of(value: bytes) -> str:
--- a/tests/control/test_admin_commands.py
+++ b/tests/control/test_admin_commands.py
@@ -38,7 +38,7 @@
 
 
 def follower(follows: bool = True, tells: bool = True) -> Any:
-    return SimpleNamespace(follows=follows, tells=tells, index=7)
+    return SimpleNamespace(follows=follows, reports_progress=tells, index=7)
 
 
 def told(text: str) -> tuple[int, list[tuple[str, str, str]]]:
@@ -96,7 +96,7 @@
     assert host.replica is not None
     found = item_list(host.replica, core.now)
     assert [(one.name, one.version, one.body, one.index) for one in found.items] == [("p", 7, None, 2)]
-    assert found.serves
+    assert found.serving
 
 
 def test_pilots_that_are_silent_or_older_hold_nothing_up(monkeypatch: pytest.MonkeyPatch) -> None:
@@ -110,19 +110,19 @@
         followers[gone] = follower(follows=False)
         room = AdminCommands(None, followers, None, None)  # type: ignore[arg-type]
         asker = Lines("")
-        room.heard(asker, Inquiry(3, Explain("id-1")))  # type: ignore[arg-type]
+        room.receive(asker, Inquiry(3, Explain("id-1")))  # type: ignore[arg-type]
         assert quick.sent == silent.sent == [ProgressRequest(1, "id-1")]
         assert older.sent == gone.sent == []  # a line that it can't read would end its connection
-        room.seen(quick, ProgressReport(1, 9, (HOP,)))  # type: ignore[arg-type]
-        room.seen(quick, ProgressReport(8, 9))  # type: ignore[arg-type]
+        room.receive_progress(quick, ProgressReport(1, 9, (HOP,)))  # type: ignore[arg-type]
+        room.receive_progress(quick, ProgressReport(8, 9))  # type: ignore[arg-type]
         assert asker.sent == []
         await asker.said.wait()
         [done] = asker.sent
         assert (type(done), done.id) == (Result, 3)
         assert isinstance(done.result, Followers)
-        told = {one.addr: (one.index, one.wake) for one in done.result.pilots}
+        told = {one.addr: (one.index, one.decisions) for one in done.result.proxies}
         assert told == {"quick": (9, (HOP,)), "silent": (None, ()), "older": (None, ())}
-        room.seen(silent, ProgressReport(1, 9))  # type: ignore[arg-type]
+        room.receive_progress(silent, ProgressReport(1, 9))  # type: ignore[arg-type]
 
     asyncio.run(asyncio.wait_for(play(), 10))
 
@@ -133,10 +133,10 @@
     async def play() -> None:
         one, two, asker = Lines("one"), Lines("two"), Lines("")
         room = AdminCommands(None, {one: follower(), two: follower()}, None, None)  # type: ignore[arg-type]
-        room.heard(asker, Inquiry(1, Explain("id-1")))  # type: ignore[arg-type]
-        room.seen(one, ProgressReport(1, 9))  # type: ignore[arg-type]
+        room.receive(asker, Inquiry(1, Explain("id-1")))  # type: ignore[arg-type]
+        room.receive_progress(one, ProgressReport(1, 9))  # type: ignore[arg-type]
         assert asker.sent == []
-        room.seen(two, ProgressReport(1, 8))  # type: ignore[arg-type]
-        assert [one.index for one in asker.sent[0].result.pilots] == [9, 8]
+        room.receive_progress(two, ProgressReport(1, 8))  # type: ignore[arg-type]
+        assert [one.index for one in asker.sent[0].result.proxies] == [9, 8]
 
     asyncio.run(play())
--- a/tests/control/test_commands_pending.py
+++ b/tests/control/test_commands_pending.py
@@ -123,7 +123,7 @@
         self.asked: list[Command] = []
         self.withdrawn: list[int] = []
 
-    def ask(self, what: Command, done: Callable[[Any], None], give_up_after: int) -> int:
+    def submit(self, what: Command, done: Callable[[Any], None], give_up_after: int) -> int:
         assert give_up_after == OPERATOR_PATIENCE
         self.asked.append(what)
         return len(self.asked)
--- a/tests/control/test_copies.py
+++ b/tests/control/test_copies.py
@@ -134,7 +134,7 @@
 
 
 def anew(pieces: list[tuple[str, SnapshotPiece]]) -> int:
-    return sum(piece.anew for _, piece in pieces)
+    return sum(piece.from_start for _, piece in pieces)
 
 
 def sent(pieces: list[tuple[str, SnapshotPiece]]) -> int:
@@ -482,7 +482,7 @@
     learner = Learner(transfer.SnapshotPosition(9, 50))
     asked = learner.next_request(["a"], 100)
     assert asked is not None
-    older = SnapshotPiece(asked.id, transfer.SnapshotPosition(12, 49), anew=True)
+    older = SnapshotPiece(asked.id, transfer.SnapshotPosition(12, 49), from_start=True)
     assert not learner.answered("a", older)
 
 
--- a/tests/control/test_followers.py
+++ b/tests/control/test_followers.py
@@ -74,15 +74,15 @@
 
     connections, heard = followers_of(replica(40)), Heard()
     lines: Any = heard
-    connections.joined(lines)
-    follower = connections.by_lines[lines]
-    connections.heard(lines, Follow(-1))
+    connections.add(lines)
+    follower = connections.by_connection[lines]
+    connections.receive(lines, Follow(-1))
     pieces = [heard.last_piece()]
     while pieces[-1].total is None:
         assert follower.copying
         connections.publish(Publish(41, (("inst", "10.0.0.1", None),)))
         assert heard.changes() == []
-        connections.heard(lines, SnapshotRequest(len(pieces), pieces[-1].position))
+        connections.receive(lines, SnapshotRequest(len(pieces), pieces[-1].position))
         pieces.append(heard.last_piece())
     assert len(pieces) > 4 and sum(len(piece.rows) for piece in pieces) == 40
     assert heard.changes() == []
@@ -99,15 +99,15 @@
     ends = [Heard() for _ in range(10)]
     for end in ends:
         lines: Any = end
-        connections.joined(lines)
-        connections.heard(lines, Follow(-1))
+        connections.add(lines)
+        connections.receive(lines, Follow(-1))
     assert len({id(end.messages[-1]) for end in ends}) == 1 and ends[0].last_piece().total is not None
     made.ask(ReportUpstream("10.0.1.1", {"id": "late"}), 99, 0)
     made.stored(chain.index, chain.generation)
     connections.restart()
     assert len({id(end.messages[-1]) for end in ends}) == 1
     assert [row[1] for row in ends[0].changes()[-1].rows] == ["10.0.1.1"]
-    assert {follower.index for follower in connections.by_lines.values()} == {41}
+    assert {follower.index for follower in connections.by_connection.values()} == {41}
 
 
 def test_followers_from_many_indexes_do_not_make_it_keep_what_each_lacks() -> None:
@@ -132,9 +132,9 @@
 
     connections = FollowerConnections(replica(1), lambda: 0, lambda actions: None, ask, withdrawn.append)
     lines: Any = Heard()
-    connections.joined(lines)
+    connections.add(lines)
     for number in (11, 12, 13):
-        connections.heard(lines, FollowerCommand(number, Claim(f"k{number}", "g", "1", "")))
+        connections.receive(lines, FollowerCommand(number, Claim(f"k{number}", "g", "1", "")))
     asked[1](CommandDone())
-    connections.left(lines)
+    connections.remove(lines)
     assert withdrawn == [1, 3] and [word.id for word in lines.words] == [12]
--- a/tests/control/test_item_index.py
+++ b/tests/control/test_item_index.py
@@ -22,7 +22,7 @@
     services = {name for (kind, name), item in items.items() if kind == "plant" and item.body is not None}
     routes = [parsed(item) for (kind, _), item in items.items() if kind == "route" and item.body is not None]
     places = {(it.host, it.prefix) for it in routes}
-    return len(places) == len(routes) and all(p.plant in services for it in routes for p in it.parts)
+    return len(places) == len(routes) and all(p.service in services for it in routes for p in it.services)
 
 
 @pytest.mark.parametrize("seed", range(40))
--- a/tests/control/test_membership.py
+++ b/tests/control/test_membership.py
@@ -141,7 +141,13 @@
         for addr in others:
             inc = "n" if addr == learner else "i"
             said = Ping(
-                inc, 1, 100, 1, addr == learner, hears=hears, copied=copied if addr == learner else -1
+                inc,
+                1,
+                100,
+                1,
+                addr == learner,
+                reachable=hears,
+                copied_index=copied if addr == learner else -1,
             )
             out += self.hear(addr, said)
             if addr in pings and answers:
@@ -257,7 +263,7 @@
         for action in [one for one in actions if isinstance(one, Tell) and one.addr == "B"]:
             if isinstance(action.word, Ping):
                 replica.heard("B", Pong(1, action.word.sent, False, FIRST), now)
-        replica.heard("B", Ping(FIRST, 1, caught_up_epoch=1, hears=("A", "C"), sent=now), now)
+        replica.heard("B", Ping(FIRST, 1, caught_up_epoch=1, reachable=("A", "C"), sent=now), now)
         stores = [one for one in actions if isinstance(one, Store)]
         if begun is None and any(isinstance(one.word, Prepare) for store in stores for one in store.tells):
             begun = now
--- a/tests/emulator/test_mesh_leases.py
+++ b/tests/emulator/test_mesh_leases.py
@@ -71,7 +71,7 @@
     ]
     assert late != []  # it is asked, and sends them away
     assert [word for _, word in late if not isinstance(word, Redirect | ControlReplicas)] == []
-    assert not any(word.touch for _, word in late if isinstance(word, ControlReplicas))
+    assert not any(word.in_contact for _, word in late if isinstance(word, ControlReplicas))
     found = [
         when for when, member, peer, _ in told if peer.startswith(anew) and member != cut_off and when > 8 * S
     ]
--- a/tests/meshctl/test_meshctl_pure.py
+++ b/tests/meshctl/test_meshctl_pure.py
@@ -118,8 +118,8 @@
     given: dict[str, Any] = {
         "is_member": addr in seats,
         "has_snapshot": True,
-        "serves": True,
-        "public": commit_index,
+        "serving": True,
+        "public_index": commit_index,
     }
     return ReplicaStatus(
         addr,
@@ -138,9 +138,9 @@
 class Figures(TestCase):
     def test_members_stand_in_the_chains_order_and_the_lost_are_named(self) -> None:
         told = [
-            standing("A", 9, "BAC", neighbours=(PeerStatus("C", "zC", True),)),
+            standing("A", 9, "BAC", peers=(PeerStatus("C", "zC", True),)),
             standing("B", 12, "BAC", duties=("mend",)),
-            standing("D", 3, "BAC", epoch=3, serves=False, leaves=True),
+            standing("D", 3, "BAC", epoch=3, serving=False, leaving=True),
         ]
         rows = figures.members(told, [("C", "no answer")])
         self.assertThat(
@@ -168,11 +168,11 @@
 
     def test_a_pilot_that_does_not_say_how_far_it_is_counts_as_late(self) -> None:
         told = [
-            standing("A", 9, pilots=(FollowerStatus("p1", 9, 9), FollowerStatus("p2", 9))),
+            standing("A", 9, proxies=(FollowerStatus("p1", 9, 9), FollowerStatus("p2", 9))),
             standing(
                 "B",
                 9,
-                pilots=(FollowerStatus("p3", 9, 6),),
+                proxies=(FollowerStatus("p3", 9, 6),),
                 upstreams=(("p4", UpstreamReport("i", "s", "z", "ready")),),
             ),
         ]
--- a/tests/protocol/test_settings.py
+++ b/tests/protocol/test_settings.py
@@ -40,7 +40,7 @@
         6_000_000,
         2_000_000,
     )
-    assert (settings.listen.outbound, settings.lighthouse_port, settings.min_replicas) == (
+    assert (settings.listen.outbound, settings.control_plane_port, settings.min_replicas) == (
         ("10.1.0.8", 8304),
         7620,
         2,
--- a/tests/proxy/test_follower_copy.py
+++ b/tests/proxy/test_follower_copy.py
@@ -73,7 +73,7 @@
     other.set(2 * ITEMS + 1, "inst", "10.0.0.1", None)
     before = copy.rows.count
     pieces = [other.piece(copy)]
-    assert not pieces[0].anew
+    assert not pieces[0].from_start
     while not copy.take(copy.position, pieces[-1]):
         pieces.append(other.piece(copy))
     assert sum(len(piece.rows) for piece in pieces) <= ITEMS + 1 - before
@@ -88,7 +88,7 @@
     sender.log.recent_public.begin(ITEMS)
     sender.set(ITEMS + 1, "plant", "p1", plant(1, 2))
     sender.log.recent_public.begin(ITEMS + 1)
-    assert sender.piece(copy).anew
+    assert sender.piece(copy).from_start
     finish(sender, copy)
     assert copy.rows.checksum == sender.log.state.public.checksum
 
--- a/tests/proxy/test_ingress.py
+++ b/tests/proxy/test_ingress.py
@@ -219,7 +219,7 @@
         world.comes("k", attempt="t2")
         self.assertThat(world.own.jobs, Equals([]))
         after = world.asked[0][0]
-        self.assertThat([type(after), after.instead], Equals([Claim, before.attempt]))
+        self.assertThat([type(after), after.replaces], Equals([Claim, before.attempt]))
         self.assertThat(after.attempt == before.attempt, Equals(False))
         world.core(HeldBy("other", "x"))
         self.assertThat([world.own.jobs, len(world.gates.jobs)], Equals([[], 1]))
@@ -280,7 +280,9 @@
         self.assertThat([type(lifted), second.said, world.own.jobs], Equals([Unclaim, "away", []]))
         world.comes("k", attempt="t3")
         again = world.core(OK)
-        self.assertThat([type(again), again.instead], Equals([Claim, lifted.attempt]))  # a late sending of it
+        self.assertThat(
+            [type(again), again.replaces], Equals([Claim, lifted.attempt])
+        )  # a late sending of it
         self.assertThat(len(world.own.jobs), Equals(1))
 
     def test_what_is_kept_of_an_operation_ends_with_its_claim_also_behind_one_that_runs(self) -> None:
