--- a/brackengate/proxy/admission.py
+++ b/brackengate/proxy/admission.py
@@ -73,7 +73,7 @@
         away what is for an earlier life.
         """
         if self.heartbeat is None and not self._ended_instances and known.state in ("ready", "away"):
-            self.heartbeat = Heartbeat(known.id, known.plant, "ready", known.capacity, 0, 0, known.zone)
+            self.heartbeat = Heartbeat(known.id, known.service, "ready", known.capacity, 0, 0, known.zone)
             self._last_heartbeat_at = now - int(
                 (SILENT_AFTER_INTERVALS - ADOPTED_INTERVALS) * self._heartbeat_interval
             )
--- a/brackengate/proxy/control_client.py
+++ b/brackengate/proxy/control_client.py
@@ -94,13 +94,13 @@
 
     def _on_open(self, dialer: Dialer) -> None:
         self.last_received = self._client.now()
-        dialer.send(Hello(self._client.me, pilot=True))
+        dialer.send(Hello(self._client.me, is_proxy=True))
         self._requested_position, self._request_id = self._client.snapshot.position, 0
         dialer.send(
             Follow(
                 self._client.table.index,
-                tells=True,
-                copy=self._requested_position,
+                reports_progress=True,
+                snapshot=self._requested_position,
                 sent=self.last_received,
                 staged=self._client.staged_changes.positions(),
             )
--- a/brackengate/proxy/egress.py
+++ b/brackengate/proxy/egress.py
@@ -196,7 +196,7 @@
         self.node.listed(ListKind.FULL, endpoints)
         before, self._proxy_incarnations = (
             self._proxy_incarnations,
-            {instance.id: instance.pilot for _, instance, _ in rows},
+            {instance.id: instance.proxy_incarnation for _, instance, _ in rows},
         )
         for id_, incarnation in self._proxy_incarnations.items():
             if (
@@ -279,7 +279,7 @@
         gone: dict[str, set[str]] = {}
         for name in sorted(names):
             route = self._table.route(name)
-            now = {part.plant for part in route.parts} if route is not None else set()
+            now = {part.service for part in route.services} if route is not None else set()
             for service in self._services_by_route.pop(name, set()) - now:
                 gone.setdefault(service, set()).add(name)
             if route is not None:
@@ -381,11 +381,11 @@
         service.node.submit(request, message, connection)
 
     def _choose_service(self, route: Route, arrival: Arrival) -> str:
-        if len(route.parts) == 1:
-            return route.parts[0].plant
+        if len(route.services) == 1:
+            return route.services[0].service
         key = arrival.fields.get(OPERATION_KEY.lower())
         at = zlib.crc32(key) / 2**32 if key else self._rng.random()  # a repeat goes where the first one went
-        return choose_service(route.parts, at)
+        return choose_service(route.services, at)
 
     def pending_count(self) -> int:
         return self.unrouted.count() + sum(service.node.out() for service in self.services.values())
--- a/brackengate/proxy/role.py
+++ b/brackengate/proxy/role.py
@@ -104,7 +104,7 @@
         self.control_client = ControlClient(
             settings.ip,
             settings.zone,
-            settings.lighthouse_port,
+            settings.control_plane_port,
             self._control_replicas,
             self.table,
             self._on_table_changed,
@@ -313,7 +313,7 @@
     def _adopt(self) -> None:
         self._adopted = True
         known = self.table.instances.get(self.settings.ip)
-        if known is not None and known.plant == self.settings.plant:
+        if known is not None and known.service == self.settings.plant:
             self.admission.adopt(known, self.clock.now())
 
     def _on_health_changed(self, machine: str, up: bool) -> None:
@@ -330,7 +330,7 @@
 
 def _reported_fields(instance: UpstreamReport) -> tuple[str, str, str]:
     """What of a report is news; the rest goes with it."""
-    return instance.id, instance.state, instance.pilot
+    return instance.id, instance.state, instance.proxy_incarnation
 
 
 async def serve(settings: Settings, path: str) -> int:
