--- a/brackengate/emulator/instance.py
+++ b/brackengate/emulator/instance.py
@@ -218,7 +218,7 @@
         stack = self.stack
         yield "requests", stack.held(), 0
         yield "waiting repeats", stack.repeats.waiting() if stack.repeats is not None else 0, 0
-        yield "requests of its module", sum(len(module.calls) for module in stack.modules()), 0
+        yield "requests of its module", sum(len(module.requests) for module in stack.modules()), 0
         entries = sum(len(module.heap) for module in stack.modules())
         yield "entries in the module's order", entries, 5 * len(self.listed) + 16
         yield "sockets", self._budget.taken, self._budget.limit
--- a/brackengate/emulator/variants.py
+++ b/brackengate/emulator/variants.py
@@ -9,7 +9,7 @@
 from collections.abc import Callable
 
 from brackengate import interface as api
-from brackengate.brain import LEARN, Attempt, Balancer, Call, Upstream
+from brackengate.brain import EWMA_WEIGHT, Attempt, Balancer, TrackedRequest, Upstream
 from brackengate.interface import Settings
 
 SLOW_FROM, SLOWEST = (
@@ -27,38 +27,53 @@
         super().__init__(settings, seed)
         self._ratio: dict[str, float] = {}
 
-    def _learn_time(self, call: Call, attempt: Attempt) -> None:
-        mean = self.mean_time.get(call.cls.name, 0.0)
-        super()._learn_time(call, attempt)
+    def _record_latency(self, request: TrackedRequest, attempt: Attempt) -> None:
+        mean = self.mean_latency.get(request.request_class.name, 0.0)
+        super()._record_latency(request, attempt)
         if attempt.outcome in (api.Outcome.OK, api.Outcome.TIMEOUT) and mean > 0:
             name, before = attempt.upstream.id, self._ratio.get(attempt.upstream.id, 1.0)
-            seen = min(SLOWEST, (self.now - attempt.sent) / mean)
-            self._ratio[name] = before + LEARN * (seen - before)
-
-    def _forget(self, up: Upstream) -> None:
-        self._ratio.pop(up.id, None)
-        super()._forget(up)
-
-    def _order(self, up: Upstream) -> None:
-        super()._order(up)
-        ratio = max(1.0, self._ratio.get(up.id, 1.0))
-        if ratio > SLOW_FROM and up.serving and self.now >= max(up.rest_until, up.joins):
-            up.stamp = self.stamp = self.stamp + 1
-            heapq.heappush(self.heap, (True, ratio * (up.own + 1) / up.size, up.last, up.stamp, up))
+            seen = min(SLOWEST, (self.now - attempt.sent_at) / mean)
+            self._ratio[name] = before + EWMA_WEIGHT * (seen - before)
+
+    def _remove(self, upstream: Upstream) -> None:
+        self._ratio.pop(upstream.id, None)
+        super()._remove(upstream)
+
+    def _update_order(self, upstream: Upstream) -> None:
+        super()._update_order(upstream)
+        ratio = max(1.0, self._ratio.get(upstream.id, 1.0))
+        if (
+            ratio > SLOW_FROM
+            and upstream.serving
+            and self.now >= max(upstream.ejected_until, upstream.eligible_at)
+        ):
+            upstream.order_version = self.order_version = self.order_version + 1
+            heapq.heappush(
+                self.heap,
+                (
+                    True,
+                    ratio * (upstream.own_in_flight + 1) / upstream.weight,
+                    upstream.last_assigned,
+                    upstream.order_version,
+                    upstream,
+                ),
+            )
 
 
 class Reserving(Balancer):
     """A cheap call is held until an upstream is idle, as long as it has the time for that."""
 
-    def _send(self, call: Call, up: Upstream) -> None:
-        cheap = call.worth < DEAR * self.top_worth
-        busy = up.own > 0 or (up.load > 0 and self.now - up.heard <= self.recheck)
-        spare = call.aim_by - self.now - 2 * self.mean_time.get(call.cls.name, 0.0)
-        if cheap and busy and spare > self.recheck and not call.attempts:
-            call.asked, call.seen, call.out = [], [], 0
-            self._hold(call)
+    def _send(self, request: TrackedRequest, upstream: Upstream) -> None:
+        cheap = request.value < DEAR * self.max_value
+        busy = upstream.own_in_flight > 0 or (
+            upstream.reported_load > 0 and self.now - upstream.reported_at <= self.recheck_interval
+        )
+        spare = request.target_by - self.now - 2 * self.mean_latency.get(request.request_class.name, 0.0)
+        if cheap and busy and spare > self.recheck_interval and not request.attempts:
+            request.probed, request.probed_busy, request.probes_pending = [], [], 0
+            self._wait_for_upstream(request)
         else:
-            super()._send(call, up)
+            super()._send(request, upstream)
 
 
 class Spread(Balancer):
@@ -68,18 +83,25 @@
         super().__init__(settings, seed)
         self._off = 0.0
 
-    def _learn_time(self, call: Call, attempt: Attempt) -> None:
-        if attempt.outcome in (api.Outcome.OK, api.Outcome.TIMEOUT) and attempt.ahead >= 0:
-            expected = self.best_time * call.hint + self.queue_time * attempt.ahead
-            self._off += LEARN * (abs(self.now - attempt.sent - expected) - self._off)
-        super()._learn_time(call, attempt)
+    def _record_latency(self, request: TrackedRequest, attempt: Attempt) -> None:
+        if attempt.outcome in (api.Outcome.OK, api.Outcome.TIMEOUT) and attempt.load_when_sent >= 0:
+            expected = (
+                self.best_time_per_work * request.expected_work
+                + self.time_per_queued * attempt.load_when_sent
+            )
+            self._off += EWMA_WEIGHT * (abs(self.now - attempt.sent_at - expected) - self._off)
+        super()._record_latency(request, attempt)
 
-    def _hopeless(self, call: Call, ahead: float) -> bool:
+    def _is_too_late(self, request: TrackedRequest, ahead: float) -> bool:
         if self.settings.tier == 0:
-            expected = self.best_time * call.hint + self.queue_time * ahead - DEVIATIONS * self._off
-            if expected <= self._part(call) * (call.aim_by - self.now):
+            expected = (
+                self.best_time_per_work * request.expected_work
+                + self.time_per_queued * ahead
+                - DEVIATIONS * self._off
+            )
+            if expected <= self._usable_time_share(request) * (request.target_by - self.now):
                 return False
-        return super()._hopeless(call, ahead)
+        return super()._is_too_late(request, ahead)
 
 
 MODULES: dict[str, Callable[[Settings, int], Balancer]] = {
--- a/brackengate/pilot/way.py
+++ b/brackengate/pilot/way.py
@@ -38,7 +38,7 @@
 from brackengate.pilot.unrouted import NOT_FOUND, Unrouted
 from brackengate.pilot.verdict import judge
 from brackengate.pilot.wake import ID, Wake
-from brackengate.policy.state import MOST_TRIES
+from brackengate.policy.state import MAX_TOTAL_ATTEMPTS
 from brackengate.signals.door import MOST_BODY
 from brackengate.signals.items import Route
 from brackengate.signals.words import Instance
@@ -139,7 +139,7 @@
             tier=TIER,
             cold_share=0.4,
             cold_time=COLD_TIME,
-            max_attempts=MOST_TRIES,  # of any kind; a route says how many may reach an upstream
+            max_attempts=MAX_TOTAL_ATTEMPTS,  # of any kind; a route says how many may reach an upstream
             retry_start=0.0,
             wait_for_upstream=False,
             unsent_attempts_free=True,
--- a/brackengate/policy/__init__.py
+++ b/brackengate/policy/__init__.py
@@ -1,1 +1,1 @@
-"""The decisions of the balancer by concern; brackengate/brain.py puts them together."""
+"""The balancer's decisions, one mixin for each concern; brackengate/brain.py combines them."""
--- a/brackengate/policy/failures.py
+++ b/brackengate/policy/failures.py
@@ -1,39 +1,53 @@
-"""What counts as a failure of an upstream, and how it demotes and rests."""
+"""Failures of upstreams: what counts as one, and when an upstream is demoted or ejected."""
 
 from __future__ import annotations
 
 from brackengate import interface as api
 from brackengate.policy.order import Order
-from brackengate.policy.state import ABRUPT, MAX_FAILS, REST_CONNECTS, Attempt, Call, Upstream
+from brackengate.policy.state import (
+    EJECTION_CONNECT_TIMEOUTS,
+    FAST_ERROR_SHARE,
+    MAX_CONSECUTIVE_FAILURES,
+    Attempt,
+    TrackedRequest,
+    Upstream,
+)
 
 
 class Failures(Order):
-    def _abrupt(self, call: Call, attempt: Attempt) -> bool:
-        """It had time enough; an upstream that errs at once looks idle and would draw every call."""
-        mean = self.mean_time.get(call.cls.name, 0.0) if attempt.outcome is api.Outcome.ERROR else 0.0
-        return self.now - attempt.sent < ABRUPT * mean < mean < call.answer_by - self.now
-
-    def _failed(self, up: Upstream, counts: int = 1) -> None:
-        """A failure demotes; MAX_FAILS in a row make it rest."""
-        up.fails += counts
-        up.demoted = True
-        rest = REST_CONNECTS * self.settings.connect_timeout
-        if up.fails >= MAX_FAILS:
-            up.rest_until = self.now + rest
-        self._timer(rest, "return", up.id)
-        self._order(up)
-
-    def _on_standing(self, event: api.UpstreamHealth) -> None:
-        """Others' word on it: as many failures as make it rest, or none of those that it had."""
-        up = self.upstreams.get(event.upstream)
-        if up is None:
+    def _is_fast_error(self, request: TrackedRequest, attempt: Attempt) -> bool:
+        """Whether it failed much faster than answers come, although it had time enough.
+
+        An upstream that errs at once looks idle and would attract every request.
+        """
+        mean = (
+            self.mean_latency.get(request.request_class.name, 0.0)
+            if attempt.outcome is api.Outcome.ERROR
+            else 0.0
+        )
+        return self.now - attempt.sent_at < FAST_ERROR_SHARE * mean < mean < request.answer_by - self.now
+
+    def _record_failure(self, upstream: Upstream, count: int = 1) -> None:
+        """Demote the upstream; MAX_CONSECUTIVE_FAILURES in a row eject it for a while."""
+        upstream.consecutive_failures += count
+        upstream.demoted = True
+        ejection_time = EJECTION_CONNECT_TIMEOUTS * self.settings.connect_timeout
+        if upstream.consecutive_failures >= MAX_CONSECUTIVE_FAILURES:
+            upstream.ejected_until = self.now + ejection_time
+        self._start_timer(ejection_time, "readmit", upstream.id)
+        self._update_order(upstream)
+
+    def _on_upstream_health(self, event: api.UpstreamHealth) -> None:
+        """Others report its health: eject it at once, or clear its failures."""
+        upstream = self.upstreams.get(event.upstream)
+        if upstream is None:
             return
         if not event.healthy:
-            return self._failed(up, MAX_FAILS)
-        up.fails, up.demoted, up.rest_until = 0, False, self.now
-        self._order(up)
+            return self._record_failure(upstream, MAX_CONSECUTIVE_FAILURES)
+        upstream.consecutive_failures, upstream.demoted, upstream.ejected_until = 0, False, self.now
+        self._update_order(upstream)
 
-    def _release(self, upstream: str, up: Upstream | None) -> None:
+    def _release_connections(self, upstream_id: str, upstream: Upstream | None) -> None:
         """Rule 5: close idle connections to a leaving upstream, on the notice and at each later outcome."""
-        if self.settings.release_within > 0 and (up is None or not up.serving):
-            self.actions.append(api.Release(upstream))
+        if self.settings.release_within > 0 and (upstream is None or not upstream.serving):
+            self.actions.append(api.Release(upstream_id))
--- a/brackengate/policy/order.py
+++ b/brackengate/policy/order.py
@@ -1,4 +1,4 @@
-"""Which upstream comes first, and the gate: whether a call may go there at all."""
+"""The order in which upstreams are chosen, and the rules by which a request may go to one at all."""
 
 from __future__ import annotations
 
@@ -6,95 +6,125 @@
 
 from brackengate import interface as api
 from brackengate.policy.cold import Cold
-from brackengate.policy.state import NEVER_RAN, SQUEEZED, UNSENT, WARM_ENOUGH, Attempt, Call, Upstream
+from brackengate.policy.state import (
+    MAX_CONNECT_FAILURE_RATE,
+    MIN_PROBED_WARMTH,
+    NEVER_RAN,
+    UNSENT,
+    Attempt,
+    TrackedRequest,
+    Upstream,
+)
 
 
 class Order(Cold):
-    def _order(self, up: Upstream) -> None:
-        """Idle first, then the fewest own calls for its size, then the earliest assignment."""
-        if self.upstreams.get(up.id) is not up:
+    def _update_order(self, upstream: Upstream) -> None:
+        """Enter it in the order: idle first, then fewest own in flight by weight, then first assigned."""
+        if self.upstreams.get(upstream.id) is not upstream:
             return
-        up.stamp = self.stamp = self.stamp + 1
-        if not up.serving or self.now < max(up.rest_until, up.joins):
-            return  # picks do not even look at it; a timer or the list brings it back
-        if len(self.heap) > 4 * len(self.upstreams):  # outdated entries at the far end are never met
-            self.heap = sorted(entry for entry in self.heap if entry[4].stamp == entry[3])
-        busy = up.own > 0 or up.demoted
-        count = (up.own + 1) / up.size if busy else 0.0
-        heapq.heappush(self.heap, (busy, count, up.last, up.stamp, up))
+        upstream.order_version = self.order_version = self.order_version + 1
+        if not upstream.serving or self.now < max(upstream.ejected_until, upstream.eligible_at):
+            return  # not in the order at all until a timer or the list brings it back
+        if len(self.heap) > 4 * len(self.upstreams):  # outdated entries at the far end are never popped
+            self.heap = sorted(entry for entry in self.heap if entry[4].order_version == entry[3])
+        busy = upstream.own_in_flight > 0 or upstream.demoted
+        count = (upstream.own_in_flight + 1) / upstream.weight if busy else 0.0
+        heapq.heappush(self.heap, (busy, count, upstream.last_assigned, upstream.order_version, upstream))
 
-    def _pick(self, call: Call, most: int, asking: bool = False) -> list[Upstream]:
-        """The first `most` upstreams in that order which the gate lets this call go to.
+    def _pick_upstreams(self, request: TrackedRequest, count: int, probing: bool = False) -> list[Upstream]:
+        """The first `count` upstreams in the order that this request may be sent to.
 
-        Exception while connects fail: those with a connection and no own call come alone, if there are any.
+        Exception while connections fail: only upstreams with an open connection and no own request in
+        flight are returned, if there are any.
         """
-        found, passed, linked = list[Upstream](), [], list[Upstream]()
-        squeezed, any_linked = self.unconnected > SQUEEZED, False
-        while self.heap and (squeezed or len(found) < most):
+        found, popped, connected = list[Upstream](), [], list[Upstream]()
+        connects_fail, any_connected = self.connect_failure_rate > MAX_CONNECT_FAILURE_RATE, False
+        while self.heap and (connects_fail or len(found) < count):
             entry = heapq.heappop(self.heap)
-            up = entry[4]
-            if up.stamp == entry[3]:  # else outdated: the upstream has moved in the order
-                passed.append(entry)
-                open_here = squeezed and up.own == 0 and self.now - up.linked < self.settings.idle_close
-                if (open_here or up not in call.asked) and self._may_send(call, up, asking):
-                    any_linked = any_linked or open_here
-                    if up not in call.asked:
-                        (linked if open_here else found).append(up)
-        for entry in passed:
+            upstream = entry[4]
+            if upstream.order_version == entry[3]:  # otherwise outdated: its place in the order has changed
+                popped.append(entry)
+                has_connection = (
+                    connects_fail
+                    and upstream.own_in_flight == 0
+                    and self.now - upstream.connected_at < self.settings.idle_close
+                )
+                if (has_connection or upstream not in request.probed) and self._may_send(
+                    request, upstream, probing
+                ):
+                    any_connected = any_connected or has_connection
+                    if upstream not in request.probed:
+                        (connected if has_connection else found).append(upstream)
+        for entry in popped:
             heapq.heappush(self.heap, entry)
-        return (linked if any_linked else found)[:most]
+        return (connected if any_connected else found)[:count]
 
-    def _may_send(self, call: Call, up: Upstream, asking: bool = False) -> bool:
-        if not self._lets(call, up) or self.now < up.rest_until:
+    def _may_send(self, request: TrackedRequest, upstream: Upstream, probing: bool = False) -> bool:
+        """Whether rules 1 to 4 allow it and the upstream is not ejected; `probing`: a probe is sent first."""
+        if not self._is_allowed(request, upstream) or self.now < upstream.ejected_until:
             return False
-        if self.now >= up.cold_next:
-            return True  # rule 4: a cold one in its turn, else only while it says it is idle
-        idle = up.own == 0 and (asking or (up.load == 0 and up.heard == self.now))
-        return idle and self._warmth(up) >= WARM_ENOUGH
+        if self.now >= upstream.next_cold_send_at:
+            return True  # rule 4: a cold one in its turn, otherwise only while it reports that it is idle
+        idle = upstream.own_in_flight == 0 and (
+            probing or (upstream.reported_load == 0 and upstream.reported_at == self.now)
+        )
+        return idle and self._warmth(upstream) >= MIN_PROBED_WARMTH
 
-    def _lets(self, call: Call, up: Upstream) -> bool:
-        """What nothing lifts: rules 1 to 3."""
-        if call.done or self.now >= call.answer_by or len(call.attempts) >= call.most or not up.serving:
+    def _is_allowed(self, request: TrackedRequest, upstream: Upstream) -> bool:
+        """Rules 1 to 3, which have no exception."""
+        if (
+            request.done
+            or self.now >= request.answer_by
+            or len(request.attempts) >= request.max_attempts
+            or not upstream.serving
+        ):
             return False
-        if not call.attempts and not call.earlier:
+        if not request.attempts and not request.earlier:
             return True
-        return self._harmless(call, up) and not self._turned_away(call, up)
+        return self._is_safe_repeat(request, upstream) and not self._has_untried_alternative(
+            request, upstream
+        )
 
-    def _harmless(self, call: Call, up: Upstream) -> bool:
-        """Rule 2."""
-        for attempt in call.attempts:
-            if attempt.outcome not in NEVER_RAN and not self._drops(
-                call, attempt.upstream.row, attempt.sent, up
+    def _is_safe_repeat(self, request: TrackedRequest, upstream: Upstream) -> bool:
+        """Rule 2: whether no attempt that may have run could take effect a second time here."""
+        for attempt in request.attempts:
+            if attempt.outcome not in NEVER_RAN and not self._discards_repeat(
+                request, attempt.upstream.endpoint, attempt.sent_at, upstream
             ):
                 return False
-        return all(self._drops(call, earlier.endpoint, earlier.sent_at, up) for earlier in call.earlier)
+        return all(
+            self._discards_repeat(request, earlier.endpoint, earlier.sent_at, upstream)
+            for earlier in request.earlier
+        )
 
-    def _turned_away(self, call: Call, up: Upstream) -> bool:
-        """Where attempts that ended unsent are free: it did, and another serves that did not and may take it.
+    def _has_untried_alternative(self, request: TrackedRequest, upstream: Upstream) -> bool:
+        """Whether an attempt here ended unsent, while another upstream serves where none did.
 
-        Guards against spending them all on one that is full or out of reach.
+        Only where such attempts are free: they must not all go to one that is full or unreachable.
         """
         if not self.settings.unsent_attempts_free:
             return False
-        away = [a.upstream.id for a in call.attempts if a.outcome in UNSENT]
-        return up.id in away and any(
-            other.serving and other.id not in away and self._harmless(call, other)
+        unsent_at = [a.upstream.id for a in request.attempts if a.outcome in UNSENT]
+        return upstream.id in unsent_at and any(
+            other.serving and other.id not in unsent_at and self._is_safe_repeat(request, other)
             for other in self.upstreams.values()
         )
 
-    def _drops(self, call: Call, one: api.Endpoint, sent: int, up: Upstream) -> bool:
-        """Rule 2: whether what may have run at `one` does no harm here."""
-        scope, other = call.cls.key_scope, up.row
-        if call.cls.idempotency is api.Idempotency.REPEATABLE:
+    def _discards_repeat(
+        self, request: TrackedRequest, earlier: api.Endpoint, sent_at: int, upstream: Upstream
+    ) -> bool:
+        """Rule 2: whether a repeat of what may have run at `earlier` has no second effect at `upstream`."""
+        scope, endpoint = request.request_class.key_scope, upstream.endpoint
+        if request.request_class.idempotency is api.Idempotency.REPEATABLE:
             return True
-        late = self.now - sent + self.settings.resolution >= call.cls.key_memory
-        if call.cls.idempotency is api.Idempotency.UNSAFE or late:
+        late = self.now - sent_at + self.settings.resolution >= request.request_class.key_memory
+        if request.request_class.idempotency is api.Idempotency.UNSAFE or late:
             return False
         if scope is api.KeyScope.ZONE:
-            return one.zone == other.zone and bool(one.zone)
-        return scope is not api.KeyScope.CELL or one.cell == other.cell >= 0
+            return earlier.zone == endpoint.zone and bool(earlier.zone)
+        return scope is not api.KeyScope.CELL or earlier.cell == endpoint.cell >= 0
 
-    def _count(self, attempt: Attempt, on: bool) -> None:
-        """A body on its way, either way, is no work that its upstream has."""
-        attempt.upstream.own += on - attempt.counts
-        attempt.counts = on
+    def _count_in_flight(self, attempt: Attempt, counted: bool) -> None:
+        """Count the attempt in flight or not: a body in transfer, in either direction, is no work."""
+        attempt.upstream.own_in_flight += counted - attempt.counted
+        attempt.counted = counted
--- a/brackengate/policy/overload.py
+++ b/brackengate/policy/overload.py
@@ -1,40 +1,57 @@
-"""What would not be answered in time, and what is learned of times."""
+"""Overload: which requests could not be answered in time, and the latencies that this is judged by."""
 
 from __future__ import annotations
 
 from brackengate import interface as api
-from brackengate.policy.state import CHEAP_PART, FROM_BEST, LEARN, NO_HOPE, TO_BEST, Attempt, Call, State
+from brackengate.policy.state import (
+    BEST_TIME_FALL,
+    BEST_TIME_RISE,
+    EWMA_WEIGHT,
+    MIN_TIME_SHARE,
+    ZERO_VALUE_TIME_SHARE,
+    Attempt,
+    State,
+    TrackedRequest,
+)
 
 
 class Overload(State):
-    def _part(self, call: Call) -> float:
-        """Overload: the part of its time that this call may be expected to take; all for the dearest work."""
-        return CHEAP_PART + (1 - CHEAP_PART) * call.worth / self.top_worth
+    def _usable_time_share(self, request: TrackedRequest) -> float:
+        """The share of the time left that its expected latency may take; 1 for the highest value."""
+        return ZERO_VALUE_TIME_SHARE + (1 - ZERO_VALUE_TIME_SHARE) * request.value / self.max_value
 
-    def _hopeless(self, call: Call, ahead: float) -> bool:
-        """Overload: what would not be answered in time is refused early, before it holds slots on its way."""
+    def _is_too_late(self, request: TrackedRequest, load: float) -> bool:
+        """Whether an answer is not to be expected in time; ending it early keeps it from holding slots.
+
+        `load`: requests that the upstream holds already.
+        """
         if self.settings.tier > 0:
-            mean = self.mean_time.get(call.cls.name, 0.0)
-            if call.aim_by - self.now >= NO_HOPE * mean:
+            mean = self.mean_latency.get(request.request_class.name, 0.0)
+            if request.target_by - self.now >= MIN_TIME_SHARE * mean:
                 return False
-            self.mean_time[call.cls.name] = mean * (1 - FROM_BEST)
+            self.mean_latency[request.request_class.name] = mean * (1 - BEST_TIME_RISE)
             return True
-        expected = self.best_time * call.hint + self.queue_time * ahead
-        if expected <= self._part(call) * (call.aim_by - self.now):
+        expected = self.best_time_per_work * request.expected_work + self.time_per_queued * load
+        if expected <= self._usable_time_share(request) * (request.target_by - self.now):
             return False
-        self.queue_time *= 1 - FROM_BEST  # with none sent, nothing is learned: look again some day
+        # While nothing is sent nothing is learned: lower the estimate so that requests are tried again.
+        self.time_per_queued *= 1 - BEST_TIME_RISE
         return True
 
-    def _learn_time(self, call: Call, attempt: Attempt) -> None:
-        taken = (attempt.answered or self.now) - attempt.sent
+    def _record_latency(self, request: TrackedRequest, attempt: Attempt) -> None:
+        """Learn from an ended attempt: the mean latency, the best case and the delay per queued request."""
+        latency = (attempt.answer_started_at or self.now) - attempt.sent_at
         if attempt.outcome is api.Outcome.OK:
-            mean = self.mean_time.get(call.cls.name, float(taken))
-            self.mean_time[call.cls.name] = mean + LEARN * (taken - mean)
+            mean = self.mean_latency.get(request.request_class.name, float(latency))
+            self.mean_latency[request.request_class.name] = mean + EWMA_WEIGHT * (latency - mean)
         if attempt.outcome in (api.Outcome.OK, api.Outcome.TIMEOUT):
-            if attempt.ahead > 0:
-                each = max(0.0, taken - self.best_time * call.hint) / attempt.ahead
-                self.queue_time += LEARN * (each - self.queue_time)
-            elif attempt.ahead == 0 and attempt.outcome is api.Outcome.OK:
-                # What it takes at best: a mean would let one slow call stop all calls, and so all learning.
-                off = taken / call.hint - self.best_time
-                self.best_time += off * (TO_BEST if off < 0 else FROM_BEST)
+            if attempt.load_when_sent > 0:
+                per_queued = (
+                    max(0.0, latency - self.best_time_per_work * request.expected_work)
+                    / attempt.load_when_sent
+                )
+                self.time_per_queued += EWMA_WEIGHT * (per_queued - self.time_per_queued)
+            elif attempt.load_when_sent == 0 and attempt.outcome is api.Outcome.OK:
+                # The best case: with a mean, one slow answer could refuse all requests, which ends learning.
+                error = latency / request.expected_work - self.best_time_per_work
+                self.best_time_per_work += error * (BEST_TIME_FALL if error < 0 else BEST_TIME_RISE)
--- a/brackengate/policy/probes.py
+++ b/brackengate/policy/probes.py
@@ -1,4 +1,4 @@
-"""Asking upstreams: a few before a call is sent, and one after an attempt that is out for long."""
+"""Probes: of a few upstreams before a request is sent, and of one whose attempt has been silent for long."""
 
 from __future__ import annotations
 
@@ -6,120 +6,159 @@
 from brackengate.policy.failures import Failures
 from brackengate.policy.overload import Overload
 from brackengate.policy.sends import Sends
-from brackengate.policy.state import MISSED, NONE_HELD, PROBE_WIDTH, TURN, UNREACHED, Attempt, Call, Upstream
+from brackengate.policy.state import (
+    COLD_TURN_DUE,
+    CONNECTION_LOST,
+    MAX_MISSING_REPORTS,
+    MAX_PENDING_PROBES,
+    MIN_IN_FLIGHT,
+    Attempt,
+    TrackedRequest,
+    Upstream,
+)
 
 
 class Probes(Sends, Failures, Overload):
-    def _place(self, call: Call) -> None:
-        """Send the call by the rule; where own counts are all zero, ask a few first."""
-        call.asked, call.seen, call.out = [], [], 0
-        first = self._pick(call, 1, asking=self.probe_most > 0)
-        stay = self._lately_idle(call) if first and first[0].last > TURN else []
-        first = stay or first
-        if first and (stay or not self._tied(first[0])):
-            self._send(call, first[0])
+    def _assign(self, request: TrackedRequest) -> None:
+        """Send the request to the first in the order; where that one is idle, probe a few before."""
+        request.probed, request.probed_busy, request.probes_pending = [], [], 0
+        first = self._pick_upstreams(request, 1, probing=self.max_probes > 0)
+        recent = self._recently_idle(request) if first and first[0].last_assigned > COLD_TURN_DUE else []
+        first = recent or first
+        if first and (recent or not self._should_probe(first[0])):
+            self._send(request, first[0])
             return
         if not first:
-            self._stranded(call)
+            self._handle_no_upstream(request)
             return
-        self._hold(call)
-        if not call.done:
-            self._ask(call)
+        self._wait_for_upstream(request)
+        if not request.done:
+            self._probe_more(request)
 
-    def _lately_idle(self, call: Call) -> list[Upstream]:
-        """Exception among ties, where answers carry reports: stay with the upstream that answered last if few
-        waited there.  Copies that see little of the traffic so settle apart, and off what fails or stalls.
-        Where it can ask, only a fresh word saves a probe; where it is blind, old word still beats none.
+    def _recently_idle(self, request: TrackedRequest) -> list[Upstream]:
+        """The upstream that answered last, if few requests waited there by the report in its answer.
+
+        An exception to the order among idle upstreams: instances that see little of the traffic settle on
+        different upstreams, and leave those that fail or stall.  Where upstreams can be probed, only a recent
+        report saves a probe; where they cannot, an old report is still better than none.
         """
-        up, self.idle = self.idle, None
-        if up is None or up.own or up.demoted or self.now - up.heard > self.word_lasts:
-            return []  # an own call is there: the ordinary rule decides
-        return [up] if not call.attempts and self._may_send(call, up) else []
+        upstream, self.last_idle = self.last_idle, None
+        if (
+            upstream is None
+            or upstream.own_in_flight
+            or upstream.demoted
+            or self.now - upstream.reported_at > self.report_max_age
+        ):
+            return []  # with an own request in flight there, the ordinary order applies
+        return [upstream] if not request.attempts and self._may_send(request, upstream) else []
 
-    def _tied(self, up: Upstream) -> bool:
-        return self.probe_most > 0 and up.own == 0 and not up.demoted
+    def _should_probe(self, upstream: Upstream) -> bool:
+        """Whether it is idle as far as this instance can see."""
+        return self.max_probes > 0 and upstream.own_in_flight == 0 and not upstream.demoted
 
-    def _ask(self, call: Call) -> None:
-        room = min(PROBE_WIDTH - call.out, self.probe_most - len(call.asked))
-        for up in filter(self._tied, self._pick(call, room, asking=True)):
-            call.asked.append(up)
-            call.out += 1
-            if not up.askers and not up.doubts:
-                self.actions.append(api.Probe(up.id))
-            up.askers.append(call)
-        if call.out < (2 if len(call.asked) >= self.probe_most else 1):  # one may stay silent
-            self._settle(call)
+    def _probe_more(self, request: TrackedRequest) -> None:
+        """Probe further upstreams, as many as this pick may; choose one when no more can be awaited."""
+        count = min(MAX_PENDING_PROBES - request.probes_pending, self.max_probes - len(request.probed))
+        for upstream in filter(self._should_probe, self._pick_upstreams(request, count, probing=True)):
+            request.probed.append(upstream)
+            request.probes_pending += 1
+            if not upstream.awaiting_probe and not upstream.suspect_attempts:
+                self.actions.append(api.Probe(upstream.id))
+            upstream.awaiting_probe.append(request)
+        # One probe may stay unanswered without delaying the request.
+        if request.probes_pending < (2 if len(request.probed) >= self.max_probes else 1):
+            self._choose_least_loaded(request)
 
-    def _settle(self, call: Call) -> None:
-        """No upstream said it was idle: go to the least loaded of those that answered."""
-        best = [up for up in call.seen if self._may_send(call, up)] or self._pick(call, 1)
-        call.asked = []
-        best = best or self._pick(call, 1)
-        up = min(best, key=lambda up: (up.own, up.demoted, up.load), default=None)
-        if up is None:
-            self._stranded(call)
-        elif self._hopeless(call, up.load if up in call.seen else 0.0):
-            self._end_unserved(call)
+    def _choose_least_loaded(self, request: TrackedRequest) -> None:
+        """No upstream reported that it is idle: send to the least loaded of those that answered."""
+        best = [u for u in request.probed_busy if self._may_send(request, u)] or self._pick_upstreams(
+            request, 1
+        )
+        request.probed = []
+        best = best or self._pick_upstreams(request, 1)
+        upstream = min(best, key=lambda u: (u.own_in_flight, u.demoted, u.reported_load), default=None)
+        if upstream is None:
+            self._handle_no_upstream(request)
+        elif self._is_too_late(request, upstream.reported_load if upstream in request.probed_busy else 0.0):
+            self._end_unserved(request)
         else:
-            self._send(call, up)
+            self._send(request, upstream)
 
-    def _on_probe(self, event: api.ProbeEnded) -> None:
-        up = self.upstreams.get(event.upstream)
-        self._release(event.upstream, up)
-        if up is None:
+    def _on_probe_ended(self, event: api.ProbeEnded) -> None:
+        upstream = self.upstreams.get(event.upstream)
+        self._release_connections(event.upstream, upstream)
+        if upstream is None:
             return
-        askers, up.askers, doubts, up.doubts = up.askers, [], up.doubts, []
+        awaiting, upstream.awaiting_probe, suspects, upstream.suspect_attempts = (
+            upstream.awaiting_probe,
+            [],
+            upstream.suspect_attempts,
+            [],
+        )
         if event.outcome is api.Outcome.OK:
-            said, up.heard = event.load or api.LoadReport(), self.now
-            some = (said.waiting or 0.0) + (said.utilization or 0.0)
-            up.load = some if said.in_flight is None else said.in_flight
-        elif event.outcome in UNREACHED or event.outcome is api.Outcome.TIMEOUT:
-            self._failed(up)
-        for call, attempt in doubts:
-            self._judge(call, attempt, event.load)
-        for call in askers:
-            if up not in call.asked or call.id not in self.waiting:
+            report, upstream.reported_at = event.load or api.LoadReport(), self.now
+            estimate = (report.waiting or 0.0) + (report.utilization or 0.0)
+            upstream.reported_load = estimate if report.in_flight is None else report.in_flight
+        elif event.outcome in CONNECTION_LOST or event.outcome is api.Outcome.TIMEOUT:
+            self._record_failure(upstream)
+        for request, attempt in suspects:
+            self._check_suspect(request, attempt, event.load)
+        for request in awaiting:
+            if upstream not in request.probed or request.id not in self.waiting:
                 continue
-            call.out = max(0, call.out - 1)
+            request.probes_pending = max(0, request.probes_pending - 1)
             if event.outcome is api.Outcome.OK:
-                call.seen.append(up)
-            if call.seen and call.seen[-1] is up and up.load == up.own == 0 and self._may_send(call, up):
-                self._send(call, up)
+                request.probed_busy.append(upstream)
+            if (
+                request.probed_busy
+                and request.probed_busy[-1] is upstream
+                and upstream.reported_load == upstream.own_in_flight == 0
+                and self._may_send(request, upstream)
+            ):
+                self._send(request, upstream)
             else:
-                self._ask(call)
+                self._probe_more(request)
 
-    def _doubt(self, call: Call) -> None:
-        """Exception: ask an upstream after an attempt that has been out for long.
+    def _probe_suspect(self, request: TrackedRequest) -> None:
+        """Probe the upstream of an attempt that has been in flight for long.
 
-        Its count in flight says whether it holds anything at all.  Guards against what goes silent: a request
-        never taken up, a lost answer, a flow that a box in between forgot.  It would wait until its deadline.
+        The number in flight that it reports shows whether it holds anything at all.  Guards against silent
+        losses, which would wait until the deadline: a request never taken up, a lost answer, a connection
+        that a middlebox forgot.
         """
-        attempt, again = call.attempts[-1], call.cls.idempotency is not api.Idempotency.UNSAFE
-        up = attempt.upstream
+        attempt, may_repeat = (
+            request.attempts[-1],
+            request.request_class.idempotency is not api.Idempotency.UNSAFE,
+        )
+        upstream = attempt.upstream
         if (
             attempt.outcome is None
-            and not call.done
-            and again
-            and up.serving
-            and self.probe_most
+            and not request.done
+            and may_repeat
+            and upstream.serving
+            and self.max_probes
             and self.settings.cancel
         ):
-            if not up.askers and not up.doubts:
-                self.actions.append(api.Probe(up.id))
-            up.doubts.append((call, attempt))
+            if not upstream.awaiting_probe and not upstream.suspect_attempts:
+                self.actions.append(api.Probe(upstream.id))
+            upstream.suspect_attempts.append((request, attempt))
 
-    def _judge(self, call: Call, attempt: Attempt, said: api.LoadReport | None) -> None:
-        """Give up what is not there, to send it again.
+    def _check_suspect(
+        self, request: TrackedRequest, attempt: Attempt, report: api.LoadReport | None
+    ) -> None:
+        """Cancel an attempt that its upstream does not hold, so that it is retried.
 
-        Harm: where reports lag by more than that, what still runs is sent twice; retries' ration bounds that.
+        Where reports lag by more than that, one that still runs is sent twice; the retry budget bounds that.
         """
-        if attempt.outcome is not None or call.done:
+        if attempt.outcome is not None or request.done:
             return
-        missing = said is not None and said.in_flight is not None and said.in_flight < NONE_HELD
-        attempt.missed = attempt.missed + 1 if missing else 0
-        if attempt.missed < MISSED:
-            self._timer(self.recheck if missing else self._patience(call), "doubt", call.id)
-        elif self.retries >= 1:
-            self.silent = 1.0
-            self._failed(attempt.upstream, 0)
-            self.actions.append(api.CancelAttempt(call.id, call.attempts.index(attempt)))
+        missing = report is not None and report.in_flight is not None and report.in_flight < MIN_IN_FLIGHT
+        attempt.missing_reports = attempt.missing_reports + 1 if missing else 0
+        if attempt.missing_reports < MAX_MISSING_REPORTS:
+            self._start_timer(
+                self.recheck_interval if missing else self._suspect_after(request), "suspect", request.id
+            )
+        elif self.retry_tokens >= 1:
+            self.recent_loss = 1.0
+            self._record_failure(attempt.upstream, 0)
+            self.actions.append(api.CancelAttempt(request.id, request.attempts.index(attempt)))
--- a/brackengate/policy/state.py
+++ b/brackengate/policy/state.py
@@ -1,4 +1,4 @@
-"""What a balancer knows, and the figures that its decisions go by."""
+"""The balancer's state: upstreams, attempts and requests, and the constants that its decisions go by."""
 
 from __future__ import annotations
 
@@ -8,157 +8,168 @@
 
 from brackengate import interface as api
 
-MAX_FAILS = 2  # one failure may be chance; a second in a row is the upstream's own
-ABRUPT = 0.2  # of the mean answer time: an error this fast is a failure
-REST_CONNECTS = 20  # a rest lasts this many connect time-outs: a try at a dead upstream then costs little
-AIM_MARGIN = 0.01  # share of the aim kept for the way back to the client
-MOST_TRIES = 8  # attempts of any kind, where those that ended unsent are free
-PROBE_SPEND = 0.016  # the most one pick may spend on probes, as a share of a request's worth
-PROBE_MOST = 8  # probes a pick sends before it settles for the least loaded seen
-PROBE_WIDTH = 2  # probes a pick has out at once: one silent upstream must not hold it up
-WARM_ENOUGH = 0.5  # a cold upstream that says it is idle is used from here on: twice its time at the most
-SHARE_BURST = 5.0  # calls a tenant may send at once within its share
-CHEAP_PART = 0.65  # of the time left is open to work of no worth: dear work gets all of it
-TO_BEST, FROM_BEST = 0.1, 0.01  # steps of the time an answer takes at best: down quickly, up slowly
-USUAL_OF, USUAL_RANK, USUAL_BAND = 15, 0.65, 0.1  # where repeats are unmarked: first tries have time alike
-LEARN = 0.2  # weight of a new figure in an average: half of it is from the last three
-LONG_LIST, LOOKS = 512, 16  # upstreams from which on one is drawn, and draws before all are looked through
-NEVER_USED = -1e6  # place in the order of the first upstream: before all that have been used
-TURN = float("-inf")  # place in the order of a cold upstream whose turn has come
-SQUEEZED = 0.05  # of lately ended attempts got no connection: the next few calls keep to open ones
-NO_HOPE = 0.5  # inner tiers: with less of the mean answer time than this left, few calls are answered
-RECHECK = 0.02  # calls that are held are looked at again after this share of the shortest aim
-ASK_SOON, ASK_LATE = 1.0, 2.5  # of the mean answer time: an attempt out for longer is asked after
-SILENT, FORGET = 0.1, 0.005  # soon, while the memory of the last one lost, less by this at each end, is more
-NONE_HELD, MISSED = 0.5, 2  # this many counts in flight in a row under this: what is out will not be answered
-ASK_BACKOFF = 0.05  # first wait before asking for the list, as a share of the time allowed between asks
-
-OPEN_WAIT = 10_000_000  # a request whose body is still coming waits this long for an upstream that takes it
+MAX_CONSECUTIVE_FAILURES = 2  # one failure may be chance; a second in a row is the upstream's own
+FAST_ERROR_SHARE = 0.2  # of the mean latency: an error that arrives faster counts as a failure
+EJECTION_CONNECT_TIMEOUTS = 20  # length of an ejection: an attempt at a dead upstream then costs little
+TARGET_MARGIN = 0.01  # share of the target latency reserved for the way back to the client
+MAX_TOTAL_ATTEMPTS = 8  # attempts of any kind, where those that ended unsent are free
+MAX_PROBE_COST = 0.016  # per pick, as a share of a request's value
+MAX_PROBES_PER_PICK = 8  # after these, the least loaded upstream seen is used
+MAX_PENDING_PROBES = 2  # per pick: one silent upstream must not delay it
+MIN_PROBED_WARMTH = 0.5  # from here on a cold upstream that reports idle is used: at most twice its time
+QUOTA_BURST = 5.0  # requests a tenant may send at once within its quota
+ZERO_VALUE_TIME_SHARE = 0.65  # of the time left, for requests of value 0; the most valuable may use all
+BEST_TIME_FALL, BEST_TIME_RISE = 0.1, 0.01  # steps of the best-case latency: down quickly, up slowly
+TYPICAL_SAMPLES, TYPICAL_QUANTILE, TYPICAL_TOLERANCE = 15, 0.65, 0.1  # the usual time left of first attempts
+EWMA_WEIGHT = 0.2  # weight of a new sample in a moving average: half of it is from the last three
+MIN_SAMPLED_LIST, MAX_SAMPLES = 512, 16  # longer lists are sampled; samples before a scan of the whole list
+NEVER_ASSIGNED = -1e6  # position of the first upstream: before all that have been assigned a request
+COLD_TURN_DUE = float("-inf")  # position of a cold upstream whose turn has come
+MAX_CONNECT_FAILURE_RATE = 0.05  # above it, the next few requests keep to open connections
+MIN_TIME_SHARE = 0.5  # inner tiers: few are answered with less than this share of the mean latency left
+RECHECK_SHARE = 0.02  # of the shortest target latency: waiting requests are rechecked this often
+SUSPECT_AFTER_LOSS, SUSPECT_AFTER = 1.0, 2.5  # mean latencies after which a silent attempt is probed
+LOSS_THRESHOLD, LOSS_DECAY = 0.1, 0.005  # the first while `recent_loss` is above it; decay per ended attempt
+MIN_IN_FLIGHT, MAX_MISSING_REPORTS = 0.5, 2  # so many reports in a row below it: the attempt is lost
+LIST_BACKOFF_SHARE = 0.05  # first wait before the list is fetched again, as a share of its maximum age
+
+INCOMPLETE_BODY_WAIT_US = 10_000_000  # for an upstream, while the request's body is still arriving
 
 NEVER_RAN = (api.Outcome.REJECTED, api.Outcome.CONNECT_FAILED, api.Outcome.NOT_SENT)
-UNREACHED = (api.Outcome.CONNECT_FAILED, api.Outcome.RESET)
-UNSENT = (api.Outcome.NOT_SENT, api.Outcome.CONNECT_FAILED)  # nothing of it has come to an upstream
+CONNECTION_LOST = (api.Outcome.CONNECT_FAILED, api.Outcome.RESET)
+UNSENT = (api.Outcome.NOT_SENT, api.Outcome.CONNECT_FAILED)  # no byte of it reached an upstream
 
 
 @dataclass(slots=True, eq=False)
 class Upstream:
-    """What this copy knows of one upstream."""
+    """What this instance knows of one upstream.  Times are microseconds."""
 
     id: str
-    last: float  # number of its last assignment here
-    row: api.Endpoint
-    size: float = 1.0
+    last_assigned: float  # number of its last assignment here: its position in the order
+    endpoint: api.Endpoint
+    weight: float = 1.0
     serving: bool = False
-    own: int = 0  # own calls in flight
-    fails: int = 0
-    demoted: bool = False
-    rest_until: int = 0
-    cold_next: int = 0  # while cold, nothing goes there before this time
-    joins: int = 0  # while cold, it is not in the order before this time
-    its_turn: bool = False  # and is first in it then, else at a random place
-    load: float = 0.0  # calls it holds, as far as it last reported
-    heard: int = 0  # when that was
-    linked: int = -(2**62)  # when it last answered: until it is idle too long, a connection is open
-    stamp: int = 0  # marks its valid entry in the order
-    askers: list[Call] = field(default_factory=list)  # calls that await its probe
-    doubts: list[tuple[Call, Attempt]] = field(default_factory=list)  # attempts that await it
+    own_in_flight: int = 0  # attempts of this instance
+    consecutive_failures: int = 0
+    demoted: bool = False  # it comes after every upstream without failures
+    ejected_until: int = 0
+    next_cold_send_at: int = 0  # while cold, it receives nothing before this time
+    eligible_at: int = 0  # while cold, it is not in the order before this time
+    takes_cold_turn: bool = False  # and is first in it then, else at a random position
+    reported_load: float = 0.0  # requests it holds, by its last report
+    reported_at: int = 0
+    connected_at: int = -(2**62)  # its last answer: a connection is open until it is idle too long
+    order_version: int = 0  # marks its valid entry in the order
+    awaiting_probe: list[TrackedRequest] = field(default_factory=list)
+    suspect_attempts: list[tuple[TrackedRequest, Attempt]] = field(default_factory=list)  # await a probe too
 
 
 @dataclass(slots=True, eq=False)
 class Attempt:
+    """One attempt of a request at one upstream."""
+
     upstream: Upstream
-    sent: int
-    ahead: float  # calls it held when sent, by its report; below 0 if there was none
-    outcome: api.Outcome | None = None  # None: still out
-    answered: int = 0  # when its answer began to be passed on
-    counts: bool = False  # among its upstream's own calls: from the body's last byte to the answer's first
-    missed: int = 0  # words in a row that its upstream holds nothing
+    sent_at: int
+    load_when_sent: float  # requests its upstream reported to hold; below 0 without a report
+    outcome: api.Outcome | None = None  # None: still in flight
+    answer_started_at: int = 0  # when its answer began to be passed on
+    counted: bool = False  # in `own_in_flight`: from the body's last byte to the answer's first
+    missing_reports: int = 0  # reports in a row that its upstream holds nothing
 
 
 @dataclass(slots=True, eq=False)
-class Call:
-    """One request, from its arrival until its ending and the last outcome of its attempts."""
+class TrackedRequest:
+    """One request, from its arrival until it has ended and each of its attempts has an outcome."""
 
     id: str
-    cls: api.RequestClass
+    request_class: api.RequestClass
     answer_by: int
-    aim_by: int
-    worth: float
-    hint: int  # its work, or where none is given a figure common to its class
-    earlier: tuple[
-        api.EarlierAttempt, ...
-    ] = ()  # of requests before it under the same key; they may have run
-    attempts: list[Attempt] = field(default_factory=list)  # what may have run
-    live: int = 0
-    most: int = 0  # attempts it may have in all
+    target_by: int  # when its target latency is over
+    value: float
+    expected_work: int  # its hint, or without one a figure common to its class
+    earlier: tuple[api.EarlierAttempt, ...] = ()  # of requests before it with the same key
+    attempts: list[Attempt] = field(default_factory=list)
+    attempts_in_flight: int = 0
+    max_attempts: int = 0
     done: bool = False
-    whole: bool = True  # its body is all there; till then its times are those of a wait for an upstream
-    look: int = 0  # when it is looked at again, while it waits
-    asked: list[Upstream] = field(default_factory=list)  # probed for this pick
-    out: int = 0  # of these, still unanswered
-    seen: list[Upstream] = field(default_factory=list)  # of these, answered but busy
+    body_complete: bool = True  # until then `answer_by` limits only the wait for an upstream
+    recheck_at: int = 0  # while it waits for an upstream
+    probed: list[Upstream] = field(default_factory=list)  # for this pick
+    probes_pending: int = 0  # of these, still unanswered
+    probed_busy: list[Upstream] = field(default_factory=list)  # of these, answered but not idle
 
-    def ran(self) -> bool:
+    def may_have_run(self) -> bool:
         return bool(self.earlier) or any(a.outcome not in NEVER_RAN for a in self.attempts)
 
 
 class State:
-    """All that the concerns share.  Each is a class on top of those it needs, and adds no data of its own."""
+    """All data that the policy's mixins share; the mixins add methods only."""
 
     def __init__(self, settings: api.Settings, seed: int) -> None:
-        self.settings, self.rng, self.copies = settings, random.Random(seed), max(1, settings.balancers)
+        self.settings, self.rng, self.balancers = settings, random.Random(seed), max(1, settings.balancers)
         self.upstreams: dict[str, Upstream] = {}
-        self.drawn: list[Upstream] = []  # all of them, and some that have gone, to draw one from
-        self.calls: dict[str, Call] = {}
-        self.waiting: dict[str, Call] = {}  # calls that no upstream may take now
-        self.quotas = {t.name: t.quota_per_s / self.copies / 1e6 for t in settings.tenants}
-        self.shares: dict[str, tuple[float, int]] = {}  # by tenant: calls it may send yet, as of a time
-        self.time_left: dict[str, deque[int]] = {}  # by class: on arrival, of the latest calls
-        self.mean_time: dict[str, float] = {}  # by class: what answered attempts took
-        self.heap: list[tuple[bool, float, float, int, Upstream]] = []
-        self.assigned = self.stamp = self.now = self.sent_at = self.asks_failed = self.tokens = 0
-        self.sizes, self.gap = 1.0, float(settings.cold_time)  # of all upstreams; mean time between own sends
-        affordable = int(PROBE_SPEND / max(settings.probe_price, PROBE_SPEND / PROBE_MOST))
-        self.probe_most = affordable if settings.probes and affordable > 1 else 0  # one compares nothing
-        self._use(settings.classes)
+        self.sample_pool: list[Upstream] = []  # all upstreams and some that were removed, to sample from
+        self.requests: dict[str, TrackedRequest] = {}
+        self.waiting: dict[str, TrackedRequest] = {}  # requests that no upstream may take now
+        self.quotas = {t.name: t.quota_per_s / self.balancers / 1e6 for t in settings.tenants}  # per us
+        self.quota_balances: dict[str, tuple[float, int]] = {}  # by tenant: requests left, at which time
+        self.recent_time_left: dict[str, deque[int]] = {}  # by class: on arrival, of the latest requests
+        self.mean_latency: dict[str, float] = {}  # by class, of answered attempts
+        self.heap: list[tuple[bool, float, float, int, Upstream]] = []  # the order: see `_update_order`
+        self.assignment_count = self.order_version = self.now = self.last_sent_at = self.list_failures = (
+            self.last_timer
+        ) = 0
+        self.total_weight, self.mean_send_interval = 1.0, float(settings.cold_time)
+        affordable = int(MAX_PROBE_COST / max(settings.probe_price, MAX_PROBE_COST / MAX_PROBES_PER_PICK))
+        self.max_probes = affordable if settings.probes and affordable > 1 else 0  # one compares nothing
+        self._set_classes(settings.classes)
         self.retry_share, self.retry_burst = settings.retry_share, settings.retry_burst
-        self.retries, self.unconnected, self.silent, self.closing = settings.retry_start, 0.0, 0.0, False
-        self.best_time = self.queue_time = 0.0
-        self.uncut = settings.tier == 0 or not settings.passes_deadline  # deadlines are the client's
-        self.idle: Upstream | None = None  # the last to answer, if few waited there
-        self.timers: dict[int, tuple[str, str]] = {}
+        self.retry_tokens, self.connect_failure_rate, self.recent_loss, self.closing = (
+            settings.retry_start,
+            0.0,
+            0.0,
+            False,
+        )
+        self.best_time_per_work = self.time_per_queued = 0.0
+        self.client_deadlines = settings.tier == 0 or not settings.passes_deadline  # not cut by a tier before
+        self.last_idle: Upstream | None = None  # the last to answer, if few requests waited there
+        self.timers: dict[int, tuple[str, str]] = {}  # by token: kind, and the id of its request or upstream
         self.actions: list[api.Action] = []
 
-    def _use(self, classes: tuple[api.RequestClass, ...]) -> None:
-        """Go by these classes; what was learned of those that keep their name stays."""
+    def _set_classes(self, classes: tuple[api.RequestClass, ...]) -> None:
+        """Replace the table of classes; what was learned of those that keep their name stays."""
         self.classes = {c.name: c for c in classes}
-        self._scale_by(list(self.classes.values()))
+        self._update_class_limits(list(self.classes.values()))
 
-    def _change_classes(self, changed: tuple[api.RequestClass, ...], gone: tuple[str, ...]) -> None:
-        """As `_use` with all of them, at the cost of the change where it takes no extreme away."""
-        names = (*gone, *(c.name for c in changed))
-        before = [held for name in names if (held := self.classes.pop(name, None)) is not None]
-        rest = bool(self.classes)
+    def _change_classes(self, changed: tuple[api.RequestClass, ...], removed: tuple[str, ...]) -> None:
+        """As `_set_classes` with the whole table, but in time of the change unless an extreme was removed."""
+        names = (*removed, *(c.name for c in changed))
+        before = [old for name in names if (old := self.classes.pop(name, None)) is not None]
+        others_remain = bool(self.classes)
         self.classes.update((c.name, c) for c in changed)
-        aim, worth = self.least_aim, self.top_worth
-        aim_stays = any(c.target_latency <= aim for c in changed) or all(
-            c.target_latency > aim for c in before
+        target, value = self.min_target_latency, self.max_value
+        target_stays = any(c.target_latency <= target for c in changed) or all(
+            c.target_latency > target for c in before
         )
-        worth_stays = any(c.value >= worth for c in changed) or all(c.value < worth for c in before)
-        if rest and aim_stays and worth_stays:
-            extremes = api.RequestClass("", aim, 0, value=worth)
-            self._scale_by([extremes, *changed])
+        value_stays = any(c.value >= value for c in changed) or all(c.value < value for c in before)
+        if others_remain and target_stays and value_stays:
+            extremes = api.RequestClass("", target, 0, value=value)
+            self._update_class_limits([extremes, *changed])
         else:
-            self._scale_by(list(self.classes.values()))
-
-    def _scale_by(self, classes: list[api.RequestClass]) -> None:
-        """Times and worths that follow the tightest and the dearest class."""
-        self.least_aim = aim = min([c.target_latency for c in classes], default=self.settings.cold_time)
-        self.recheck = max(self.settings.resolution, int(RECHECK * aim))
-        self.top_worth = max([c.value for c in classes], default=1.0)
-        self.word_lasts, self.word_waiting = (aim, 0) if self.probe_most else (self.settings.cold_time, 1)
-
-    def _timer(self, delay: int, what: str, which: str) -> None:
-        self.tokens += 1
-        self.timers[self.tokens] = (what, which)
-        self.actions.append(api.SetTimer(max(delay, self.settings.resolution), self.tokens))
+            self._update_class_limits(list(self.classes.values()))
+
+    def _update_class_limits(self, classes: list[api.RequestClass]) -> None:
+        """Derive what follows from the shortest target latency and the highest value."""
+        self.min_target_latency = target = min(
+            [c.target_latency for c in classes], default=self.settings.cold_time
+        )
+        self.recheck_interval = max(self.settings.resolution, int(RECHECK_SHARE * target))
+        self.max_value = max([c.value for c in classes], default=1.0)
+        self.report_max_age, self.max_waiting = (
+            (target, 0) if self.max_probes else (self.settings.cold_time, 1)
+        )
+
+    def _start_timer(self, delay: int, kind: str, target: str) -> None:
+        self.last_timer += 1
+        self.timers[self.last_timer] = (kind, target)
+        self.actions.append(api.SetTimer(max(delay, self.settings.resolution), self.last_timer))
--- a/tests/emulator/test_emulator.py
+++ b/tests/emulator/test_emulator.py
@@ -199,29 +199,29 @@
 def test_a_second_send_of_an_unsafe_call_is_seen(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
     told = scenario(tmp_path, fault("kill", part=0.5, lasts="2s"), fault("kill", "7s", part=0.5, lasts="2s"))
     kept(played(told)[1])
-    without(monkeypatch, "_drops", lambda self, call, one, sent, up: True)
-    on = Balancer._on_attempt
+    without(monkeypatch, "_discards_repeat", lambda self, request, earlier, sent_at, upstream: True)
+    on = Balancer._on_attempt_ended
 
     def as_if_safe(self: Balancer, event: api.AttemptEnded) -> None:
-        call = self.calls.get(event.request)
-        if call is not None:
-            call.cls = self.classes["read"]
+        request = self.requests.get(event.request)
+        if request is not None:
+            request.request_class = self.classes["read"]
         on(self, event)
 
-    without(monkeypatch, "_on_attempt", as_if_safe)
+    without(monkeypatch, "_on_attempt_ended", as_if_safe)
     assert played(told)[1]["no effect twice"].count > 0
 
 
 def test_a_late_send_to_a_drained_one_is_seen(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
     told = scenario(tmp_path, fault("roll", part=1.0, step=0.3, drain="3s"))
     kept(played(told)[1])
-    learn = Balancer._learn
+    learn = Balancer._add_or_update
 
     def deaf(self: Balancer, row: api.Endpoint) -> None:
         if row.state is not api.Lifecycle.DRAINING:
             learn(self, row)
 
-    without(monkeypatch, "_learn", deaf)
+    without(monkeypatch, "_add_or_update", deaf)
     assert played(told)[1]["drains kept"].count > 0
 
 
@@ -247,9 +247,9 @@
     kept(played(told)[1])
 
     def unpaced(self: Balancer, up: Any, low: float, high: float) -> None:
-        up.cold_next = up.joins = 0
+        up.next_cold_send_at = up.eligible_at = 0
 
-    without(monkeypatch, "_pace_cold", unpaced)
+    without(monkeypatch, "_pace_cold_upstream", unpaced)
     monkeypatch.setattr(Upstream, "_bear", lambda self, work: None)  # it goes on, however much it is sent
     assert played(told)[1]["no cold upstream pushed over"].count > 0
 
@@ -259,7 +259,7 @@
 
     def keeps(self: Balancer, event: api.Request) -> None:
         arrives(self, event)
-        self.calls[f"kept/{event.request}"] = next(iter(self.calls.values()), None)  # type: ignore[assignment]
+        self.requests[f"kept/{event.request}"] = next(iter(self.requests.values()), None)  # type: ignore[assignment]
 
     without(monkeypatch, "_on_request", keeps)
     assert played(scenario(tmp_path))[1]["bounded state"].count > 0
--- a/tests/emulator/test_hunt.py
+++ b/tests/emulator/test_hunt.py
@@ -35,13 +35,13 @@
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     """With the drains' guard taken out of the module, of ten faults one is left."""
-    learn = Balancer._learn
+    learn = Balancer._add_or_update
 
     def deaf(self: Balancer, row: api.Endpoint) -> None:
         if row.state is not api.Lifecycle.DRAINING:
             learn(self, row)
 
-    monkeypatch.setattr(Balancer, "_learn", deaf)
+    monkeypatch.setattr(Balancer, "_add_or_update", deaf)
     told = scenario(tmp_path, *EVERYTHING, length="14s", upstreams=8, balancers=4, rate=40.0)
     rolled = tuple(msgspec.structs.replace(one, drain=Duration(3_000_000)) for one in told.fault)
     (tmp_path / "s.toml").write_text(tomli_w.dumps(hunt.plain(msgspec.structs.replace(told, fault=rolled))))
--- a/tests/emulator/test_lab.py
+++ b/tests/emulator/test_lab.py
@@ -52,13 +52,13 @@
     from brackengate import interface as api
     from brackengate.brain import Balancer
 
-    learn = Balancer._learn
+    learn = Balancer._add_or_update
 
     def deaf(self: Balancer, row: api.Endpoint) -> None:
         if row.state is not api.Lifecycle.DRAINING:
             learn(self, row)
 
-    monkeypatch.setattr(Balancer, "_learn", deaf)
+    monkeypatch.setattr(Balancer, "_add_or_update", deaf)
     told = scenario(
         tmp_path, fault("roll", "1s", part=0.5, step=0.5), length="8s", upstreams=4, balancers=2, rate=15.0
     )
--- a/tests/pilot/mistakes.py
+++ b/tests/pilot/mistakes.py
@@ -18,7 +18,7 @@
 from brackengate.pilot.gate import State
 from brackengate.pilot.hop import SEAL, Said, passed_on
 from brackengate.policy import retries
-from brackengate.policy.state import Call
+from brackengate.policy.state import TrackedRequest
 
 Judge = Callable[[bytes, Answered], Result]
 Patch = Callable[[], AbstractContextManager[Any]]
@@ -112,10 +112,10 @@
     return _true_ended(self, clean)
 
 
-def _retry(self: retries.Retries, call: Call, ended: Any) -> bool:
+def _spend_retry(self: retries.Retries, request: TrackedRequest, ended: Any) -> bool:
     """Counts a try that was lost with its connection for none."""
-    call.most += ended.outcome is Outcome.RESET
-    return _true_retry(self, call, ended)
+    request.max_attempts += ended.outcome is Outcome.RESET
+    return _true_spend_retry(self, request, ended)
 
 
 def _broken(self: upstream.Job, stale: bool = False) -> None:
@@ -125,7 +125,7 @@
 
 _own_judge, _judge, _unserved = verdict.own_judge, verdict.judge, way.MeshWords.unserved
 _true_class_of, _true_ran, _true_ended = way._class_of, entry.Entry._ran, UpstreamMachine.ended
-_true_retry = retries.Retries._retry
+_true_spend_retry = retries.Retries._spend_retry
 
 
 _always_wanted = property(lambda self: upstream.always, lambda self, wanted: None)
@@ -183,7 +183,7 @@
     ),
     "free-resets": Mistake(
         "a try that was lost with its connection doesn't count toward MaxAttempts",
-        lambda: patch.object(retries.Retries, "_retry", _retry),
+        lambda: patch.object(retries.Retries, "_spend_retry", _spend_retry),
     ),
     "thawed": Mistake(
         "a proxy that stood still sends for callers who have left",
--- a/tests/routing/test_feed.py
+++ b/tests/routing/test_feed.py
@@ -45,7 +45,7 @@
         configured.feed.listed(ListKind.FULL, rows)
         (module,) = [run.module for run in configured.pools.runs.values()]
         warmth = {name: module._warmth(up) for name, up in module.upstreams.items()}
-        joins = {name: up.joins for name, up in module.upstreams.items()}
+        joins = {name: up.eligible_at for name, up in module.upstreams.items()}
         assert warmth["old"] == 1.0 and warmth["young"] < 0.2
         assert joins["old"] == 0 < joins["young"]
         await configured.close()
--- a/tests/routing/test_pools.py
+++ b/tests/routing/test_pools.py
@@ -383,9 +383,9 @@
         caller = await bench.caller()
         assert (await caller.ask("a1", ms=MS))[2] == b"one"
         module = bench.pools.runs["p"].node._module
-        assert module.upstreams["u"].row.started_at == 0
+        assert module.upstreams["u"].endpoint.started_at == 0
         bench.apply(at(other.port))
-        assert module.upstreams["u"].row.started_at > 0  # it counts as just started
+        assert module.upstreams["u"].endpoint.started_at > 0  # it counts as just started
         await one.closed.get()  # and connections to the old address have gone
 
     run(work())
@@ -404,7 +404,7 @@
         await peer.got.get()
         assert bench.pools.runs["p"].generation == 2 and bench.pools.runs["p"].settings.max_attempts == 2
         # The upstream is no younger for it.
-        row = bench.pools.runs["p"].node._module.upstreams[f"u{peer.port}"].row
+        row = bench.pools.runs["p"].node._module.upstreams[f"u{peer.port}"].endpoint
         assert row.started_at == 1
         for writer in peer.writers:
             writer.write(answer(200, b"done"))
@@ -448,7 +448,7 @@
         bench.apply(to("p", p=rows(1)))
         bench.apply(to("p", p=rows(1, 4), q=rows(2, 1)))
         starts = {
-            name: {n: up.row.started_at > 0 for n, up in run_of.node._module.upstreams.items()}
+            name: {n: up.endpoint.started_at > 0 for n, up in run_of.node._module.upstreams.items()}
             for name, run_of in bench.pools.runs.items()
         }
         assert starts["p"] == {"u1": False, "u4": True}
--- a/tests/test_long_bodies.py
+++ b/tests/test_long_bodies.py
@@ -17,14 +17,14 @@
     """While it comes and while its answer goes, its upstream is idle; between the two it is not."""
     world = World(rows(2))
     name, upstream = opened(world)
-    assert world.balancer.upstreams[upstream].own == 0
+    assert world.balancer.upstreams[upstream].own_in_flight == 0
     world.tell(api.RequestBodyComplete(name, world.now + 1_000_000))
-    assert world.balancer.upstreams[upstream].own == 1
+    assert world.balancer.upstreams[upstream].own_in_flight == 1
     assert {world.sent("read")[1]} == {"u0", "u1"} - {upstream}
     world.tell(api.AnswerStarted(name, 0, upstream, 50_000))
-    assert world.balancer.upstreams[upstream].own == 0
+    assert world.balancer.upstreams[upstream].own_in_flight == 0
     world.ended(name, upstream, api.Outcome.OK)
-    assert world.balancer.upstreams[upstream].own == 0 and name not in world.balancer.calls
+    assert world.balancer.upstreams[upstream].own_in_flight == 0 and name not in world.balancer.requests
 
 
 def test_time_begins_when_the_body_is_whole() -> None:
@@ -63,7 +63,7 @@
     world.tell(api.AnswerStarted(name, 0, upstream, 50_000))
     actions = world.ended(name, upstream, api.Outcome.RESET, closed=True)
     assert sends(actions) == [] and endings(actions) == []
-    assert name not in world.balancer.calls
+    assert name not in world.balancer.requests
 
 
 def test_what_an_answer_takes_is_the_time_to_its_first_bytes() -> None:
@@ -73,4 +73,4 @@
     world.tell(api.AnswerStarted(name, 0, upstream, 50_000))
     world.wait(10_000_000)  # a slow reader
     world.ended(name, upstream, api.Outcome.OK)
-    assert world.balancer.mean_time["read"] == 50_000
+    assert world.balancer.mean_latency["read"] == 50_000
--- a/tests/test_mechanism.py
+++ b/tests/test_mechanism.py
@@ -19,7 +19,7 @@
     many = tuple(api.Endpoint(f"u{i}") for i in range(2000))
     balancer.handle(1, api.UpstreamList(api.ListKind.FULL, many))
     for number, up in enumerate(balancer.upstreams.values()):
-        up.last = float(number)
+        up.last_assigned = float(number)
     new = tuple(api.Endpoint(f"n{i}") for i in range(400))
     walks = 0
 
@@ -32,15 +32,15 @@
     balancer.upstreams = Counted(balancer.upstreams)
     balancer.handle(2, api.UpstreamList(api.ListKind.CHANGES, new))
     assert walks < 10  # one for all rows, not one for each
-    places = sorted(balancer.upstreams[row.upstream].last for row in new)
+    places = sorted(balancer.upstreams[row.upstream].last_assigned for row in new)
     assert places[0] >= 0 and places[-1] < 2001
     for quarter in range(4):  # evenly over all that are there
         assert 60 <= sum(500 * quarter <= place < 500 * (quarter + 1) for place in places) <= 140
     kept = (*many[:20], *new[:5])
     balancer.handle(3, api.UpstreamList(api.ListKind.FULL, kept))
     balancer.handle(4, api.UpstreamList(api.ListKind.CHANGES, (api.Endpoint("late"),)))
-    assert len(balancer.drawn) <= 2 * len(balancer.upstreams) + 1  # what has gone is not kept
-    assert balancer.upstreams["late"].last < 2001
+    assert len(balancer.sample_pool) <= 2 * len(balancer.upstreams) + 1  # what has gone is not kept
+    assert balancer.upstreams["late"].last_assigned < 2001
 
 
 def test_among_idle_the_earliest_assigned_wins():
@@ -97,7 +97,7 @@
         name, bad = world.sent()
         assert sends(world.ended(name, bad, BROKE))[0].upstream == bad
         world.ended(name, bad, OK, attempt=1)
-        assert world.balancer.upstreams[bad].fails == 0
+        assert world.balancer.upstreams[bad].consecutive_failures == 0
 
 
 def test_repeated_failures_rest_it_and_the_call_waits_then_ends_in_time():
@@ -266,7 +266,7 @@
     for number in range(100):
         world.call(tenant=f"t{number}")
     world.call(tenant="known")
-    assert set(world.balancer.shares) == {"known"}
+    assert set(world.balancer.quota_balances) == {"known"}
 
 
 def test_an_upstream_that_errs_at_once_rests_but_not_for_want_of_time():
--- a/tests/test_mesh_policy.py
+++ b/tests/test_mesh_policy.py
@@ -20,7 +20,7 @@
 def rests(world: World, *which: str) -> None:
     """Let these fail until they rest; calls that go to others are answered."""
     answered, ups = [], world.balancer.upstreams
-    while any(world.now >= ups[one].rest_until for one in which):
+    while any(world.now >= ups[one].ejected_until for one in which):
         name, upstream = world.sent()
         if upstream in which:
             world.ended(name, upstream, BROKE, closed=True)
@@ -62,7 +62,7 @@
     for attempt in range(3):
         assert [s.upstream for s in sends(world.ended(name, bad, BROKE, attempt=attempt))] == [bad]
     assert endings(world.ended(name, bad, BROKE, attempt=3)) == refused(name)  # four are its most
-    assert not world.balancer.waiting and not world.balancer.calls
+    assert not world.balancer.waiting and not world.balancer.requests
 
 
 def test_unheld_calls_go_to_a_cold_upstream_where_all_are_cold_and_keep_its_pace_otherwise():
@@ -87,7 +87,7 @@
     assert actions == refused(name)
     name, actions = world.call("buy")
     assert actions == refused(name)  # nothing of it ran
-    assert not world.balancer.calls and not world.balancer.waiting
+    assert not world.balancer.requests and not world.balancer.waiting
 
 
 def test_the_last_one_drains_while_an_unheld_call_is_out():
@@ -120,7 +120,10 @@
         assert sorted(asked) == ["u0", "u1"] and not sends(actions)
         for upstream in asked:
             actions = world.tell(api.ProbeEnded(upstream, BROKE))
-        assert [up.fails for up in world.balancer.upstreams.values()] == [tries, tries]  # at two it rests
+        assert [up.consecutive_failures for up in world.balancer.upstreams.values()] == [
+            tries,
+            tries,
+        ]  # at two it rests
         assert [s.request for s in sends(actions)] == [name]
         assert not world.balancer.waiting
         world.ended(name, sends(actions)[0].upstream, api.Outcome.ERROR, closed=True)
@@ -133,7 +136,7 @@
     game = Play(seed, wait_for_upstream=False, probes=probing, tier=1)
     for number in range(400):
         game.step(number)
-        assert all(call.asked and call.out for call in game.world.balancer.waiting.values())
+        assert all(call.probed and call.probes_pending for call in game.world.balancer.waiting.values())
     assert probing or not game.world.balancer.waiting
 
 
@@ -155,7 +158,7 @@
 def test_by_default_unsent_attempts_count_and_spend_retries():
     world = World(rows(12))
     assert len(unsent_until_it_ends(world)) == 4
-    assert world.balancer.retries == 5.0 - 3
+    assert world.balancer.retry_tokens == 5.0 - 3
 
 
 def test_free_unsent_attempts_count_for_nothing_up_to_eight():
@@ -163,7 +166,7 @@
         world = World(rows(12), unsent_attempts_free=True, max_attempts=most)
         went = unsent_until_it_ends(world, "buy")
         assert len(went) == len(set(went)) == 8
-        assert world.balancer.retries == 5.0
+        assert world.balancer.retry_tokens == 5.0
 
 
 def test_free_unsent_attempts_go_on_without_retries_and_the_others_still_count():
@@ -171,13 +174,13 @@
     name, upstream = world.sent()
     for attempt, outcome in enumerate([NOT_SENT, RESET, BROKE, RESET]):
         upstream = sends(world.ended(name, upstream, outcome, attempt=attempt))[0].upstream
-    assert world.balancer.retries == 3.0
+    assert world.balancer.retry_tokens == 3.0
     assert endings(world.ended(name, upstream, RESET, attempt=4)) == refused(name)
-    world.balancer.retries = 0.0
+    world.balancer.retry_tokens = 0.0
     name, upstream = world.sent()
     upstream = sends(world.ended(name, upstream, BROKE))[0].upstream
     assert endings(world.ended(name, upstream, RESET, attempt=1)) == refused(name)
-    assert 0 <= world.balancer.retries < 1
+    assert 0 <= world.balancer.retry_tokens < 1
 
 
 def test_a_request_that_may_reach_one_upstream_still_goes_on_behind_dead_ones():
@@ -215,11 +218,11 @@
 def test_a_smaller_part_of_the_budget_takes_back_what_was_saved_above_it():
     world = World(rows(12), unsent_attempts_free=True)
     world.tell(api.RetryBudget(0.5, 2.0))
-    assert world.balancer.retries == 2.0
-    world.balancer.retries = 0.0
+    assert world.balancer.retry_tokens == 2.0
+    world.balancer.retry_tokens = 0.0
     for _ in range(6):
         world.sent()
-    assert world.balancer.retries == 2.0
+    assert world.balancer.retry_tokens == 2.0
 
 
 def test_what_turned_a_call_away_is_not_offered_it_again_while_another_serves():
@@ -285,10 +288,10 @@
         whole.tell(api.Classes(tuple(table.values())))
         one, other = changing.balancer, whole.balancer
         assert one.classes == other.classes
-        assert (one.recheck, one.top_worth, one.word_lasts) == (
-            other.recheck,
-            other.top_worth,
-            other.word_lasts,
+        assert (one.recheck_interval, one.max_value, one.report_max_age) == (
+            other.recheck_interval,
+            other.max_value,
+            other.report_max_age,
         )
 
 
@@ -303,13 +306,13 @@
     dear = api.RequestClass("dear", 2_000_000, 4_000_000, value=8.0)
     for probing, lasts in ((False, 30_000_000), (True, 2_000_000)):
         world = World(rows(2), probes=probing)
-        assert (world.balancer.top_worth, world.balancer.recheck) == (1.0, 10_000)
+        assert (world.balancer.max_value, world.balancer.recheck_interval) == (1.0, 10_000)
         world.tell(api.Classes((dear,)))
-        assert (world.balancer.top_worth, world.balancer.recheck) == (8.0, 40_000)
-        assert world.balancer.word_lasts == lasts
+        assert (world.balancer.max_value, world.balancer.recheck_interval) == (8.0, 40_000)
+        assert world.balancer.report_max_age == lasts
         assert list(world.balancer.classes) == ["dear"]
         world.tell(api.Classes(()))
-        assert (world.balancer.top_worth, world.balancer.recheck) == (1.0, 600_000)
+        assert (world.balancer.max_value, world.balancer.recheck_interval) == (1.0, 600_000)
 
 
 def test_what_was_learned_of_a_class_outlives_its_table():
@@ -318,7 +321,7 @@
     world.now += 50_000
     world.ended(name, upstream, OK)
     world.tell(api.Classes((SAFE,)))
-    assert world.balancer.mean_time["read"] == 50_000
+    assert world.balancer.mean_latency["read"] == 50_000
 
 
 # --- max_attempts of a class ---------------------------------------------------------------------
@@ -373,7 +376,7 @@
             world.wait(100_000)
             world.ended(name, upstream, OK)
         name, upstream = world.sent()
-        call = world.balancer.calls[name]
+        call = world.balancer.requests[name]
         world.wait(call.answer_by - world.now - 20_000)
         went = sends(world.ended(name, upstream, api.Outcome.ERROR))
         assert bool(went) is not fail_fast
--- a/tests/test_random.py
+++ b/tests/test_random.py
@@ -166,8 +166,8 @@
     assert not balancer.waiting
     assert len(balancer.heap) <= 4 * len(balancer.upstreams) + 1
     live = sum(a[2] is None for tries in game.sent.values() for a in tries)
-    assert len(balancer.calls) <= live
-    assert sum(up.own for up in balancer.upstreams.values()) <= live
+    assert len(balancer.requests) <= live
+    assert sum(up.own_in_flight for up in balancer.upstreams.values()) <= live
     assert len(game.world.timers) < 100
 
 
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -18,7 +18,7 @@
     name, _ = world.call(left=300_000)
     world.wait(300_000)
     assert [a.request for a in endings(world.log)] == [name]
-    assert not world.balancer.calls
+    assert not world.balancer.requests
 
 
 def test_all_upstreams_gone_while_a_call_waits():
@@ -48,7 +48,7 @@
     name, upstream = world.sent()
     assert world.tell(api.ClientGone(name)) == [api.CancelAttempt(name, 0)]
     assert not sends(world.ended(name, upstream, O.CANCELLED, closed=True))
-    assert world.balancer.upstreams[upstream].own == 0
+    assert world.balancer.upstreams[upstream].own_in_flight == 0
     assert world.tell(api.ClientGone(name)) == []
 
 
@@ -360,7 +360,7 @@
     world = World(rows(2), classes=(ONCE,))
     for _ in range(400):
         name, upstream = world.sent("buy", work_hint=100_000)
-        world.balancer.calls[name].attempts[0].ahead = 0.0
+        world.balancer.requests[name].attempts[0].load_when_sent = 0.0
         world.now += 100_000
         world.ended(name, upstream, O.OK)
     assert isinstance(endings(world.call("buy", work_hint=2_000_000)[1])[0], api.Refuse)
@@ -383,7 +383,7 @@
     world = World(rows(2), classes=(DEAR, CHEAP), max_retry_after=700_000)
     for _ in range(400):
         name, upstream = world.sent("dear")
-        world.balancer.calls[name].attempts[0].ahead = 0.0
+        world.balancer.requests[name].attempts[0].load_when_sent = 0.0
         world.now += 350_000
         world.ended(name, upstream, O.OK)
     assert admitted(world, "dear", 1) == 1
@@ -393,10 +393,10 @@
 def test_traffic_beyond_a_tenants_share_counts_as_cheap():
     tenants = (api.Tenant("a", 0.5, 1.0), api.Tenant("b", 0.5, 1000.0))
     world = World(rows(10), classes=(DEAR,), tenants=tenants, over_quota_value=0.0)
-    worths = [world.balancer.calls[world.sent("dear", tenant="a")[0]].worth for _ in range(8)]
+    worths = [world.balancer.requests[world.sent("dear", tenant="a")[0]].value for _ in range(8)]
     assert worths[0] == 10.0
     assert worths[-1] == 0.0
-    assert world.balancer.calls[world.sent("dear", tenant="b")[0]].worth == 10.0
+    assert world.balancer.requests[world.sent("dear", tenant="b")[0]].value == 10.0
 
 
 def test_a_late_answer_that_still_earns_is_waited_for():
