--- a/brackengate/__init__.py
+++ b/brackengate/__init__.py
@@ -1,4 +1,4 @@
-"""brackengate: the decisions of a load balancer for services that call services."""
+"""brackengate: the decisions of a load balancer for calls between services."""
 
 from typing import TYPE_CHECKING, Any
 
@@ -9,7 +9,7 @@
 
 
 def __getattr__(name: str) -> Any:
-    """Guards against the cost of the module where it is not used: a lighthouse's start is charged."""
+    """Import the balancer on first use: control replicas do not need it, and their start has to be short."""
     if name == "Balancer":
         from brackengate.brain import Balancer
 
--- a/brackengate/__main__.py
+++ b/brackengate/__main__.py
@@ -1,4 +1,4 @@
-"""The balancer as a program: environment and configuration, event loop, exit codes."""
+"""Entry point of the balancer process: environment, configuration, event loop and exit codes."""
 
 from __future__ import annotations
 
@@ -16,21 +16,23 @@
 
 
 async def serve(config: Config) -> int:
+    """Run the program until it is stopped by a signal or a command; its exit code."""
     return await Program(config).run()
 
 
 def main() -> int:
-    old = os.environ.get("BIRCHLEAD_LOG")  # deprecated: the name before the package was renamed
-    level = os.environ.get("BRACKENGATE_LOG", old or "INFO").upper()
+    """Exit code 2: invalid configuration; 1: cannot listen; otherwise that of the program."""
+    old_level = os.environ.get("BIRCHLEAD_LOG")  # deprecated: its name before the package was renamed
+    level = os.environ.get("BRACKENGATE_LOG", old_level or "INFO").upper()
     logging.basicConfig(
         stream=sys.stderr,
         level=level if level in logging.getLevelNamesMapping() else "INFO",
         format="%(asctime)s.%(msecs)03d %(levelname)s %(name)s: %(message)s",
         datefmt="%H:%M:%S",
     )
-    if old is not None:
+    if old_level is not None:
         log.warning("BIRCHLEAD_LOG is deprecated: use BRACKENGATE_LOG")
-    signal.signal(signal.SIGHUP, signal.SIG_IGN)  # until the loop runs: what it asks for is read then anyway
+    signal.signal(signal.SIGHUP, signal.SIG_IGN)  # until the loop runs, which reads the configuration anyway
     try:
         config = load_config(dict(os.environ))
     except BadConfig as error:
--- a/brackengate/interface.py
+++ b/brackengate/interface.py
@@ -1,8 +1,8 @@
-"""What a balancer is told and what it may ask for: settings, events, actions and outcomes.
+"""The balancer's interface: its settings, the events it handles and the actions it returns.
 
 Plain data only.  Times are whole microseconds on the host's clock; ids are opaque.
 `brackengate.brain.Balancer` takes a `Settings` at the start, then one event at a time,
-and answers each with a list of actions.
+and returns a list of actions for each.
 """
 
 from __future__ import annotations
@@ -12,11 +12,11 @@
 
 
 class Idempotency(Enum):
-    """What a class of requests allows once an attempt may have run."""
+    """Whether a class of requests may be repeated once an attempt may have run."""
 
-    REPEATABLE = "repeatable"
-    KEYED = "keyed"
-    UNSAFE = "unsafe"
+    REPEATABLE = "repeatable"  # always
+    KEYED = "keyed"  # where upstreams discard repeats of a key
+    UNSAFE = "unsafe"  # never
 
 
 class KeyScope(Enum):
@@ -28,18 +28,20 @@
 
 
 class Lifecycle(Enum):
+    """State of an upstream in the list; only those that serve receive requests."""
+
     SERVING = "serving"
     DRAINING = "draining"
     GONE = "gone"
 
 
 class ListKind(Enum):
-    """How an `UpstreamList` relates to the list held so far."""
+    """How an `UpstreamList` relates to the current list."""
 
     CHANGES = "changes"
     FULL = "full"
-    CACHED = "cached"  # the list as last held before a restart, perhaps stale
-    BROKEN = "broken"  # a watch or a fetch failed; nothing is said about upstreams
+    CACHED = "cached"  # the list as saved before a restart, perhaps stale
+    BROKEN = "broken"  # a watch or a fetch failed; it carries no upstreams
 
 
 class Outcome(Enum):
@@ -47,12 +49,12 @@
 
     OK = "ok"
     ERROR = "error"
-    REJECTED = "rejected"  # turned away unseen
+    REJECTED = "rejected"  # the upstream refused it and has not run it
     TIMEOUT = "timeout"
-    CONNECT_FAILED = "connect failed"
-    RESET = "reset"
+    CONNECT_FAILED = "connect failed"  # no connection was established
+    RESET = "reset"  # the connection broke before the answer was complete
     CANCELLED = "cancelled"
-    NOT_SENT = "not sent"
+    NOT_SENT = "not sent"  # no byte of it left this instance
 
 
 # --- settings -------------------------------------------------------------------------------
@@ -60,57 +62,64 @@
 
 @dataclass(frozen=True, slots=True)
 class RequestClass:
+    """Settings that requests of one kind have in common."""
+
     name: str
-    target_latency: int  # an answer within this time earns its full worth
-    deadline: int  # how long a client waits in all, over every try
+    target_latency: int  # an answer within this time has its full value
+    deadline: int  # how long a client waits in total, over all its retries
     idempotency: Idempotency = Idempotency.UNSAFE
     key_scope: KeyScope = KeyScope.ALL
-    key_memory: int = 0  # how long repeats of a keyed request are discarded
+    key_memory: int = 0  # how long upstreams discard repeats of a key
     value: float = 1.0
-    late_value: float = 0.0  # share of the worth an answer earns between aim and deadline
-    target_stretch: float = 0.0  # the aim grows by this multiple of the request's own work
-    stream: bool = False
-    max_attempts: int = 0  # 0 = as the settings say
+    late_value: float = 0.0  # share of the value that an answer has between target latency and deadline
+    target_stretch: float = 0.0  # the target latency grows by this multiple of the request's work hint
+    stream: bool = False  # its answers are streams, which the target latency does not limit
+    max_attempts: int = 0  # 0 = as in the settings
 
 
 @dataclass(frozen=True, slots=True)
 class Tenant:
+    """A tenant and its quota."""
+
     name: str
     fraction: float = 0.0
-    quota_per_s: float = 0.0  # over all balancers together; 0 = no quota
+    quota_per_s: float = 0.0  # requests, over all balancers together; 0 = no quota
 
 
 @dataclass(frozen=True, slots=True)
 class Settings:
+    """Settings of a balancer, the same for all instances of a tier."""
+
     classes: tuple[RequestClass, ...]
     tenants: tuple[Tenant, ...] = ()
     balancers: int = 1  # instances of this tier, this one included
     tier: int = 0  # the tier this balancer sends into
     resolution: int = 1000  # the shortest time between two events
-    marks_retry: bool = False  # clients mark repeats, so an unmarked request is a first try
-    passes_deadline: bool = True  # calls carry the time their caller has left
-    list_on_request: bool = False  # the list must be watched or fetched
-    list_max_age: int = 10_000_000  # unasked for this long counts as told what is listed
+    marks_retry: bool = False  # clients mark retries, so an unmarked request is a first attempt
+    passes_deadline: bool = True  # requests carry the time that their caller has left
+    list_on_request: bool = False  # the list must be watched or fetched; it is not pushed
+    list_max_age: int = 10_000_000  # an instance that has not fetched for this long counts as informed
     release_within: int = 0  # idle connections to a leaving upstream close within this; 0 = no such rule
-    cold_share: float = 0.1
-    cold_time: int = 30_000_000
-    fall_multiple: float = 3.0
-    probes: bool = False
-    cancel: bool = True
-    max_attempts: int = 3
+    cold_share: float = 0.1  # of its capacity, that a just started upstream has
+    cold_time: int = 30_000_000  # until it has all of its capacity
+    fall_multiple: float = 3.0  # times what it can bear at which a cold upstream fails
+    probes: bool = False  # upstreams answer probes with a load report
+    cancel: bool = True  # attempts in flight can be cancelled
+    max_attempts: int = 3  # of one request
     connect_timeout: int = 250_000
     idle_close: int = 60_000_000  # idle connections are closed after this
-    max_retry_after: int = 0  # the longest advice a client follows; 0 = none reaches it
-    over_quota_value: float = 1.0
-    probe_price: float = 0.0  # points for each probe, as a share of one request's worth
-    wait_for_upstream: bool = True  # False: what no upstream may take now goes to the least bad one, or ends
-    unsent_attempts_free: bool = (
-        False  # True: attempts that reached no upstream count for nothing, up to 8 in all
-    )
-    retry_share: float = 0.2  # retries a call earns: a storm adds at most this much to the load
-    retry_burst: float = 5.0  # retries that may be saved up
-    retry_start: float = 5.0  # of these at the start: what an earlier process spent is not known
-    fail_fast: bool = False  # True: it ends once all that serve turned it away, or too little time is left
+    max_retry_after: int = 0  # the longest `retry_after` that a client honours; 0 = none reaches it
+    over_quota_value: float = 1.0  # multiplies the value of requests beyond their tenant's quota
+    probe_price: float = 0.0  # cost of a probe, as a share of one request's value
+    # False: a request that no upstream may take now goes to the least bad one, or ends.
+    wait_for_upstream: bool = True
+    # True: attempts that reached no upstream use up neither `max_attempts` nor retries, up to 8 in total.
+    unsent_attempts_free: bool = False
+    retry_share: float = 0.2  # retries that a request earns: retries add at most this share to the load
+    retry_burst: float = 5.0  # retries that may be saved
+    retry_start: float = 5.0  # of these at the start: how many an earlier process spent is unknown
+    # True: a request ends once every serving upstream rejected it, or too little time is left.
+    fail_fast: bool = False
 
 
 # --- events ---------------------------------------------------------------------------------
@@ -131,51 +140,55 @@
 
 @dataclass(frozen=True, slots=True)
 class LoadReport:
-    """What an upstream says of itself; None where it says nothing."""
+    """Load that an upstream reports of itself; None where it reports nothing."""
 
-    in_flight: float | None = None
-    waiting: float | None = None
-    utilization: float | None = None
+    in_flight: float | None = None  # requests it holds
+    waiting: float | None = None  # of these, in its queue
+    utilization: float | None = None  # 0 to 1
 
 
 @dataclass(slots=True)
 class UpstreamList:
+    """The list of upstreams, or changes to it."""
+
     kind: ListKind
     endpoints: tuple[Endpoint, ...] = ()
     version: int = 0
-    final: bool = False  # no upstream will come any more: what waits for one is ended
+    final: bool = False  # no further upstreams will be listed: requests that wait for one end
 
 
 @dataclass(frozen=True, slots=True)
 class EarlierAttempt:
-    """An attempt of a request that came before under the same key, and may have run."""
+    """An attempt that may have run, of an earlier request with the same key."""
 
     endpoint: Endpoint
     sent_at: int
 
     @classmethod
     def at_unknown_upstream(cls, at: int) -> EarlierAttempt:
-        """It is not known where: in no zone and no cell."""
+        """An attempt at an unknown upstream: in no zone and no cell."""
         return cls(Endpoint("", cell=-1), at)
 
 
 @dataclass(slots=True)
 class Request:
+    """A client's request has arrived."""
+
     request: str
     class_name: str
-    deadline: int  # the clock time at which the client leaves
+    deadline: int  # the clock time at which the client gives up
     tenant: str = ""
     key: str = ""
     is_retry: bool = False
     is_write: bool = False
-    work_hint: int = 0  # 0 = none
-    earlier: tuple[EarlierAttempt, ...] = ()  # as if they were attempts of its own
-    body_complete: bool = True  # False: its body is still coming; the deadline is as if it ended now
+    work_hint: int = 0  # expected service time; 0 = unknown
+    earlier: tuple[EarlierAttempt, ...] = ()  # treated as attempts of its own
+    body_complete: bool = True  # False: its body is still arriving; the deadline assumes that it ends now
 
 
 @dataclass(slots=True)
 class RequestBodyComplete:
-    """The last byte of a request's body has come: its deadline counts from here."""
+    """The last byte of a request's body has arrived: its deadline counts from here."""
 
     request: str
     deadline: int
@@ -183,7 +196,7 @@
 
 @dataclass(slots=True)
 class AnswerStarted:
-    """The first bytes of an answer are with the client: it is this attempt's, and its rest follows."""
+    """The first bytes of an attempt's answer were passed to the client: the request keeps this attempt."""
 
     request: str
     attempt: int
@@ -193,33 +206,37 @@
 
 @dataclass(slots=True)
 class AttemptEnded:
+    """An attempt has an outcome."""
+
     request: str
     attempt: int
     upstream: str
     outcome: Outcome
     latency: int = 0
-    request_ended: bool = False
+    request_ended: bool = False  # the client has its answer or has left
     load: LoadReport | None = None
-    stale_connection: bool = (
-        False  # lost with a connection that had stood idle: tells nothing of the upstream
-    )
-    body_replayable: bool = (
-        True  # False: what was sent of the body is no longer held, so no attempt can follow
-    )
+    stale_connection: bool = False  # lost with a connection that was idle: no sign of a failing upstream
+    body_replayable: bool = True  # False: the part of the body already sent is discarded: no further attempt
 
 
 @dataclass(slots=True)
 class ClientGone:
+    """The client has disconnected."""
+
     request: str
 
 
 @dataclass(slots=True)
 class TimerFired:
+    """A timer set by `SetTimer` has expired."""
+
     token: int
 
 
 @dataclass(slots=True)
 class ProbeEnded:
+    """A probe has an outcome."""
+
     upstream: str
     outcome: Outcome
     latency: int = 0
@@ -228,14 +245,14 @@
 
 @dataclass(slots=True)
 class Classes:
-    """The table of classes from here on, in place of the settings'; calls under way keep theirs."""
+    """Replaces the settings' table of classes; requests in flight keep theirs."""
 
     classes: tuple[RequestClass, ...]
 
 
 @dataclass(slots=True)
 class ClassesChanged:
-    """Some classes of the table are new or other than before, some are gone; the rest stay."""
+    """Adds, replaces and removes some classes of the table; the others stay."""
 
     changed: tuple[RequestClass, ...]
     removed: tuple[str, ...] = ()  # by name
@@ -243,15 +260,15 @@
 
 @dataclass(slots=True)
 class RetryBudget:
-    """What retries may cost from here on, where a budget is shared and its part has changed."""
+    """This instance's part of a shared retry budget has changed."""
 
-    share: float  # retries that a call earns
-    burst: float  # that may be saved up
+    share: float  # retries that a request earns
+    burst: float  # retries that may be saved
 
 
 @dataclass(slots=True)
 class UpstreamHealth:
-    """What others say of an upstream: nobody there answers, or it stands again (or anew)."""
+    """Others report that an upstream is unreachable, or is reachable again or was replaced."""
 
     upstream: str
     healthy: bool
@@ -259,6 +276,8 @@
 
 @dataclass(slots=True)
 class PeerMessage:
+    """A message of another instance."""
+
     sender: int
     payload: bytes
 
@@ -285,22 +304,24 @@
 
 @dataclass(slots=True)
 class Send:
-    """Start the request's next attempt; attempts count 0, 1, 2 ... in the order of their sends."""
+    """Start the request's next attempt; attempts are numbered 0, 1, 2 ... in sending order."""
 
     request: str
     upstream: str
-    until: int  # the clock time at which to give the attempt up
+    until: int  # the clock time at which to time the attempt out
 
 
 @dataclass(slots=True)
 class CancelAttempt:
+    """Cancel an attempt in flight; its outcome still follows."""
+
     request: str
     attempt: int
 
 
 @dataclass(slots=True)
 class Refuse:
-    """Final: the request had no effect and may be tried again, preferably after `retry_after`."""
+    """Final: the request had no effect and may be repeated, preferably after `retry_after`."""
 
     request: str
     retry_after: int = 0
@@ -308,32 +329,36 @@
 
 @dataclass(slots=True)
 class Fail:
-    """Final: no answer, and no claim about effects."""
+    """Final: no answer; whether the request had an effect is not known."""
 
     request: str
 
 
 @dataclass(slots=True)
 class SetTimer:
+    """Send `TimerFired` with this token after `delay`."""
+
     delay: int
     token: int
 
 
 @dataclass(slots=True)
 class Probe:
+    """Query an upstream for its load."""
+
     upstream: str
 
 
 @dataclass(slots=True)
 class Release:
-    """Close this copy's idle connections to an upstream."""
+    """Close this instance's idle connections to an upstream."""
 
     upstream: str
 
 
 @dataclass(slots=True)
 class WatchList:
-    """Ask for the changes of the upstream list from now on."""
+    """Start (or stop) receiving changes of the upstream list."""
 
     on: bool = True
 
