--- a/brackengate/files.py
+++ b/brackengate/files.py
@@ -1,4 +1,4 @@
-"""What those who keep or watch files share."""
+"""Helpers to replace files atomically and to detect changed files."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 
 
 def mark(path: str | Path) -> tuple[int, ...]:
-    """Tells whether a file was changed or replaced since: its time, size and number, or why there is none."""
+    """A value that differs once the file was changed or replaced: mtime, size and inode, or the errno."""
     try:
         stat = os.stat(path)
     except OSError as error:
@@ -16,19 +16,19 @@
 
 
 def replace(path: Path, data: bytes) -> None:
-    """Atomic: the old file or the new one, never a part.  OSError where it fails; the old one stays."""
-    beside = path.with_suffix(f".{os.getpid()}.tmp")
+    """Replace the file atomically and durably.  Raises OSError on failure; then the old file stays."""
+    temporary = path.with_suffix(f".{os.getpid()}.tmp")
     try:
-        with open(beside, "wb") as file:
+        with open(temporary, "wb") as file:
             file.write(data)
             file.flush()
             os.fsync(file.fileno())
-        os.replace(beside, path)
+        os.replace(temporary, path)
         folder = os.open(path.parent, os.O_RDONLY | os.O_DIRECTORY)
         try:
             os.fsync(folder)
         finally:
             os.close(folder)
     except OSError:
-        beside.unlink(missing_ok=True)
+        temporary.unlink(missing_ok=True)
         raise
--- a/brackengate/logs.py
+++ b/brackengate/logs.py
@@ -1,4 +1,4 @@
-"""The command's log, as text or as JSON, one object a line.  The platform's `run` stays without a library."""
+"""Logging of the command, as text or as JSON lines.  The platform's process does without structlog."""
 
 from __future__ import annotations
 
@@ -8,15 +8,15 @@
 
 import structlog
 
-FORMAT = "BRACKENGATE_LOG_FORMAT"  # in the environment, so that a fleet's instances follow
+FORMAT = "BRACKENGATE_LOG_FORMAT"  # in the environment, so that the instances of a fleet inherit it
 
 
 def start_log(level: str) -> None:
-    """To standard error; `BRACKENGATE_LOG` comes before `level`."""
-    chosen = os.environ.get("BRACKENGATE_LOG", level).upper()
+    """Log to standard error; the level in `BRACKENGATE_LOG` takes precedence over `level`."""
+    level_name = os.environ.get("BRACKENGATE_LOG", level).upper()
     handler = logging.StreamHandler(sys.stderr)
     if os.environ.get(FORMAT) == "json":
-        told: list[structlog.typing.Processor] = [
+        processors: list[structlog.typing.Processor] = [
             structlog.stdlib.add_log_level,
             structlog.stdlib.add_logger_name,
             structlog.stdlib.ExtraAdder(),
@@ -25,7 +25,7 @@
         ]
         handler.setFormatter(
             structlog.stdlib.ProcessorFormatter(
-                foreign_pre_chain=told,
+                foreign_pre_chain=processors,
                 processors=[
                     structlog.stdlib.ProcessorFormatter.remove_processors_meta,
                     structlog.processors.format_exc_info,
@@ -37,5 +37,5 @@
         line = "%(asctime)s.%(msecs)03d %(process)d %(levelname)s %(name)s: %(message)s"
         handler.setFormatter(logging.Formatter(line, "%H:%M:%S"))
     logging.basicConfig(
-        level=chosen if chosen in logging.getLevelNamesMapping() else "INFO", handlers=[handler]
+        level=level_name if level_name in logging.getLevelNamesMapping() else "INFO", handlers=[handler]
     )
--- a/brackengate/platform/config.py
+++ b/brackengate/platform/config.py
@@ -1,4 +1,4 @@
-"""The platform's configuration: RELAY_* variables and the JSON file that they name."""
+"""The platform's configuration: RELAY_* environment variables and the JSON file that they name."""
 
 from __future__ import annotations
 
@@ -13,25 +13,27 @@
 
 
 class BadConfig(ValueError):
-    """What the platform told cannot be used."""
+    """The configuration is missing or invalid."""
 
 
 @dataclass(frozen=True, slots=True)
 class Config:
+    """Configuration of the balancer process."""
+
     name: str
     listen: Address
     discovery: Address
     seed: int
     sockets: int
     memory_mb: int
-    known: Any
+    known: Any  # the upstream list to start with, as the discovery service sends it
     settings: Settings
-    admin: Address | None = None  # where operators call; older days have none
-    listen_fd: int | None = None  # the listening socket, where the platform holds it
+    admin: Address | None = None  # where operators connect; older configurations have none
+    listen_fd: int | None = None  # an inherited listening socket
 
 
 def load_config(environ: dict[str, str]) -> Config:
-    """Read the configuration file; the environment's name and addresses, where given, come first."""
+    """Read the configuration file; name and addresses in the environment take precedence over it."""
     admin_name = "RELAY_ADMIN" if environ.get("RELAY_ADMIN") else "admin"
     descriptor = environ.get("RELAY_LISTEN_FD") or ""
     if descriptor and not (descriptor.isascii() and descriptor.isdigit()):
@@ -41,28 +43,28 @@
         raise BadConfig("RELAY_CONFIG is not set")
     try:
         with open(path, encoding="utf-8") as file:
-            told = json.load(file)
+            document = json.load(file)
     except OSError as error:
         raise BadConfig(f"cannot read {path}: {error.strerror}") from None
     except (ValueError, RecursionError) as error:
         raise BadConfig(f"{path} is not JSON: {error}") from None
-    if not isinstance(told, dict):
+    if not isinstance(document, dict):
         raise BadConfig(f"{path} does not hold an object")
     try:
-        if not isinstance(told["settings"], dict) or not told["settings"].get("Classes"):
+        if not isinstance(document["settings"], dict) or not document["settings"].get("Classes"):
             raise BadConfig(f"{path}: 'settings' names no classes")
-        known = told.get("known") or {"index": 0, "snapshot": True, "endpoints": []}
+        known = document.get("known") or {"index": 0, "snapshot": True, "endpoints": []}
         read_list(known)
-        admin = environ.get("RELAY_ADMIN") or told.get("admin")
+        admin = environ.get("RELAY_ADMIN") or document.get("admin")
         return Config(
-            name=environ.get("RELAY_NAME") or str(told.get("name", "")),
-            listen=parse_address(environ.get("RELAY_LISTEN") or str(told["listen"])),
-            discovery=parse_address(environ.get("RELAY_DISCOVERY") or str(told["discovery"])),
-            seed=int(str(told.get("seed") or "0"), 16),
-            sockets=int((told.get("limits") or {}).get("sockets") or 1024),
-            memory_mb=int((told.get("limits") or {}).get("memory_mb") or 2048),
+            name=environ.get("RELAY_NAME") or str(document.get("name", "")),
+            listen=parse_address(environ.get("RELAY_LISTEN") or str(document["listen"])),
+            discovery=parse_address(environ.get("RELAY_DISCOVERY") or str(document["discovery"])),
+            seed=int(str(document.get("seed") or "0"), 16),
+            sockets=int((document.get("limits") or {}).get("sockets") or 1024),
+            memory_mb=int((document.get("limits") or {}).get("memory_mb") or 2048),
             known=known,
-            settings=wire.settings(json.dumps(told["settings"])),
+            settings=wire.settings(json.dumps(document["settings"])),
             admin=_admin(str(admin), admin_name) if admin else None,
             listen_fd=int(descriptor) if descriptor else None,
         )
--- a/brackengate/platform/wire.py
+++ b/brackengate/platform/wire.py
@@ -1,4 +1,4 @@
-"""The wire of the simulated host: lines to events, actions to lines.  Pure; decides nothing."""
+"""The simulator's line protocol: parses lines into events and formats actions as lines, without I/O."""
 
 from __future__ import annotations
 
@@ -63,7 +63,7 @@
 
 
 class WireError(ValueError):
-    """A line that is not what the wire allows."""
+    """A line that does not follow the protocol."""
 
 
 def settings(text: str) -> Settings:
@@ -114,7 +114,7 @@
         list_max_age=int(rules.get("AskWithinUs") or 10_000_000),
         release_within=int(rules.get("ReleaseWithinUs") or 0),
         cold_share=float(rules.get("ColdShare", 0.1)),
-        cold_time=int(rules.get("ColdUs", 30_000_000)) or 1,  # untold: cold for long
+        cold_time=int(rules.get("ColdUs", 30_000_000)) or 1,  # not given: cold for long
         fall_multiple=float(rules.get("FallMultiple") or 3.0),
         probes=bool(limits.get("Probes", False)),
         cancel=bool(limits.get("Cancel", False)),
@@ -128,30 +128,33 @@
 
 
 def text(value: str) -> str:
+    """A text value; "-" stands for none."""
     return "" if value == "-" else value
 
 
 def number(value: str) -> int:
+    """A whole number; "-" stands for 0."""
     return 0 if value == "-" else int(value)
 
 
 def report(value: str) -> LoadReport | None:
-    """name:value pairs; names this library does not use are skipped."""
+    """Read a load report of name:value pairs; unknown names are skipped."""
     if value == "-":
         return None
-    held = waiting = used = None
+    in_flight = waiting = utilization = None
     for pair in value.split(","):
-        name, _, figure = pair.partition(":")
+        name, _, value_text = pair.partition(":")
         if name == "outstanding":
-            held = float(figure)
+            in_flight = float(value_text)
         elif name == "backlog":
-            waiting = float(figure)
+            waiting = float(value_text)
         elif name == "utilization":
-            used = float(figure)
-    return LoadReport(held, waiting, used)
+            utilization = float(value_text)
+    return LoadReport(in_flight, waiting, utilization)
 
 
 def endpoint(line: str) -> Endpoint:
+    """Read an `item` line of a register."""
     parts = line.split(" ")
     if parts[0] != "item" or len(parts) != 8:
         raise WireError(f"expected 'item' with 7 values, got: {line[:200]}")
@@ -162,7 +165,7 @@
             zone=text(zone),
             kind=text(kind),
             cell=-1 if cell == "-" else int(cell),
-            # A state this library does not know is not one to send to.
+            # An upstream in an unknown state receives nothing.
             state=STATES.get(state, Lifecycle.DRAINING),
             weight=1.0 if weight == "-" else float(weight),
             started_at=number(started),
@@ -171,19 +174,20 @@
         raise WireError(f"a value of 'item' is not of its kind: {line[:200]}") from None
 
 
-def upstream_list(parts: list[str], pages: dict[int, tuple[Endpoint, ...]]) -> UpstreamList:
+def upstream_list(parts: list[str], registers: dict[int, tuple[Endpoint, ...]]) -> UpstreamList:
+    """Read a `registry` line; its endpoints are those of the register that it names."""
     kind = LIST_KINDS.get(parts[1])
     if kind is None:
         raise ValueError("an unknown list kind")
     if kind is ListKind.BROKEN:
         return UpstreamList(kind)
-    page = int(parts[3])
-    if page not in pages:
-        raise ValueError(f"no register has the number {page}")
-    return UpstreamList(kind, pages[page], number(parts[2]))
+    register = int(parts[3])
+    if register not in registers:
+        raise ValueError(f"no register has the number {register}")
+    return UpstreamList(kind, registers[register], number(parts[2]))
 
 
-def _call(p: list[str]) -> Request:
+def _request(p: list[str]) -> Request:
     return Request(
         request=p[1],
         class_name=p[6],
@@ -197,26 +201,26 @@
 
 
 def _outcome(value: str) -> Outcome:
-    # An outcome this library does not know proves nothing: it counts as an error.
-    return OUTCOMES.get(value) or OUTCOMES["255"] if value.isdigit() else _bad(value)
+    # An unknown outcome proves nothing: it counts as an error.
+    return OUTCOMES.get(value) or OUTCOMES["255"] if value.isdigit() else _invalid_outcome(value)
 
 
-def _bad(value: str) -> Outcome:
+def _invalid_outcome(value: str) -> Outcome:
     raise ValueError(f"not an outcome: {value}")
 
 
-def _reply(p: list[str]) -> AttemptEnded:
+def _attempt_ended(p: list[str]) -> AttemptEnded:
     return AttemptEnded(p[1], int(p[2]), p[3], _outcome(p[4]), number(p[5]), p[6] == "1", report(p[7]))
 
 
-def _echo(p: list[str]) -> ProbeEnded:
+def _probe_ended(p: list[str]) -> ProbeEnded:
     return ProbeEnded(p[3], _outcome(p[1]), number(p[2]), report(p[4]))
 
 
 EVENTS: dict[str, tuple[int, Callable[[list[str]], Event]]] = {
-    "call": (8, _call),
-    "reply": (7, _reply),
-    "echo": (4, _echo),
+    "call": (8, _request),
+    "reply": (7, _attempt_ended),
+    "echo": (4, _probe_ended),
     "fired": (1, lambda p: TimerFired(int(p[1]))),
     "opened": (4, lambda p: AnswerStarted(p[1], int(p[2]), p[3], number(p[4]))),
     "timed_out_client": (1, lambda p: ClientGone(p[1])),
@@ -225,7 +229,7 @@
 
 
 def event(line: str) -> Event:
-    """One event line, other than those that concern the process or the lists."""
+    """Read an event line; those of processes and lists are read by the adapter."""
     parts = line.split(" ")
     known = EVENTS.get(parts[0])
     if known is None:
@@ -240,6 +244,7 @@
 
 
 def action_line(action: Action) -> str:
+    """Format an action as a line of the reply."""
     match action:
         case Send():
             return f"relay {action.request} {action.until} {action.upstream}"
--- a/tests/test_logs.py
+++ b/tests/test_logs.py
@@ -1,4 +1,4 @@
-"""The command's log as JSON: one object a line, with what was told beside the words."""
+"""The command's log as JSON lines, with the extra fields of each record."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 start_log("info")
 log = logging.getLogger("brackengate.some")
 log.info("served %d", 7, extra={"seed": 3})
-log.debug("not told")
+log.debug("below the level")
 try:
     raise ValueError("why")
 except ValueError:
@@ -25,9 +25,9 @@
 """
 
 
-def ran(*words: str, **environ: str) -> subprocess.CompletedProcess[str]:
+def run(*arguments: str, **environ: str) -> subprocess.CompletedProcess[str]:
     return subprocess.run(
-        [sys.executable, *words],
+        [sys.executable, *arguments],
         cwd=ROOT,
         env={**os.environ, **environ},
         capture_output=True,
@@ -36,9 +36,9 @@
     )
 
 
-def test_each_line_is_an_object_with_its_fields_and_a_traceback_is_one_of_them() -> None:
-    done = ran("-c", PROGRAM, BRACKENGATE_LOG_FORMAT="json")
-    first, second = (json.loads(line) for line in done.stderr.splitlines())
+def test_each_json_line_has_the_extra_fields_and_the_traceback() -> None:
+    process = run("-c", PROGRAM, BRACKENGATE_LOG_FORMAT="json")
+    first, second = (json.loads(line) for line in process.stderr.splitlines())
     assert (first["event"], first["level"], first["logger"], first["seed"]) == (
         "served 7",
         "info",
@@ -49,19 +49,28 @@
     assert second["level"] == "error" and "ValueError: why" in second["exception"]
 
 
-def test_as_text_it_is_as_it_was() -> None:
-    lines = ran("-c", PROGRAM, BRACKENGATE_LOG_FORMAT="").stderr.splitlines()
+def test_text_lines_have_the_plain_format() -> None:
+    lines = run("-c", PROGRAM, BRACKENGATE_LOG_FORMAT="").stderr.splitlines()
     assert lines[0].endswith("INFO brackengate.some: served 7") and lines[-1] == "ValueError: why"
 
 
 @pytest.mark.parametrize("by", ["option", "environment"])
-def test_the_command_hands_its_format_on(by: str) -> None:
+def test_the_command_logs_in_the_chosen_format(by: str) -> None:
     option = ["--log-format", "json"] if by == "option" else []
     environ = {"BRACKENGATE_LOG": "info", **({} if option else {"BRACKENGATE_LOG_FORMAT": "json"})}
-    words = ["lab", "run", "examples/lab/kill-and-roll.toml", "--seed", "2", "--json", "--set", "length=40s"]
-    done = ran("-m", "brackengate.cli", *option, *words, **environ)
-    assert done.returncode == 0
-    told = json.loads(done.stderr.splitlines()[-1])
-    assert told["event"] == "played" and (told["scenario"], told["seed"]) == ("kill-and-roll", 2)
-    bad = ran("-m", "brackengate.cli", "--log-format", "xml", *words)
-    assert bad.returncode == 2 and "'text', 'json'" in bad.stderr
+    arguments = [
+        "lab",
+        "run",
+        "examples/lab/kill-and-roll.toml",
+        "--seed",
+        "2",
+        "--json",
+        "--set",
+        "length=40s",
+    ]
+    process = run("-m", "brackengate.cli", *option, *arguments, **environ)
+    assert process.returncode == 0
+    record = json.loads(process.stderr.splitlines()[-1])
+    assert record["event"] == "played" and (record["scenario"], record["seed"]) == ("kill-and-roll", 2)
+    invalid = run("-m", "brackengate.cli", "--log-format", "xml", *arguments)
+    assert invalid.returncode == 2 and "'text', 'json'" in invalid.stderr
--- a/tests/test_mesh_policy.py
+++ b/tests/test_mesh_policy.py
@@ -1,14 +1,14 @@
-"""What a mesh needs of the module: calls that are not held, unsent attempts for nothing, new classes."""
+"""Settings that the mesh uses: requests that do not wait, free unsent attempts, changed classes."""
 
 import random
 
 import pytest
-from test_random import Play
-from world import ONCE, SAFE, World, endings, keyed, probes, rows, sends
+from balancer_harness import BUY, READ, BalancerHarness, endings, endpoints, keyed, probes, sends
+from test_random import RuleCheckingHost
 
 from brackengate import interface as api
 
-OK, BROKE, NOT_SENT = api.Outcome.OK, api.Outcome.CONNECT_FAILED, api.Outcome.NOT_SENT
+OK, CONNECT_FAILED, NOT_SENT = api.Outcome.OK, api.Outcome.CONNECT_FAILED, api.Outcome.NOT_SENT
 RESET = api.Outcome.RESET
 DRAINING = api.Lifecycle.DRAINING
 
@@ -17,263 +17,278 @@
     return [api.Refuse(name, 0)]
 
 
-def rests(world: World, *which: str) -> None:
-    """Let these fail until they rest; calls that go to others are answered."""
-    answered, ups = [], world.balancer.upstreams
-    while any(world.now >= ups[one].ejected_until for one in which):
-        name, upstream = world.sent()
+def eject(harness: BalancerHarness, *which: str) -> None:
+    """Let these fail until they are ejected; requests to other upstreams are answered."""
+    answered, ups = [], harness.balancer.upstreams
+    while any(harness.now >= ups[one].ejected_until for one in which):
+        name, upstream = harness.send_request()
         if upstream in which:
-            world.ended(name, upstream, BROKE, closed=True)
+            harness.end_attempt(name, upstream, CONNECT_FAILED, request_ended=True)
         else:
             answered.append((name, upstream))
     for name, upstream in answered:
-        world.ended(name, upstream, OK)
+        harness.end_attempt(name, upstream, OK)
 
 
-# --- holds: False --------------------------------------------------------------------------------
+# --- wait_for_upstream: False ---------------------------------------------------------------------
 
 
-def test_by_default_a_call_waits_while_all_rest():
-    world = World(rows(2))
-    rests(world, "u0", "u1")
-    name, actions = world.call()
+def test_by_default_a_request_waits_while_all_upstreams_are_ejected():
+    harness = BalancerHarness(endpoints(2))
+    eject(harness, "u0", "u1")
+    name, actions = harness.start_request()
     assert not sends(actions) and not endings(actions)
-    assert list(world.balancer.waiting) == [name]
-
-
-def test_unheld_calls_go_to_the_least_bad_while_all_rest():
-    """Fewest own calls first, then fewest failures, then the earliest assignment."""
-    world = World(rows(4), wait_for_upstream=False)
-    _, busy = world.sent()
-    rests(world, "u0", "u1", "u2", "u3")
-    name, worst = world.sent()
-    world.ended(name, worst, BROKE, closed=True)  # its third in a row
-    for _ in range(2):  # the others are assigned later, and have failed less
-        world.ended(*world.sent(), api.Outcome.ERROR, closed=True)
-    last = {send.upstream: number for number, send in enumerate(sends(world.log))}
+    assert list(harness.balancer.waiting) == [name]
+
+
+def test_requests_that_do_not_wait_go_to_the_least_bad_while_all_are_ejected():
+    """Fewest own requests first, then fewest failures, then the earliest assignment."""
+    harness = BalancerHarness(endpoints(4), wait_for_upstream=False)
+    _, busy = harness.send_request()
+    eject(harness, "u0", "u1", "u2", "u3")
+    name, worst = harness.send_request()
+    harness.end_attempt(name, worst, CONNECT_FAILED, request_ended=True)  # its third in a row
+    for _ in range(2):  # the others are assigned later and have failed less often
+        harness.end_attempt(*harness.send_request(), api.Outcome.ERROR, request_ended=True)
+    last = {send.upstream: number for number, send in enumerate(sends(harness.log))}
     others = sorted({"u0", "u1", "u2", "u3"} - {busy, worst}, key=lambda name: last[name])
-    assert [world.sent()[1] for _ in range(4)] == [*others, worst, busy]
-    assert not world.balancer.waiting
+    assert [harness.send_request()[1] for _ in range(4)] == [*others, worst, busy]
+    assert not harness.balancer.waiting
 
 
-def test_an_unheld_call_that_failed_twice_on_the_only_upstream_goes_there_again():
-    world = World(rows(1), wait_for_upstream=False)
-    name, bad = world.sent()
+def test_a_request_that_does_not_wait_is_retried_on_the_only_upstream():
+    harness = BalancerHarness(endpoints(1), wait_for_upstream=False)
+    name, failing = harness.send_request()
     for attempt in range(3):
-        assert [s.upstream for s in sends(world.ended(name, bad, BROKE, attempt=attempt))] == [bad]
-    assert endings(world.ended(name, bad, BROKE, attempt=3)) == refused(name)  # four are its most
-    assert not world.balancer.waiting and not world.balancer.requests
+        assert [
+            s.upstream for s in sends(harness.end_attempt(name, failing, CONNECT_FAILED, attempt=attempt))
+        ] == [failing]
+    assert endings(harness.end_attempt(name, failing, CONNECT_FAILED, attempt=3)) == refused(
+        name
+    )  # 4 at most
+    assert not harness.balancer.waiting and not harness.balancer.requests
 
 
-def test_unheld_calls_go_to_a_cold_upstream_where_all_are_cold_and_keep_its_pace_otherwise():
+def test_requests_that_do_not_wait_go_to_a_cold_upstream_only_where_all_are_cold():
     cold = [api.Endpoint(f"u{i}", started_at=100_000_000) for i in range(2)]
-    for holds in (True, False):
-        world = World(tuple(cold), wait_for_upstream=holds, cold_time=20_000_000)
-        assert bool(sends(world.call()[1])) is not holds
-    world = World((*cold, api.Endpoint("warm")), wait_for_upstream=False, cold_time=20_000_000)
-    assert {world.sent()[1] for _ in range(6)} == {"warm"}
+    for waits in (True, False):
+        harness = BalancerHarness(tuple(cold), wait_for_upstream=waits, cold_time=20_000_000)
+        assert bool(sends(harness.start_request()[1])) is not waits
+    harness = BalancerHarness((*cold, api.Endpoint("warm")), wait_for_upstream=False, cold_time=20_000_000)
+    assert {harness.send_request()[1] for _ in range(6)} == {"warm"}
 
 
-def test_a_rest_still_turns_unheld_calls_to_the_sound_ones():
-    world = World(rows(3), wait_for_upstream=False)
-    rests(world, "u1")
-    assert {world.sent()[1] for _ in range(20)} == {"u0", "u2"}
+def test_an_ejection_still_directs_requests_to_the_healthy_upstreams():
+    harness = BalancerHarness(endpoints(3), wait_for_upstream=False)
+    eject(harness, "u1")
+    assert {harness.send_request()[1] for _ in range(20)} == {"u0", "u2"}
 
 
-@pytest.mark.parametrize("listed", [(), rows(2, state=DRAINING)])
-def test_with_none_that_serves_an_unheld_call_ends_at_once(listed):
-    world = World(listed, wait_for_upstream=False)
-    name, actions = world.call()
+@pytest.mark.parametrize("listed", [(), endpoints(2, state=DRAINING)])
+def test_without_a_serving_upstream_a_request_that_does_not_wait_ends_at_once(listed):
+    harness = BalancerHarness(listed, wait_for_upstream=False)
+    name, actions = harness.start_request()
     assert actions == refused(name)
-    name, actions = world.call("buy")
+    name, actions = harness.start_request("buy")
     assert actions == refused(name)  # nothing of it ran
-    assert not world.balancer.requests and not world.balancer.waiting
+    assert not harness.balancer.requests and not harness.balancer.waiting
 
 
-def test_the_last_one_drains_while_an_unheld_call_is_out():
-    world = World(rows(1), wait_for_upstream=False)
-    name, upstream = world.sent()
-    world.list(api.Endpoint(upstream, state=DRAINING))
-    assert endings(world.ended(name, upstream, BROKE)) == refused(name)
+def test_the_last_upstream_drains_while_a_request_is_in_flight():
+    harness = BalancerHarness(endpoints(1), wait_for_upstream=False)
+    name, upstream = harness.send_request()
+    harness.update_list(api.Endpoint(upstream, state=DRAINING))
+    assert endings(harness.end_attempt(name, upstream, CONNECT_FAILED)) == refused(name)
 
 
-def test_an_unheld_call_that_may_have_run_goes_only_where_its_repeat_is_discarded():
-    world = World(
+def test_a_request_that_does_not_wait_and_may_have_run_goes_only_where_its_repeat_is_discarded():
+    harness = BalancerHarness(
         (api.Endpoint("a", zone="z1"), api.Endpoint("b", zone="z2")),
         classes=(keyed(api.KeyScope.ZONE),),
         wait_for_upstream=False,
     )
-    name, first = world.sent("bid")
-    again = sends(world.ended(name, first, api.Outcome.RESET))
-    assert [s.upstream for s in again] == [first]
-    again = sends(world.ended(name, first, api.Outcome.RESET, attempt=1))  # it rests, and is the only one
-    assert [s.upstream for s in again] == [first]
-    world.list(api.Endpoint(first, zone="z1" if first == "a" else "z2", state=DRAINING))
-    assert endings(world.ended(name, first, api.Outcome.RESET, attempt=2)) == [api.Fail(name)]
-
-
-def test_an_unheld_call_still_asks_before_it_is_sent_and_goes_out_if_all_rest_by_then():
-    world = World(rows(2), probes=True, wait_for_upstream=False)
-    for tries in (1, 2):
-        name, actions = world.call()
-        asked = probes(actions)
-        assert sorted(asked) == ["u0", "u1"] and not sends(actions)
-        for upstream in asked:
-            actions = world.tell(api.ProbeEnded(upstream, BROKE))
-        assert [up.consecutive_failures for up in world.balancer.upstreams.values()] == [
-            tries,
-            tries,
-        ]  # at two it rests
+    name, first = harness.send_request("bid")
+    retried = sends(harness.end_attempt(name, first, api.Outcome.RESET))
+    assert [s.upstream for s in retried] == [first]
+    retried = sends(
+        harness.end_attempt(name, first, api.Outcome.RESET, attempt=1)
+    )  # ejected, but the only one allowed
+    assert [s.upstream for s in retried] == [first]
+    harness.update_list(api.Endpoint(first, zone="z1" if first == "a" else "z2", state=DRAINING))
+    assert endings(harness.end_attempt(name, first, api.Outcome.RESET, attempt=2)) == [api.Fail(name)]
+
+
+def test_a_request_that_does_not_wait_still_probes_and_is_sent_if_all_are_ejected_by_then():
+    harness = BalancerHarness(endpoints(2), probes=True, wait_for_upstream=False)
+    for failures in (1, 2):
+        name, actions = harness.start_request()
+        probed = probes(actions)
+        assert sorted(probed) == ["u0", "u1"] and not sends(actions)
+        for upstream in probed:
+            actions = harness.handle(api.ProbeEnded(upstream, CONNECT_FAILED))
+        assert [up.consecutive_failures for up in harness.balancer.upstreams.values()] == [
+            failures,
+            failures,
+        ]  # two eject it
         assert [s.request for s in sends(actions)] == [name]
-        assert not world.balancer.waiting
-        world.ended(name, sends(actions)[0].upstream, api.Outcome.ERROR, closed=True)
-        world.wait(6_000_000)
+        assert not harness.balancer.waiting
+        harness.end_attempt(name, sends(actions)[0].upstream, api.Outcome.ERROR, request_ended=True)
+        harness.advance(6_000_000)
 
 
 @pytest.mark.parametrize("probing", [False, True])
 @pytest.mark.parametrize("seed", range(4))
-def test_whatever_comes_no_unheld_call_waits_but_for_a_word(seed, probing):
-    game = Play(seed, wait_for_upstream=False, probes=probing, tier=1)
+def test_for_random_events_a_request_that_does_not_wait_waits_for_probes_only(seed, probing):
+    host = RuleCheckingHost(seed, wait_for_upstream=False, probes=probing, tier=1)
     for number in range(400):
-        game.step(number)
-        assert all(call.probed and call.probes_pending for call in game.world.balancer.waiting.values())
-    assert probing or not game.world.balancer.waiting
+        host.step(number)
+        assert all(
+            request.probed and request.probes_pending for request in host.harness.balancer.waiting.values()
+        )
+    assert probing or not host.harness.balancer.waiting
 
 
-# --- unsent_attempts_free: True ---------------------------------------------------------------------------
+# --- unsent_attempts_free: True -------------------------------------------------------------------
 
 
-def unsent_until_it_ends(world: World, cls: str = "read") -> list[str]:
-    """A call that every upstream turns away unsent: where it went."""
-    name, upstream = world.sent(cls)
-    went = [upstream]
-    while again := sends(world.ended(name, upstream, NOT_SENT, attempt=len(went) - 1)):
-        upstream = again[0].upstream
-        went.append(upstream)
-        assert len(went) < 20
-    assert [a.request for a in endings(world.log)][-1] == name
-    return went
+def attempted_unsent(harness: BalancerHarness, cls: str = "read") -> list[str]:
+    """Start a request whose every attempt ends unsent; the upstreams of its attempts."""
+    name, upstream = harness.send_request(cls)
+    attempted = [upstream]
+    while retried := sends(harness.end_attempt(name, upstream, NOT_SENT, attempt=len(attempted) - 1)):
+        upstream = retried[0].upstream
+        attempted.append(upstream)
+        assert len(attempted) < 20
+    assert [a.request for a in endings(harness.log)][-1] == name
+    return attempted
 
 
 def test_by_default_unsent_attempts_count_and_spend_retries():
-    world = World(rows(12))
-    assert len(unsent_until_it_ends(world)) == 4
-    assert world.balancer.retry_tokens == 5.0 - 3
-
-
-def test_free_unsent_attempts_count_for_nothing_up_to_eight():
-    for most in (1, 3, 12):
-        world = World(rows(12), unsent_attempts_free=True, max_attempts=most)
-        went = unsent_until_it_ends(world, "buy")
-        assert len(went) == len(set(went)) == 8
-        assert world.balancer.retry_tokens == 5.0
-
-
-def test_free_unsent_attempts_go_on_without_retries_and_the_others_still_count():
-    world = World(rows(12), unsent_attempts_free=True, max_attempts=3)
-    name, upstream = world.sent()
-    for attempt, outcome in enumerate([NOT_SENT, RESET, BROKE, RESET]):
-        upstream = sends(world.ended(name, upstream, outcome, attempt=attempt))[0].upstream
-    assert world.balancer.retry_tokens == 3.0
-    assert endings(world.ended(name, upstream, RESET, attempt=4)) == refused(name)
-    world.balancer.retry_tokens = 0.0
-    name, upstream = world.sent()
-    upstream = sends(world.ended(name, upstream, BROKE))[0].upstream
-    assert endings(world.ended(name, upstream, RESET, attempt=1)) == refused(name)
-    assert 0 <= world.balancer.retry_tokens < 1
-
-
-def test_a_request_that_may_reach_one_upstream_still_goes_on_behind_dead_ones():
-    """No connection: nothing of it came to an upstream, so nothing is spent, even of one attempt."""
+    harness = BalancerHarness(endpoints(12))
+    assert len(attempted_unsent(harness)) == 4
+    assert harness.balancer.retry_tokens == 5.0 - 3
+
+
+def test_free_unsent_attempts_use_up_nothing_up_to_eight():
+    for max_attempts in (1, 3, 12):
+        harness = BalancerHarness(endpoints(12), unsent_attempts_free=True, max_attempts=max_attempts)
+        attempted = attempted_unsent(harness, "buy")
+        assert len(attempted) == len(set(attempted)) == 8
+        assert harness.balancer.retry_tokens == 5.0
+
+
+def test_free_unsent_attempts_need_no_retry_tokens_and_others_still_do():
+    harness = BalancerHarness(endpoints(12), unsent_attempts_free=True, max_attempts=3)
+    name, upstream = harness.send_request()
+    for attempt, outcome in enumerate([NOT_SENT, RESET, CONNECT_FAILED, RESET]):
+        upstream = sends(harness.end_attempt(name, upstream, outcome, attempt=attempt))[0].upstream
+    assert harness.balancer.retry_tokens == 3.0
+    assert endings(harness.end_attempt(name, upstream, RESET, attempt=4)) == refused(name)
+    harness.balancer.retry_tokens = 0.0
+    name, upstream = harness.send_request()
+    upstream = sends(harness.end_attempt(name, upstream, CONNECT_FAILED))[0].upstream
+    assert endings(harness.end_attempt(name, upstream, RESET, attempt=1)) == refused(name)
+    assert 0 <= harness.balancer.retry_tokens < 1
+
+
+def test_a_request_reaches_the_live_upstream_after_several_dead_ones():
+    """Without a connection nothing of it reached an upstream: not even its single attempt is used up."""
     once = api.RequestClass("read", 500_000, 1_000_000, api.Idempotency.UNSAFE, max_attempts=1)
-    world = World(
-        rows(5),
+    harness = BalancerHarness(
+        endpoints(5),
         classes=(once,),
         unsent_attempts_free=True,
         fail_fast=True,
         wait_for_upstream=False,
         retry_start=0.0,
     )
-    name, upstream = world.sent()
-    went = [upstream]
+    name, upstream = harness.send_request()
+    attempted = [upstream]
     for attempt in range(4):
-        (send,) = sends(world.ended(name, went[-1], BROKE, attempt=attempt))
-        went.append(send.upstream)
-    assert len(set(went)) == 5
-    assert endings(world.ended(name, went[-1], BROKE, attempt=4)) == refused(name)  # all have been asked
+        (send,) = sends(harness.end_attempt(name, attempted[-1], CONNECT_FAILED, attempt=attempt))
+        attempted.append(send.upstream)
+    assert len(set(attempted)) == 5
+    assert endings(harness.end_attempt(name, attempted[-1], CONNECT_FAILED, attempt=4)) == refused(
+        name
+    )  # all were tried
 
 
-# --- Standing, RetryBudget -----------------------------------------------------------------------------
+# --- UpstreamHealth, RetryBudget ------------------------------------------------------------------
 
 
-def test_others_word_makes_an_upstream_rest_and_lifts_the_rest_again():
-    world = World(rows(3), wait_for_upstream=False)
-    world.tell(api.UpstreamHealth("u1", False))
-    assert {world.sent()[1] for _ in range(12)} == {"u0", "u2"}
-    world.tell(api.UpstreamHealth("u1", True))
-    assert [world.sent()[1] for _ in range(3)] == ["u1"] * 3  # the fewest own calls by far
-    world.tell(api.UpstreamHealth("unknown", False))
+def test_a_health_report_ejects_an_upstream_and_readmits_it():
+    harness = BalancerHarness(endpoints(3), wait_for_upstream=False)
+    harness.handle(api.UpstreamHealth("u1", False))
+    assert {harness.send_request()[1] for _ in range(12)} == {"u0", "u2"}
+    harness.handle(api.UpstreamHealth("u1", True))
+    assert [harness.send_request()[1] for _ in range(3)] == ["u1"] * 3  # the fewest own requests by far
+    harness.handle(api.UpstreamHealth("unknown", False))
 
 
-def test_a_smaller_part_of_the_budget_takes_back_what_was_saved_above_it():
-    world = World(rows(12), unsent_attempts_free=True)
-    world.tell(api.RetryBudget(0.5, 2.0))
-    assert world.balancer.retry_tokens == 2.0
-    world.balancer.retry_tokens = 0.0
+def test_a_smaller_retry_budget_discards_tokens_above_it():
+    harness = BalancerHarness(endpoints(12), unsent_attempts_free=True)
+    harness.handle(api.RetryBudget(0.5, 2.0))
+    assert harness.balancer.retry_tokens == 2.0
+    harness.balancer.retry_tokens = 0.0
     for _ in range(6):
-        world.sent()
-    assert world.balancer.retry_tokens == 2.0
-
-
-def test_what_turned_a_call_away_is_not_offered_it_again_while_another_serves():
-    world = World(rows(3), unsent_attempts_free=True, wait_for_upstream=False)
-    rests(world, "u1", "u2")
-    went = unsent_until_it_ends(world)
-    assert went[0] == "u0" and set(went[1:3]) == {"u1", "u2"}  # those that rest come before going back
-    assert len(went) == 8 and "u0" in went[3:]  # all have turned it away: any may again
-    name, upstream = world.sent()
-    assert upstream == "u0"  # another request's refusals do not count
-    world.list(*(api.Endpoint(f"u{i}", state=DRAINING) for i in (1, 2)))
-    assert [s.upstream for s in sends(world.ended(name, upstream, NOT_SENT))] == ["u0"]
-
-
-def test_a_held_call_waits_for_the_other_rather_than_go_back():
-    world = World(rows(2), unsent_attempts_free=True, connect_timeout=10_000)
-    rests(world, "u1")
-    name, upstream = world.sent()
+        harness.send_request()
+    assert harness.balancer.retry_tokens == 2.0
+
+
+def test_a_rejecting_upstream_is_not_tried_again_while_another_serves():
+    harness = BalancerHarness(endpoints(3), unsent_attempts_free=True, wait_for_upstream=False)
+    eject(harness, "u1", "u2")
+    attempted = attempted_unsent(harness)
+    assert attempted[0] == "u0" and set(attempted[1:3]) == {
+        "u1",
+        "u2",
+    }  # ejected ones come first
+    assert len(attempted) == 8 and "u0" in attempted[3:]  # all have rejected it: any may be tried again
+    name, upstream = harness.send_request()
+    assert upstream == "u0"  # rejections of another request do not count
+    harness.update_list(*(api.Endpoint(f"u{i}", state=DRAINING) for i in (1, 2)))
+    assert [s.upstream for s in sends(harness.end_attempt(name, upstream, NOT_SENT))] == ["u0"]
+
+
+def test_a_waiting_request_waits_for_the_other_upstream_rather_than_go_back():
+    harness = BalancerHarness(endpoints(2), unsent_attempts_free=True, connect_timeout=10_000)
+    eject(harness, "u1")
+    name, upstream = harness.send_request()
     assert upstream == "u0"
-    assert not sends(world.ended(name, upstream, NOT_SENT))
-    assert [s.upstream for s in sends(world.wait(300_000))] == ["u1"]
+    assert not sends(harness.end_attempt(name, upstream, NOT_SENT))
+    assert [s.upstream for s in sends(harness.advance(300_000))] == ["u1"]
 
 
-def test_it_goes_back_where_a_repeat_is_discarded_only_there():
-    world = World(
+def test_it_goes_back_where_only_that_upstream_discards_a_repeat():
+    harness = BalancerHarness(
         (api.Endpoint("a", zone="z1"), api.Endpoint("b", zone="z2")),
         classes=(keyed(api.KeyScope.ZONE),),
         unsent_attempts_free=True,
     )
-    name, first = world.sent("bid")
-    assert sends(world.ended(name, first, api.Outcome.ERROR))[0].upstream == first
-    assert sends(world.ended(name, first, NOT_SENT, attempt=1))[0].upstream == first
+    name, first = harness.send_request("bid")
+    assert sends(harness.end_attempt(name, first, api.Outcome.ERROR))[0].upstream == first
+    assert sends(harness.end_attempt(name, first, NOT_SENT, attempt=1))[0].upstream == first
 
 
-# --- Classes -------------------------------------------------------------------------------------
+# --- Classes --------------------------------------------------------------------------------------
 
 
-def test_a_new_table_of_classes_holds_for_calls_that_come_after_it():
-    world = World(rows(4))
-    name, upstream = world.sent("buy")
+def test_a_new_table_of_classes_applies_to_later_requests():
+    harness = BalancerHarness(endpoints(4))
+    name, upstream = harness.send_request("buy")
     safe_now = api.RequestClass("buy", 300_000, 1_000_000, api.Idempotency.REPEATABLE)
-    assert world.tell(api.Classes((SAFE, safe_now))) == []
-    assert endings(world.ended(name, upstream, api.Outcome.ERROR)) == [api.Fail(name)]  # unsafe, as it came
-    name, actions = world.call("buy")
-    assert sends(actions)[0].until == world.now + 300_000 - 3_000
-    assert sends(world.ended(name, sends(actions)[0].upstream, api.Outcome.ERROR))
-
-
-def test_drawn_changes_of_classes_leave_what_the_whole_table_would():
-    rng, table = random.Random(1), {one.name: one for one in (SAFE, ONCE)}
-    changing, whole = World(rows(1)), World(rows(1))
+    assert harness.handle(api.Classes((READ, safe_now))) == []
+    assert endings(harness.end_attempt(name, upstream, api.Outcome.ERROR)) == [
+        api.Fail(name)
+    ]  # as on arrival
+    name, actions = harness.start_request("buy")
+    assert sends(actions)[0].until == harness.now + 300_000 - 3_000
+    assert sends(harness.end_attempt(name, sends(actions)[0].upstream, api.Outcome.ERROR))
+
+
+def test_random_changes_of_classes_have_the_result_of_a_whole_new_table():
+    rng, table = random.Random(1), {one.name: one for one in (READ, BUY)}
+    incremental, replaced = BalancerHarness(endpoints(1)), BalancerHarness(endpoints(1))
     for _ in range(400):
         names = rng.sample("abcdefgh", rng.randrange(1, 5))
         split = rng.randrange(len(names) + 1)
@@ -284,9 +299,9 @@
         ]
         table = {name: one for name, one in table.items() if name not in gone}
         table.update((one.name, one) for one in changed)
-        changing.tell(api.ClassesChanged(tuple(changed), tuple(gone)))
-        whole.tell(api.Classes(tuple(table.values())))
-        one, other = changing.balancer, whole.balancer
+        incremental.handle(api.ClassesChanged(tuple(changed), tuple(gone)))
+        replaced.handle(api.Classes(tuple(table.values())))
+        one, other = incremental.balancer, replaced.balancer
         assert one.classes == other.classes
         assert (one.recheck_interval, one.max_value, one.report_max_age) == (
             other.recheck_interval,
@@ -295,88 +310,92 @@
         )
 
 
-def test_a_class_that_the_new_table_lacks_gets_the_most_careful_handling():
-    world = World(rows(4))
-    world.tell(api.Classes((ONCE,)))
-    name, upstream = world.sent("read")
-    assert endings(world.ended(name, upstream, api.Outcome.ERROR)) == [api.Fail(name)]
+def test_a_class_missing_from_the_new_table_is_handled_as_unsafe():
+    harness = BalancerHarness(endpoints(4))
+    harness.handle(api.Classes((BUY,)))
+    name, upstream = harness.send_request("read")
+    assert endings(harness.end_attempt(name, upstream, api.Outcome.ERROR)) == [api.Fail(name)]
 
 
-def test_what_follows_from_the_classes_is_derived_anew():
-    dear = api.RequestClass("dear", 2_000_000, 4_000_000, value=8.0)
+def test_values_derived_from_the_classes_are_updated():
+    high_value = api.RequestClass("high_value", 2_000_000, 4_000_000, value=8.0)
     for probing, lasts in ((False, 30_000_000), (True, 2_000_000)):
-        world = World(rows(2), probes=probing)
-        assert (world.balancer.max_value, world.balancer.recheck_interval) == (1.0, 10_000)
-        world.tell(api.Classes((dear,)))
-        assert (world.balancer.max_value, world.balancer.recheck_interval) == (8.0, 40_000)
-        assert world.balancer.report_max_age == lasts
-        assert list(world.balancer.classes) == ["dear"]
-        world.tell(api.Classes(()))
-        assert (world.balancer.max_value, world.balancer.recheck_interval) == (1.0, 600_000)
+        harness = BalancerHarness(endpoints(2), probes=probing)
+        assert (harness.balancer.max_value, harness.balancer.recheck_interval) == (1.0, 10_000)
+        harness.handle(api.Classes((high_value,)))
+        assert (harness.balancer.max_value, harness.balancer.recheck_interval) == (8.0, 40_000)
+        assert harness.balancer.report_max_age == lasts
+        assert list(harness.balancer.classes) == ["high_value"]
+        harness.handle(api.Classes(()))
+        assert (harness.balancer.max_value, harness.balancer.recheck_interval) == (1.0, 600_000)
 
 
-def test_what_was_learned_of_a_class_outlives_its_table():
-    world = World(rows(2))
-    name, upstream = world.sent()
-    world.now += 50_000
-    world.ended(name, upstream, OK)
-    world.tell(api.Classes((SAFE,)))
-    assert world.balancer.mean_latency["read"] == 50_000
+def test_the_mean_latency_of_a_class_outlives_its_table():
+    harness = BalancerHarness(endpoints(2))
+    name, upstream = harness.send_request()
+    harness.now += 50_000
+    harness.end_attempt(name, upstream, OK)
+    harness.handle(api.Classes((READ,)))
+    assert harness.balancer.mean_latency["read"] == 50_000
 
 
-# --- max_attempts of a class ---------------------------------------------------------------------
+# --- max_attempts of a class ----------------------------------------------------------------------
 
 
-@pytest.mark.parametrize(("own", "tries"), [(0, 3), (1, 1), (2, 2), (5, 5)])
-def test_a_class_may_have_a_most_of_attempts_of_its_own(own, tries):
+@pytest.mark.parametrize(("own", "attempts"), [(0, 3), (1, 1), (2, 2), (5, 5)])
+def test_a_class_may_have_its_own_maximum_of_attempts(own, attempts):
     mine = api.RequestClass("read", 500_000, 1_000_000, api.Idempotency.REPEATABLE, max_attempts=own)
-    world = World(rows(9), classes=(mine,), max_attempts=3)
-    name, upstream = world.sent()
-    for attempt in range(tries - 1):
-        upstream = sends(world.ended(name, upstream, api.Outcome.ERROR, attempt=attempt))[0].upstream
-    assert endings(world.ended(name, upstream, api.Outcome.ERROR, attempt=tries - 1)) == refused(name)
+    harness = BalancerHarness(endpoints(9), classes=(mine,), max_attempts=3)
+    name, upstream = harness.send_request()
+    for attempt in range(attempts - 1):
+        upstream = sends(harness.end_attempt(name, upstream, api.Outcome.ERROR, attempt=attempt))[0].upstream
+    assert endings(harness.end_attempt(name, upstream, api.Outcome.ERROR, attempt=attempts - 1)) == refused(
+        name
+    )
 
 
-def test_calls_under_way_keep_the_most_of_their_class():
-    world = World(rows(9))
-    name, upstream = world.sent()
-    world.tell(api.Classes((api.RequestClass("read", 500_000, 1_000_000, max_attempts=1),)))
-    assert sends(world.ended(name, upstream, BROKE))
-    name, upstream = world.sent()
-    assert endings(world.ended(name, upstream, BROKE)) == refused(name)
+def test_requests_in_flight_keep_the_maximum_of_their_class():
+    harness = BalancerHarness(endpoints(9))
+    name, upstream = harness.send_request()
+    harness.handle(api.Classes((api.RequestClass("read", 500_000, 1_000_000, max_attempts=1),)))
+    assert sends(harness.end_attempt(name, upstream, CONNECT_FAILED))
+    name, upstream = harness.send_request()
+    assert endings(harness.end_attempt(name, upstream, CONNECT_FAILED)) == refused(name)
 
 
-# --- the advice of a refusal ---------------------------------------------------------------------
+# --- retry_after of a refusal ---------------------------------------------------------------------
 
 
-@pytest.mark.parametrize("advice", [0, 250_000])
-def test_a_refusal_carries_the_longest_advice_that_the_settings_allow(advice):
-    world = World((), wait_for_upstream=False, max_retry_after=advice)
-    name, actions = world.call()
-    assert actions == [api.Refuse(name, advice)]
+@pytest.mark.parametrize("retry_after", [0, 250_000])
+def test_a_refusal_carries_the_longest_retry_after_of_the_settings(retry_after):
+    harness = BalancerHarness((), wait_for_upstream=False, max_retry_after=retry_after)
+    name, actions = harness.start_request()
+    assert actions == [api.Refuse(name, retry_after)]
 
 
-# --- fail_fast: True -----------------------------------------------------------------------------
+# --- fail_fast: True ------------------------------------------------------------------------------
 
 
-def test_one_round_ends_once_all_that_serve_have_turned_it_away():
-    world = World(rows(3), unsent_attempts_free=True, wait_for_upstream=False, fail_fast=True)
-    assert sorted(unsent_until_it_ends(world)) == ["u0", "u1", "u2"]
-    world.list(api.Endpoint("u1", state=DRAINING))
-    assert sorted(unsent_until_it_ends(world)) == ["u0", "u2"]
+def test_fail_fast_ends_a_request_once_all_serving_upstreams_rejected_it():
+    harness = BalancerHarness(
+        endpoints(3), unsent_attempts_free=True, wait_for_upstream=False, fail_fast=True
+    )
+    assert sorted(attempted_unsent(harness)) == ["u0", "u1", "u2"]
+    harness.update_list(api.Endpoint("u1", state=DRAINING))
+    assert sorted(attempted_unsent(harness)) == ["u0", "u2"]
 
 
-def test_one_round_tries_nothing_that_has_no_time_left():
+def test_fail_fast_retries_nothing_without_time_left():
     for fail_fast in (False, True):
-        world = World(
-            rows(2), unsent_attempts_free=True, wait_for_upstream=False, fail_fast=fail_fast, tier=1
+        harness = BalancerHarness(
+            endpoints(2), unsent_attempts_free=True, wait_for_upstream=False, fail_fast=fail_fast, tier=1
         )
         for _ in range(20):
-            name, upstream = world.sent()
-            world.wait(100_000)
-            world.ended(name, upstream, OK)
-        name, upstream = world.sent()
-        call = world.balancer.requests[name]
-        world.wait(call.answer_by - world.now - 20_000)
-        went = sends(world.ended(name, upstream, api.Outcome.ERROR))
-        assert bool(went) is not fail_fast
+            name, upstream = harness.send_request()
+            harness.advance(100_000)
+            harness.end_attempt(name, upstream, OK)
+        name, upstream = harness.send_request()
+        request = harness.balancer.requests[name]
+        harness.advance(request.answer_by - harness.now - 20_000)
+        attempted = sends(harness.end_attempt(name, upstream, api.Outcome.ERROR))
+        assert bool(attempted) is not fail_fast
--- a/tests/test_project.py
+++ b/tests/test_project.py
@@ -1,34 +1,36 @@
-"""The limits that the users set for the decision module, and the README's example."""
+"""Limits on the size and the imports of the balancer's source, and the README's example."""
 
 import re
 import tomllib
 from pathlib import Path
 
 ROOT = Path(__file__).parent.parent
-LISTED = tomllib.loads((ROOT / "deploy" / "balancer.toml").read_text())["policy"]
-POLICY = {name: (ROOT / name).read_text() for name in LISTED}
-BRAIN = POLICY["brackengate/brain.py"]
+LISTED_FILES = tomllib.loads((ROOT / "deploy" / "balancer.toml").read_text())["policy"]
+SOURCE_BY_FILE = {name: (ROOT / name).read_text() for name in LISTED_FILES}
+BALANCER_SOURCE = SOURCE_BY_FILE["brackengate/brain.py"]
 
 
-def test_module_size():
-    assert sum(len(text.splitlines()) for text in POLICY.values()) < 1200
-    for text in POLICY.values():
+def test_source_size():
+    assert sum(len(text.splitlines()) for text in SOURCE_BY_FILE.values()) < 1200
+    for text in SOURCE_BY_FILE.values():
         assert sum(1 for line in text.splitlines() if line.strip()) <= 160
         assert max(len(line) for line in text.splitlines()) <= 110
 
 
-def test_every_file_of_the_module_is_listed_once():
+def test_every_source_file_is_listed_once():
     files = (ROOT / "brackengate" / "policy").rglob("*.py")
-    assert sorted(LISTED) == sorted(["brackengate/brain.py", *(str(f.relative_to(ROOT)) for f in files)])
+    assert sorted(LISTED_FILES) == sorted(
+        ["brackengate/brain.py", *(str(f.relative_to(ROOT)) for f in files)]
+    )
 
 
-def test_module_names_its_interface_at_the_top():
-    assert "brackengate/interface.py" in BRAIN.splitlines()[0]
+def test_the_first_line_names_the_interface():
+    assert "brackengate/interface.py" in BALANCER_SOURCE.splitlines()[0]
 
 
-def test_module_imports_nothing_that_does_io_or_tells_time():
+def test_the_source_imports_nothing_that_does_io_or_reads_a_clock():
     allowed = {"__future__", "heapq", "random", "collections", "dataclasses", "typing"}
-    for text in POLICY.values():
+    for text in SOURCE_BY_FILE.values():
         for module, names in re.findall(r"^ *(?:from|import) (\S+)(?: import (.*))?", text, re.M):
             own = module.startswith("brackengate.policy.") or (module, names) == (
                 "brackengate",
--- a/tests/test_random.py
+++ b/tests/test_random.py
@@ -1,10 +1,10 @@
-"""Random legal events, seeded: whatever comes, the rules hold."""
+"""Seeded random valid events: the rules hold for any sequence."""
 
 import random
 from typing import Any
 
 import pytest
-from world import World, keyed
+from balancer_harness import BalancerHarness, keyed
 
 from brackengate import interface as api
 
@@ -13,130 +13,138 @@
 CLASSES = (
     api.RequestClass("read", 400_000, 1_000_000, api.Idempotency.REPEATABLE),
     api.RequestClass("buy", 400_000, 1_000_000, api.Idempotency.UNSAFE),
-    keyed(api.KeyScope.ZONE, memory=600_000),
+    keyed(api.KeyScope.ZONE, key_memory=600_000),
 )
-RELEASE = 1_000_000
+RELEASE_WITHIN_US = 1_000_000
 
 
-class Play:
-    """A host that checks every action against the rules as it carries it out."""
+class RuleCheckingHost:
+    """A host that checks every action against the rules as it executes it."""
 
     def __init__(self, seed: int, **settings: Any) -> None:
         self.rng = random.Random(seed)
-        rows = tuple(self.row(i) for i in range(8))
-        self.rows = {row.upstream: row for row in rows}
-        self.world = World(rows, seed, CLASSES, release_within=RELEASE, cold_time=2_000_000, **settings)
-        self.open: dict[str, tuple[str, int]] = {}  # call: its class and deadline
-        self.sent: dict[str, list[list[Any]]] = {}  # call: of each attempt [upstream, when, outcome]
+        endpoints = tuple(self.endpoint(i) for i in range(8))
+        self.endpoints = {endpoint.upstream: endpoint for endpoint in endpoints}
+        self.harness = BalancerHarness(
+            endpoints, seed, CLASSES, release_within=RELEASE_WITHIN_US, cold_time=2_000_000, **settings
+        )
+        self.open_requests: dict[str, tuple[str, int]] = {}  # by request: its class and deadline
+        self.attempts: dict[str, list[list[Any]]] = {}  # by request: [upstream, sent at, outcome] of each
         self.ended: set[str] = set()
-        self.probing: list[str] = []
+        self.pending_probes: list[str] = []
         self.must_close: dict[str, int] = {}
         self.trace: list[object] = []
 
-    def row(self, number: int, **fields: Any) -> api.Endpoint:
+    def endpoint(self, number: int, **fields: Any) -> api.Endpoint:
         return api.Endpoint(f"u{number}", zone=f"z{number % 2}", cell=number % 3, **fields)
 
-    def carry_out(self, actions: list[api.Action]) -> None:
-        now = self.world.now
+    def execute(self, actions: list[api.Action]) -> None:
+        now = self.harness.now
         for action in actions:
             self.trace.append(action)
             match action:
                 case api.Send():
                     self.check_send(action)
-                    self.sent[action.request].append([action.upstream, now, None])
+                    self.attempts[action.request].append([action.upstream, now, None])
                 case api.Refuse() | api.Fail():
-                    assert action.request in self.open, "a second ending"
-                    name, deadline = self.open.pop(action.request)
-                    assert now <= deadline, "an ending too late"
-                    ran = [a for a in self.sent[action.request] if a[2] not in NEVER_RAN]
+                    assert action.request in self.open_requests, "ended a second time"
+                    name, deadline = self.open_requests.pop(action.request)
+                    assert now <= deadline, "ended too late"
+                    ran = [a for a in self.attempts[action.request] if a[2] not in NEVER_RAN]
                     assert not (
                         isinstance(action, api.Refuse) and ran and name != "read"
-                    ), "refused what may run"
+                    ), "refused a request that may run"
                 case api.Probe():
-                    assert self.rows[action.upstream].state is api.Lifecycle.SERVING
-                    self.probing.append(action.upstream)
+                    assert self.endpoints[action.upstream].state is api.Lifecycle.SERVING
+                    self.pending_probes.append(action.upstream)
                 case api.Release():
                     self.must_close.pop(action.upstream, None)
         for upstream, since in self.must_close.items():
-            assert now <= since + RELEASE, f"{upstream} still connected"
+            assert now <= since + RELEASE_WITHIN_US, f"{upstream} still connected"
 
     def check_send(self, send: api.Send) -> None:
-        assert send.request in self.open, "sent after its ending"
-        row = self.rows[send.upstream]
-        assert row.state is api.Lifecycle.SERVING, "sent to a leaving upstream"
-        for upstream, when, outcome in self.sent[send.request]:
-            name = self.open[send.request][0]
+        assert send.request in self.open_requests, "sent after its end"
+        endpoint = self.endpoints[send.upstream]
+        assert endpoint.state is api.Lifecycle.SERVING, "sent to a leaving upstream"
+        for upstream, when, outcome in self.attempts[send.request]:
+            name = self.open_requests[send.request][0]
             if outcome in NEVER_RAN or name == "read":
                 continue
-            assert name == "bid", "an unsafe call repeated"
-            assert self.rows[upstream].zone == row.zone, "repeated outside its group"
-            assert self.world.now - when < 600_000, "repeated past its memory"
+            assert name == "bid", "an unsafe request was repeated"
+            assert self.endpoints[upstream].zone == endpoint.zone, "repeated outside its zone"
+            assert self.harness.now - when < 600_000, "repeated after its key memory"
 
     def step(self, number: int) -> None:
-        kind, now = self.rng.random(), self.world.now
-        out = [(c, i, a) for c, tries in self.sent.items() for i, a in enumerate(tries) if a[2] is None]
-        if kind < 0.4:
-            call, name = f"c{number}", self.rng.choice(CLASSES).name
+        event_kind, now = self.rng.random(), self.harness.now
+        in_flight = [
+            (c, i, a) for c, attempts in self.attempts.items() for i, a in enumerate(attempts) if a[2] is None
+        ]
+        if event_kind < 0.4:
+            request, name = f"c{number}", self.rng.choice(CLASSES).name
             left = self.rng.choice((0, 50_000, 400_000, 900_000))
-            self.open[call], self.sent[call] = (name, now + left), []
-            self.tell(api.Request(call, name, now + left, is_retry=self.rng.random() < 0.2))
-        elif kind < 0.75 and out:
-            call, index, attempt = self.rng.choice(out)
-            self.outcome(call, index, attempt, self.rng.choice((*O, O.OK, O.OK)))
-        elif kind < 0.85 and self.probing:
-            upstream = self.probing.pop(self.rng.randrange(len(self.probing)))
+            self.open_requests[request], self.attempts[request] = (name, now + left), []
+            self.handle(api.Request(request, name, now + left, is_retry=self.rng.random() < 0.2))
+        elif event_kind < 0.75 and in_flight:
+            request, index, attempt = self.rng.choice(in_flight)
+            self.end_attempt(request, index, attempt, self.rng.choice((*O, O.OK, O.OK)))
+        elif event_kind < 0.85 and self.pending_probes:
+            upstream = self.pending_probes.pop(self.rng.randrange(len(self.pending_probes)))
             load = api.LoadReport(self.rng.randrange(3), self.rng.randrange(2), 0.5)
             outcome = self.rng.choice((O.OK, O.OK, O.TIMEOUT, O.CONNECT_FAILED))
-            if self.rows[upstream].state is not api.Lifecycle.SERVING:
+            if self.endpoints[upstream].state is not api.Lifecycle.SERVING:
                 self.must_close[upstream] = now
-            self.tell(api.ProbeEnded(upstream, outcome, 900, load if outcome is O.OK else None))
-        elif kind < 0.9:
-            row = self.row(
+            self.handle(api.ProbeEnded(upstream, outcome, 900, load if outcome is O.OK else None))
+        elif event_kind < 0.9:
+            endpoint = self.endpoint(
                 self.rng.randrange(8),
                 state=self.rng.choice((*api.Lifecycle, api.Lifecycle.SERVING)),
                 started_at=self.rng.choice((0, now)),
             )
-            if row.state is api.Lifecycle.DRAINING:
-                self.must_close[row.upstream] = now
-            self.rows[row.upstream] = row
-            self.tell(api.UpstreamList(api.ListKind.CHANGES, (row,)))
-        elif kind < 0.92 and self.open:
-            call = self.rng.choice(sorted(self.open))
-            del self.open[call]
-            self.tell(api.ClientGone(call))
-        self.pass_time(self.rng.choice((0, 1_000, 20_000, 100_000)))
-
-    def outcome(self, call: str, index: int, attempt: list[Any], outcome: api.Outcome) -> None:
+            if endpoint.state is api.Lifecycle.DRAINING:
+                self.must_close[endpoint.upstream] = now
+            self.endpoints[endpoint.upstream] = endpoint
+            self.handle(api.UpstreamList(api.ListKind.CHANGES, (endpoint,)))
+        elif event_kind < 0.92 and self.open_requests:
+            request = self.rng.choice(sorted(self.open_requests))
+            del self.open_requests[request]
+            self.handle(api.ClientGone(request))
+        self.advance(self.rng.choice((0, 1_000, 20_000, 100_000)))
+
+    def end_attempt(self, request: str, index: int, attempt: list[Any], outcome: api.Outcome) -> None:
         attempt[2] = outcome
-        if self.rows[attempt[0]].state is api.Lifecycle.DRAINING:
-            self.must_close[attempt[0]] = self.world.now
+        if self.endpoints[attempt[0]].state is api.Lifecycle.DRAINING:
+            self.must_close[attempt[0]] = self.harness.now
         if outcome is O.OK:
-            self.open.pop(call, None)
+            self.open_requests.pop(request, None)
         load = api.LoadReport(self.rng.randrange(4), self.rng.randrange(3), 0.5)
-        self.tell(api.AttemptEnded(call, index, attempt[0], outcome, 900, call not in self.open, load))
+        self.handle(
+            api.AttemptEnded(
+                request, index, attempt[0], outcome, 900, request not in self.open_requests, load
+            )
+        )
 
-    def tell(self, event: api.Event) -> None:
-        self.carry_out(self.world.tell(event))
+    def handle(self, event: api.Event) -> None:
+        self.execute(self.harness.handle(event))
 
-    def pass_time(self, time: int) -> None:
-        """Fire the timers, and time out attempts at their calls' deadlines, as a host does."""
-        end, world = self.world.now + time, self.world
+    def advance(self, duration: int) -> None:
+        """Fire the timers and time attempts out at their deadlines, as a host does."""
+        end, harness = self.harness.now + duration, self.harness
         while True:
-            due = [(at, 0, token) for at, token in world.timers if at <= end]
-            due += [(by, 1, call) for call, (_, by) in self.open.items() if by <= end]
+            due = [(at, 0, token) for at, token in harness.timers if at <= end]
+            due += [(by, 1, request) for request, (_, by) in self.open_requests.items() if by <= end]
             if not due:
                 break
             at, kind, which = min(due, key=lambda d: (d[0], d[1], str(d[2])))
-            world.now = max(world.now, at)
+            harness.now = max(harness.now, at)
             if kind == 0:
-                world.timers.remove((at, which))
-                self.tell(api.TimerFired(which))
+                harness.timers.remove((at, which))
+                self.handle(api.TimerFired(which))
                 continue
-            for index, attempt in enumerate(self.sent[which]):
-                if attempt[2] is None and which in self.open:
-                    self.outcome(which, index, attempt, O.TIMEOUT)
-            assert which not in self.open, "no ending by the deadline"
-        world.now = end
+            for index, attempt in enumerate(self.attempts[which]):
+                if attempt[2] is None and which in self.open_requests:
+                    self.end_attempt(which, index, attempt, O.TIMEOUT)
+            assert which not in self.open_requests, "not ended by the deadline"
+        harness.now = end
 
 
 SETTINGS = [
@@ -149,45 +157,48 @@
 ]
 
 
-def play(seed: int, settings: dict[str, Any]) -> Play:
-    game = Play(seed, **settings)
+def run_random(seed: int, settings: dict[str, Any]) -> RuleCheckingHost:
+    host = RuleCheckingHost(seed, **settings)
     for number in range(600):
-        game.step(number)
-    game.pass_time(5_000_000)
-    return game
+        host.step(number)
+    host.advance(5_000_000)
+    return host
 
 
 @pytest.mark.parametrize("settings", SETTINGS)
 @pytest.mark.parametrize("seed", range(6))
 def test_rules_hold_for_random_events(seed, settings):
-    game = play(seed, settings)
-    balancer = game.world.balancer
-    assert not game.open
+    host = run_random(seed, settings)
+    balancer = host.harness.balancer
+    assert not host.open_requests
     assert not balancer.waiting
     assert len(balancer.heap) <= 4 * len(balancer.upstreams) + 1
-    live = sum(a[2] is None for tries in game.sent.values() for a in tries)
-    assert len(balancer.requests) <= live
-    assert sum(up.own_in_flight for up in balancer.upstreams.values()) <= live
-    assert len(game.world.timers) < 100
+    in_flight = sum(a[2] is None for attempts in host.attempts.values() for a in attempts)
+    assert len(balancer.requests) <= in_flight
+    assert sum(up.own_in_flight for up in balancer.upstreams.values()) <= in_flight
+    assert len(host.harness.timers) < 100
 
 
-def test_equal_events_give_equal_actions_and_other_seeds_others():
-    assert play(3, {"probes": True}).trace == play(3, {"probes": True}).trace
-    assert play(3, {}).trace != play(4, {}).trace
+def test_the_seed_determines_the_actions():
+    assert run_random(3, {"probes": True}).trace == run_random(3, {"probes": True}).trace
+    assert run_random(3, {}).trace != run_random(4, {}).trace
 
 
 @pytest.mark.parametrize(("probes", "count"), [(False, 3000), (True, 500)])
-def test_many_calls_at_once_with_every_upstream_failing_each_end_once(probes, count):
-    game = Play(1, probes=probes)
+def test_many_requests_at_once_end_once_each_while_every_upstream_fails(probes, count):
+    host = RuleCheckingHost(1, probes=probes)
     for number in range(count):
-        game.open[f"c{number}"], game.sent[f"c{number}"] = ("read", game.world.now + 400_000), []
-        game.tell(api.Request(f"c{number}", "read", game.world.now + 400_000))
-    for upstream in list(game.probing):
-        game.tell(api.ProbeEnded(upstream, O.CONNECT_FAILED))
-    game.probing.clear()
-    for call, tries in list(game.sent.items()):
-        for index, attempt in enumerate(tries):
-            if attempt[2] is None and call in game.open:
-                game.outcome(call, index, attempt, O.CONNECT_FAILED)
-    game.pass_time(1_000_000)
-    assert not game.open
+        host.open_requests[f"c{number}"], host.attempts[f"c{number}"] = (
+            ("read", host.harness.now + 400_000),
+            [],
+        )
+        host.handle(api.Request(f"c{number}", "read", host.harness.now + 400_000))
+    for upstream in list(host.pending_probes):
+        host.handle(api.ProbeEnded(upstream, O.CONNECT_FAILED))
+    host.pending_probes.clear()
+    for request, attempts in list(host.attempts.items()):
+        for index, attempt in enumerate(attempts):
+            if attempt[2] is None and request in host.open_requests:
+                host.end_attempt(request, index, attempt, O.CONNECT_FAILED)
+    host.advance(1_000_000)
+    assert not host.open_requests
--- a/tests/test_wire.py
+++ b/tests/test_wire.py
@@ -1,4 +1,4 @@
-"""The adapter: what it reads and writes, and what it says of input that is off."""
+"""The simulator adapter: the lines it reads and writes, and its errors for invalid input."""
 
 import io
 import json
@@ -22,7 +22,7 @@
 CALL = "at 0\ncall aa 0 - 0 2000000 bid - -\n"
 
 
-def play(text: str) -> tuple[int, str, str]:
+def run_adapter(text: str) -> tuple[int, str, str]:
     out, errors = io.StringIO(), io.StringIO()
     return adapter.run(io.StringIO(text), out, errors), out.getvalue(), errors.getvalue()
 
@@ -32,24 +32,24 @@
 
 
 def test_an_empty_batch_and_the_end_of_input():
-    assert play(batch()) == (0, "end 1\n", "")
+    assert run_adapter(batch()) == (0, "end 1\n", "")
 
 
-def test_a_call_is_relayed_and_its_outcome_ends_it():
-    code, out, _ = play(batch(OPEN, LIST, CALL) + batch("at 0\nreply aa 0 up_a 0 900 1 -\n", serial=2))
+def test_a_request_is_relayed_and_its_outcome_ends_it():
+    code, out, _ = run_adapter(batch(OPEN, LIST, CALL) + batch("at 0\nreply aa 0 up_a 0 900 1 -\n", serial=2))
     assert code == 0
     assert out == "on_behalf 0\nrelay aa 1495000 up_a\nend 1\nend 2\n"
 
 
-def test_a_page_reused_within_a_batch_is_resolved_in_order():
-    again = "register 0 1\nitem - 0 k z up_b SERVING 1\nregistry whole 2 0\n"
-    _, out, _ = play(batch(OPEN, LIST, again, CALL))
+def test_a_register_number_reused_within_a_batch_is_resolved_in_order():
+    second_list = "register 0 1\nitem - 0 k z up_b SERVING 1\nregistry whole 2 0\n"
+    _, out, _ = run_adapter(batch(OPEN, LIST, second_list, CALL))
     assert "relay aa 1495000 up_b" in out
 
 
-def test_a_restart_in_one_batch_forgets_everything():
-    again = batch("at 0\ndown\n", OPEN, CALL.replace("aa", "bb"), serial=2)
-    _, out, _ = play(batch(OPEN, LIST, CALL) + again)
+def test_a_restart_within_a_batch_discards_all_state():
+    restart = batch("at 0\ndown\n", OPEN, CALL.replace("aa", "bb"), serial=2)
+    _, out, _ = run_adapter(batch(OPEN, LIST, CALL) + restart)
     assert out.count("relay") == 1
 
 
@@ -59,16 +59,16 @@
     assert settings.max_attempts == 3
 
 
-def test_missing_settings_get_the_most_careful_reading():
+def test_missing_settings_get_the_most_restrictive_defaults():
     settings = wire.settings("{}")
     assert (settings.cold_time, settings.cold_share, settings.max_attempts) == (30_000_000, 0.1, 1)
     assert not settings.probes
     assert not settings.cancel
-    nameless = wire.settings('{"Classes":[{"Name":"n"}]}').classes[0]
-    assert nameless.idempotency is api.Idempotency.UNSAFE
+    minimal = wire.settings('{"Classes":[{"Name":"n"}]}').classes[0]
+    assert minimal.idempotency is api.Idempotency.UNSAFE
 
 
-def test_unknown_values_are_neutral():
+def test_unknown_values_have_no_effect():
     assert wire.report("outstanding:7,novelty:3,utilization:0.62") == api.LoadReport(7, None, 0.62)
     assert wire.report("-") is None
     assert wire.endpoint("item - - k z u ODD -") == api.Endpoint("u", "z", "k", -1, api.Lifecycle.DRAINING)
@@ -79,7 +79,7 @@
 
 
 @pytest.mark.parametrize(
-    ("text", "says"),
+    ("text", "message"),
     [
         (batch(OPEN, "nonsense 1\n"), "unknown message: nonsense 1"),
         (batch(OPEN, "call aa\n"), "expected 'call' with 8 values, got 1: call aa"),
@@ -98,20 +98,20 @@
         ("begin_batch 1 1\nat 0\n", "within a batch"),
     ],
 )
-def test_bad_input_gets_one_message_and_a_non_zero_exit(text, says):
-    code, out, errors = play(text)
+def test_bad_input_gets_one_message_and_a_non_zero_exit(text, message):
+    code, out, errors = run_adapter(text)
     assert code != 0
     assert out == ""
-    assert says in errors
+    assert message in errors
     assert errors.count("\n") == 1
 
 
-def test_a_failure_in_the_module_is_declared(monkeypatch):
+def test_an_exception_in_the_balancer_is_reported(monkeypatch):
     def broken(self, now, event):
         raise IndexError("index out of range")
 
     monkeypatch.setattr(brain.Balancer, "handle", broken)
-    code, out, errors = play(batch(OPEN, LIST))
+    code, out, errors = run_adapter(batch(OPEN, LIST))
     assert code == 0
     assert out == "on_behalf 0\nfatal IndexError: index out of range\nend 1\n"
     assert "Traceback" in errors
@@ -134,6 +134,6 @@
     assert wire.action_line(action) == line
 
 
-def test_late_and_unknown_things_are_passed_over():
+def test_late_events_and_unknown_ids_are_ignored():
     late = "at 0\nreply zz 0 up_a 0 5 1 -\nfired 99\ntimed_out_client zz\necho 0 5 up_z -\nwhisper 1 68\n"
-    assert play(batch(OPEN, LIST) + batch(late, serial=2))[1] == "end 1\nend 2\n"
+    assert run_adapter(batch(OPEN, LIST) + batch(late, serial=2))[1] == "end 1\nend 2\n"
