--- a/brackengate/platform/program.py
+++ b/brackengate/platform/program.py
@@ -1,4 +1,4 @@
-"""The platform's program: what it stands on, its life, signals and operators' calls.  Decides nothing."""
+"""The balancer process: its sockets and resources, lifecycle, signals and operators' calls."""
 
 from __future__ import annotations
 
@@ -26,20 +26,20 @@
 from brackengate.net.sockets import SocketBudget, bind, listening
 from brackengate.net.upstream import Pool
 from brackengate.platform.config import BadConfig, Config, load_config
-from brackengate.platform.siblings import Siblings, part, successor
+from brackengate.platform.siblings import Siblings, has_successor, process_limits
 
 log = logging.getLogger("brackengate")
 
-DRAIN_EXTRA_S = 0.6  # SIGKILL comes 0.7 s after the longest deadline at the soonest
-LOOK_S = 0.1  # between two looks at the processes beside this one
+DRAIN_EXTRA_S = 0.6  # added to the longest deadline: SIGKILL follows no earlier than 0.7 s after it
+SIBLING_SCAN_INTERVAL_S = 0.1
 
 
 class CannotListen(Exception):
-    """An address to listen on, or an inherited socket, cannot be had."""
+    """An address cannot be listened on, or an inherited socket cannot be used."""
 
 
-class Watched(Figures):
-    """The figures, and a word when it changes whether an upstream serves."""
+class ObservedFigures(Figures):
+    """The metrics; also notifies the program when the first upstream serves or the last one stops."""
 
     def __init__(self, program: Program) -> None:
         super().__init__()
@@ -50,25 +50,27 @@
 
 
 class Program:
+    """One balancer process: creates its parts and follows `lifecycle.Lifecycle`."""
+
     def __init__(self, config: Config) -> None:
         self._config, self._loop = config, asyncio.get_running_loop()
-        self._began = time.monotonic_ns()
-        self._left: asyncio.Future[int] = self._loop.create_future()
+        self._started_ns = time.monotonic_ns()
+        self._exit_code: asyncio.Future[int] = self._loop.create_future()
         self._tasks: set[asyncio.Task[None]] = set()
-        self._siblings = self._meet()
-        others = self._siblings.look() if self._siblings is not None else []
+        self._siblings = self._open_siblings()
+        others = self._siblings.scan() if self._siblings is not None else []
         self.life = lifecycle.Lifecycle(alone=not any(other.ready for other in others))
         descriptors = min(config.sockets, resource.getrlimit(resource.RLIMIT_NOFILE)[0])
-        mine = part(descriptors, config.memory_mb, shared=self._siblings is not None)
+        limits = process_limits(descriptors, config.memory_mb, shared=self._siblings is not None)
         elsewhere = self._siblings.sockets_elsewhere if self._siblings is not None else lambda: 0
-        self._budget = SocketBudget(mine.sockets, elsewhere)
+        self._budget = SocketBudget(limits.sockets, elsewhere)
         settings = config.settings
         connect_s, idle_s = settings.connect_timeout / 1e6, settings.idle_close / 1e6
-        bytes_ = ByteBudget(mine.stream_bytes)
-        self._pool = Pool(self._loop, self._budget, connect_s, idle_s, bytes_)
+        stream_budget = ByteBudget(limits.stream_bytes)
+        self._pool = Pool(self._loop, self._budget, connect_s, idle_s, stream_budget)
         self._module = Balancer(settings, config.seed)
         self._node = Node(self._loop, Clock(), settings, self._module, self._pool)
-        self.figures = self._node.observer = Watched(self)
+        self.figures = self._node.observer = ObservedFigures(self)
         rng = random.Random(config.seed ^ 0x5EED)
         self._discovery = self._node.watch = Discovery(
             self._node, config.discovery, settings.list_on_request, rng
@@ -78,37 +80,39 @@
             self._node,
             self._budget,
             [self._listen()],
-            mine.callers,
+            limits.max_clients,
             ready=lambda: self.life.ready,
-            bytes_=bytes_,
+            bytes_=stream_budget,
         )
-        self._admin = Listener(self._called)
+        self._admin = Listener(self._on_call)
 
-    # --- what it stands on
+    # --- resources
 
-    def _meet(self) -> Siblings | None:
-        """The processes that accept from the same socket, where it is inherited.
+    def _open_siblings(self) -> Siblings | None:
+        """The other processes that accept from the same inherited socket.
 
-        Without the folder in common there is no telling of them: then each is alone.
+        None where the socket is not inherited, or without a common directory: then no other process is seen.
         """
-        folder = os.environ.get("TMPDIR", "")
-        if self._config.listen_fd is None or not folder:
+        directory = os.environ.get("TMPDIR", "")
+        if self._config.listen_fd is None or not directory:
             return None
         try:
-            return Siblings(folder, self._began)
+            return Siblings(directory, self._started_ns)
         except OSError as error:
-            log.error("TMPDIR: cannot keep a file in %s: %s; another process is not seen", folder, error)
+            log.error(
+                "TMPDIR: cannot create a file in %s: %s; other processes are not seen", directory, error
+            )
             return None
 
     def _listen(self) -> socket.socket:
-        """The inherited socket; else its own, also where what was inherited is none."""
+        """The inherited socket, or a socket of its own if there is none or it is not a listening socket."""
         config = self._config
         if config.listen_fd is not None:
             try:
                 return listening(config.listen_fd)
             except OSError as error:
                 log.error(
-                    "RELAY_LISTEN_FD: descriptor %d: %s; the address is bound instead",
+                    "RELAY_LISTEN_FD: descriptor %d: %s; binding the address instead",
                     config.listen_fd,
                     error,
                 )
@@ -117,10 +121,10 @@
         except OSError as error:
             raise CannotListen(f"cannot listen on {config.listen[0]}:{config.listen[1]}: {error}") from None
 
-    # --- life
+    # --- lifecycle
 
     async def run(self) -> int:
-        """Serve until told to leave; the exit code."""
+        """Serve until stopped; the exit code."""
         for number in (signal.SIGTERM, signal.SIGINT):
             self._loop.add_signal_handler(number, self._stop)
         self._loop.add_signal_handler(signal.SIGHUP, self._hangup)
@@ -132,12 +136,12 @@
                 raise CannotListen(f"admin: cannot listen on {admin[0]}:{admin[1]}: {error}") from None
         self._discovery.start(self._config.known)
         self.post(lifecycle.Listening())
-        self.post(lifecycle.Waited())  # nobody else is there to accept: callers are owed a word
-        self._look()
+        self.post(lifecycle.Waited())  # no other instance accepts: clients need an answer
+        self._scan_siblings()
         gc.collect()
         gc.freeze()
         try:
-            return await self._left
+            return await self._exit_code
         finally:
             self._discovery.close()
             self._admin.close()
@@ -147,6 +151,7 @@
                 self._siblings.close()
 
     def post(self, event: lifecycle.Event) -> None:
+        """Handle an event of the lifecycle and execute the actions that follow."""
         for action in self.life.handle(event):
             match action:
                 case lifecycle.Open():
@@ -157,12 +162,12 @@
                 case lifecycle.Accept(on):
                     self._server.accept(on)
                 case lifecycle.Reload():
-                    self.post(lifecycle.Reloaded(self._read_again()))
+                    self.post(lifecycle.Reloaded(self._reload()))
                 case lifecycle.Drain(last_call):
                     self._spawn(self._drain(last_call))
-                case lifecycle.Leave(_):  # what was left unanswered is in the log; the platform's code is 0
-                    if not self._left.done():
-                        self._left.set_result(0)
+                case lifecycle.Leave(_):  # unanswered requests are in the log; the platform expects 0
+                    if not self._exit_code.done():
+                        self._exit_code.set_result(0)
                 case lifecycle.Tell(text):
                     log.info("%s: %s", self._config.name, text.rpartition("STATUS=")[2])
 
@@ -179,27 +184,27 @@
         task.add_done_callback(self._tasks.discard)
 
     def _stop(self) -> None:
-        self._meet_others()  # whether another one is there says how it leaves
+        self._update_siblings()  # how it drains depends on whether there is a successor
         self.post(lifecycle.StopAsked())
 
-    def _look(self) -> None:
-        if self._siblings is not None and not self._left.done():
-            self._meet_others()
-            self._loop.call_later(LOOK_S, self._look)
+    def _scan_siblings(self) -> None:
+        if self._siblings is not None and not self._exit_code.done():
+            self._update_siblings()
+            self._loop.call_later(SIBLING_SCAN_INTERVAL_S, self._scan_siblings)
 
-    def _meet_others(self) -> None:
-        """Tell the processes beside this one how it is, and see how they are."""
+    def _update_siblings(self) -> None:
+        """Publish this process's state to the other processes and read theirs."""
         if self._siblings is not None:
             accepts = self.life.open and self.life.state is not lifecycle.State.DRAINING
-            self._siblings.tell(accepts and self.life.ready, self._budget.taken)
-            self.post(lifecycle.Successor(successor(self._began, self._siblings.look())))
+            self._siblings.publish(accepts and self.life.ready, self._budget.taken)
+            self.post(lifecycle.Successor(has_successor(self._started_ns, self._siblings.scan())))
 
     async def _drain(self, last_call: bool) -> None:
-        log.info("%s: leaving, with %d requests held", self._config.name, self._node.held())
+        log.info("%s: draining, %d requests in flight", self._config.name, self._node.held())
         longest = max((c.deadline for c in self._config.settings.classes), default=1_000_000) / 1e6
         await self._server.drain(longest + DRAIN_EXTRA_S, LAST_CALL_S if last_call else 0.0)
         held = self._node.held()
-        log.info("%s: left, with %d requests held", self._config.name, held)
+        log.info("%s: drained, %d requests in flight", self._config.name, held)
         self.post(lifecycle.Drained(held))
 
     # --- reload
@@ -207,29 +212,28 @@
     def _hangup(self) -> None:
         self.post(lifecycle.ReloadAsked(time.monotonic_ns() // 1000))
 
-    def _read_again(self) -> str:
-        """SIGHUP: read the file again and follow the address of discovery that it names.
+    def _reload(self) -> str:
+        """SIGHUP: read the file again and use the discovery address in it.  Other settings need a restart.
 
-        Guards against the signal's default, which would end the program with all that it holds, and against a
-        file that is bad or half written: then what is in force stays.  The environment told the start only:
-        here the file's word counts.  The rest of it needs a restart.
+        Without a handler the signal would end the process and all its requests.  An invalid or half written
+        file changes nothing.  RELAY_DISCOVERY applies to the start only: here the file takes precedence.
         """
         config = self._config
         environ = {name: value for name, value in os.environ.items() if name != "RELAY_DISCOVERY"}
         try:
-            told = load_config(environ)
+            new = load_config(environ)
         except BadConfig as error:
-            log.error("%s: the configuration stays as it is: %s", config.name, error)
+            log.error("%s: configuration rejected and unchanged: %s", config.name, error)
             return "configuration turned down"
-        log.info("%s: configuration read again; discovery at %s:%d", config.name, *told.discovery)
-        if (told.listen, told.sockets, told.settings) != (config.listen, config.sockets, config.settings):
-            log.warning("%s: only discovery changes without a restart", config.name)
-        self._discovery.move(told.discovery)
+        log.info("%s: configuration reloaded; discovery at %s:%d", config.name, *new.discovery)
+        if (new.listen, new.sockets, new.settings) != (config.listen, config.sockets, config.settings):
+            log.warning("%s: only the discovery address changes without a restart", config.name)
+        self._discovery.move(new.discovery)
         return "configuration read again"
 
     # --- operators
 
-    def _called(self, call: Call) -> bytes:
+    def _on_call(self, call: Call) -> bytes:
         match call:
             case Call.CHECK:
                 return yes() if self.life.ready else no(f"not ready: {self.life.why_not}")
--- a/tests/platform/test_days.py
+++ b/tests/platform/test_days.py
@@ -1,4 +1,4 @@
-"""The program as a process on operators' days: calls, figures, drains, and being replaced."""
+"""The balancer as a process: operators' calls, metrics, drains, and replacement by another process."""
 
 from __future__ import annotations
 
@@ -33,16 +33,18 @@
 
 
 class Platform:
-    """What the platform holds: the clients' socket, the folder in common, a discovery and an upstream."""
+    """What a platform provides: the clients' socket, the common directory, discovery and an upstream."""
 
-    def __init__(self, folder: Path) -> None:
-        self.folder = folder
-        self.common = folder / "tmp"
-        self.common.mkdir()
+    def __init__(self, directory: Path) -> None:
+        self.directory = directory
+        self.common_directory = directory / "tmp"
+        self.common_directory.mkdir()
         self.socket = socket.create_server(("127.0.0.1", 0))
         self.port: int = self.socket.getsockname()[1]
-        self.hold = asyncio.Event()
-        self.holding: asyncio.Queue[str] = asyncio.Queue()  # requests that the upstream keeps until `hold`
+        self.release = asyncio.Event()
+        self.held_requests: asyncio.Queue[str] = (
+            asyncio.Queue()
+        )  # requests that the upstream holds until `release`
         self.processes: list[Program] = []
 
     async def start(self) -> Platform:
@@ -52,21 +54,21 @@
 
     async def _serve(self, message: tuple[str, dict[str, str], bytes], writer: asyncio.StreamWriter) -> None:
         if message[1]["x-txn"].startswith("held"):
-            self.holding.put_nowait(message[1]["x-txn"])
-            await self.hold.wait()
+            self.held_requests.put_nowait(message[1]["x-txn"])
+            await self.release.wait()
         writer.write(answer(200, b"done"))
 
-    async def program(self, inherited: int | None = None, **more: str) -> Program:
-        """`inherited`: the descriptor that is named to it; None: the listening socket's own."""
+    async def start_program(self, inherited: int | None = None, **extra_env: str) -> Program:
+        """Start a process.  `inherited`: the descriptor it is given; None: that of the listening socket."""
         number, admin = len(self.processes), free_port()
-        path = self.folder / f"config{number}.json"
+        path = self.directory / f"config{number}.json"
         known = {"index": 1, "snapshot": True, "endpoints": [row("u0", self.upstream.port)]}
-        told = {"name": "n0", "listen": f"127.0.0.1:{self.port}", "seed": "1", "settings": SETTINGS}
-        told |= {"discovery": f"127.0.0.1:{self.discovery.port}", "known": known}
-        told |= {"limits": {"cores": 1.0, "memory_mb": 192, "sockets": 256}, "admin": f"127.0.0.1:{admin}"}
-        path.write_text(json.dumps(told))
+        config = {"name": "n0", "listen": f"127.0.0.1:{self.port}", "seed": "1", "settings": SETTINGS}
+        config |= {"discovery": f"127.0.0.1:{self.discovery.port}", "known": known}
+        config |= {"limits": {"cores": 1.0, "memory_mb": 192, "sockets": 256}, "admin": f"127.0.0.1:{admin}"}
+        path.write_text(json.dumps(config))
         env = {name: value for name, value in os.environ.items() if not name.startswith("RELAY_")}
-        env |= {"RELAY_CONFIG": str(path), "TMPDIR": str(self.common)} | more
+        env |= {"RELAY_CONFIG": str(path), "TMPDIR": str(self.common_directory)} | extra_env
         env["RELAY_LISTEN_FD"] = str(self.socket.fileno() if inherited is None else inherited)
         process = await asyncio.create_subprocess_exec(
             sys.executable,
@@ -77,36 +79,38 @@
             stderr=asyncio.subprocess.DEVNULL,
             pass_fds=(self.socket.fileno(),),
         )
-        made = Program(process, admin)
-        self.processes.append(made)
-        return made
+        program = Program(process, admin)
+        self.processes.append(program)
+        return program
 
     async def close(self) -> None:
-        for made in self.processes:
-            if made.process.returncode is None:
-                made.process.kill()
-            await made.process.wait()
+        for program in self.processes:
+            if program.process.returncode is None:
+                program.process.kill()
+            await program.process.wait()
         self.socket.close()
 
 
 class Program:
+    """One balancer process and its operators' calls."""
+
     def __init__(self, process: asyncio.subprocess.Process, admin: int) -> None:
         self.process, self.admin = process, admin
 
     async def ask(self, call: str) -> str:
         reader, writer = await asyncio.open_connection("127.0.0.1", self.admin)
         writer.write(call.encode() + b"\n")
-        told = (await reader.read()).decode()
+        reply = (await reader.read()).decode()
         writer.close()
-        return told
+        return reply
 
-    async def until(self, call: str, word: str) -> None:
-        told = ""
-        while not told.startswith(word):
-            with contextlib.suppress(OSError):  # it has not got so far
-                told = await self.ask(call)
+    async def wait_for(self, call: str, prefix: str) -> None:
+        reply = ""
+        while not reply.startswith(prefix):
+            with contextlib.suppress(OSError):  # it does not listen yet
+                reply = await self.ask(call)
 
-    async def figures(self) -> dict[str, int]:
+    async def metrics(self) -> dict[str, int]:
         *lines, end = (await self.ask("vars")).splitlines()
         assert end == "END"
         pairs = [line.partition(":") for line in lines]
@@ -114,12 +118,12 @@
 
 
 @contextlib.asynccontextmanager
-async def platform(folder: Path) -> AsyncIterator[Platform]:
-    made = await Platform(folder).start()
+async def platform(directory: Path) -> AsyncIterator[Platform]:
+    host = await Platform(directory).start()
     try:
-        yield made
+        yield host
     finally:
-        await made.close()
+        await host.close()
 
 
 async def ready(caller: Caller) -> tuple[int, str | None]:
@@ -128,95 +132,95 @@
     return status, headers.get("connection")
 
 
-def test_figures_are_those_that_the_test_counts(tmp_path: Path) -> None:
+def test_the_metrics_have_the_counts_of_the_test(tmp_path: Path) -> None:
     async def main() -> None:
-        async with platform(tmp_path) as made:
-            program = await made.program()
-            await program.until("check", "YES")
-            figures = await program.figures()
-            assert figures["app.success.read"] == figures["app.busy.buy"] == figures["app.inflight"] == 0
-            caller, held, leaver = [await Caller.to(made.port) for _ in range(3)]
+        async with platform(tmp_path) as host:
+            program = await host.start_program()
+            await program.wait_for("check", "YES")
+            metrics = await program.metrics()
+            assert metrics["app.success.read"] == metrics["app.busy.buy"] == metrics["app.inflight"] == 0
+            caller, held, leaver = [await Caller.to(host.port) for _ in range(3)]
             for number in range(5):
                 assert (await caller.ask(f"r{number}"))[0] == 200
             assert (await caller.ask("b0", "buy", body=b"x"))[0] == 200
-            assert (await caller.ask("bad", "none"))[0] == 400  # no class: it counts nowhere
+            assert (await caller.ask("bad", "none"))[0] == 400  # an unknown class is counted nowhere
             held.send("held1", "buy", 1900)
             leaver.send("held2", "read", 1900)
-            while len(made.upstream.requests) < 8:
-                await made.upstream.got.get()
-            figures = await program.figures()
-            assert figures["app.inflight"] == 2 and figures["app.backend_calls"] == 8
+            while len(host.upstream.requests) < 8:
+                await host.upstream.got.get()
+            metrics = await program.metrics()
+            assert metrics["app.inflight"] == 2 and metrics["app.backend_calls"] == 8
             leaver.writer.close()
-            while (await program.figures())["app.inflight"] != 1:
+            while (await program.metrics())["app.inflight"] != 1:
                 pass
-            made.hold.set()
+            host.release.set()
             assert (await held.read())[0] == 200
-            figures = await program.figures()
-            assert [figures[f"app.success.{name}"] for name in ("read", "buy")] == [5, 2]
-            assert figures["app.failure.read"] == figures["app.busy.read"] == 0
-            assert (figures["app.hosts_listed"], figures["app.hosts_down"]) == (1, 0)
-            made.upstream.server.close()
-            for writer in made.upstream.writers:
+            metrics = await program.metrics()
+            assert [metrics[f"app.success.{name}"] for name in ("read", "buy")] == [5, 2]
+            assert metrics["app.failure.read"] == metrics["app.busy.read"] == 0
+            assert (metrics["app.hosts_listed"], metrics["app.hosts_down"]) == (1, 0)
+            host.upstream.server.close()
+            for writer in host.upstream.writers:
                 writer.close()
             for number in range(4):
                 assert (await caller.ask(f"dead{number}", ms=300))[0] in (503, 504)
-            figures = await program.figures()
-            assert figures["app.hosts_down"] == 1 and figures["app.inflight"] == 0
-            assert figures["app.busy.read"] + figures["app.failure.read"] == 4
+            metrics = await program.metrics()
+            assert metrics["app.hosts_down"] == 1 and metrics["app.inflight"] == 0
+            assert metrics["app.busy.read"] + metrics["app.failure.read"] == 4
 
     run(main())
 
 
-def test_operators_are_answered_beside_a_full_crowd_of_callers(tmp_path: Path) -> None:
-    """More callers than the sockets allow hold unfinished heads, others hold operators' connections."""
+def test_operators_are_answered_while_clients_use_all_sockets(tmp_path: Path) -> None:
+    """More clients than there are sockets send unfinished heads; others hold operators' connections open."""
 
     async def main() -> None:
-        async with platform(tmp_path) as made:
-            program = await made.program()
-            await program.until("check", "YES")
-            crowd = []
-            for _ in range(300):  # 256 descriptors in all
-                _, writer = await asyncio.open_connection("127.0.0.1", made.port)
+        async with platform(tmp_path) as host:
+            program = await host.start_program()
+            await program.wait_for("check", "YES")
+            connections = []
+            for _ in range(300):  # 256 descriptors in total
+                _, writer = await asyncio.open_connection("127.0.0.1", host.port)
                 writer.write(b"POST /api HTTP/1.1\r\nX-T")
-                crowd.append(writer)
+                connections.append(writer)
             for _ in range(40):
                 _, writer = await asyncio.open_connection("127.0.0.1", program.admin)
                 writer.write(b"che")
-                crowd.append(writer)
+                connections.append(writer)
             for call in ("check", "vars", "drain-on", "drain-off", "check"):
                 assert (await program.ask(call)).splitlines()[-1] in ("YES", "END")
-            assert (await program.figures())["app.inflight"] == 0  # none of them is a request
-            for writer in crowd:
+            assert (await program.metrics())["app.inflight"] == 0  # none of them is a request
+            for writer in connections:
                 writer.close()
 
     run(main())
 
 
-def test_a_drain_sends_clients_away_keeps_what_runs_and_ends(tmp_path: Path) -> None:
+def test_a_drain_closes_idle_connections_serves_requests_in_flight_and_can_be_ended(tmp_path: Path) -> None:
     async def main() -> None:
-        async with platform(tmp_path) as made:
-            program = await made.program()
-            await program.until("check", "YES")
-            idle, held, kept = [await Caller.to(made.port) for _ in range(3)]
+        async with platform(tmp_path) as host:
+            program = await host.start_program()
+            await program.wait_for("check", "YES")
+            idle, held, kept = [await Caller.to(host.port) for _ in range(3)]
             for caller in (idle, kept):
                 assert await ready(caller) == (200, None)
             held.send("held", "buy", 1900)
-            await made.upstream.got.get()
+            await host.upstream.got.get()
             assert await program.ask("drain-on") == "YES\n"
             assert await program.ask("drain-on") == "YES\n"
             assert await program.ask("check") == "NO not ready: drained by a call\n"
             assert await ready(kept) == (503, "close")
-            fresh = await Caller.to(made.port)  # they still come for a while, and are served
+            fresh = await Caller.to(host.port)  # new clients still connect for a while and are served
             status, headers, _ = await fresh.ask("fresh")
             assert (status, headers["connection"]) == (200, "close")
-            assert await idle.ended()  # closed while nothing was on it
-            made.hold.set()
+            assert await idle.ended()  # closed while idle
+            host.release.set()
             status, headers, body = await held.read()
             assert (status, headers["connection"], body) == (200, "close", b"done")
             program.process.send_signal(signal.SIGHUP)
             assert await program.ask("check") == "NO not ready: drained by a call\n"
             assert await program.ask("drain-off") == "YES\n"
-            back = await Caller.to(made.port)
+            back = await Caller.to(host.port)
             assert await ready(back) == (200, None)
             assert (await back.ask("back"))[0] == 200
             assert await program.ask("drain-off") == "YES\n"
@@ -227,116 +231,118 @@
     run(main())
 
 
-def test_a_process_is_replaced_under_load_and_no_request_goes_unheard(tmp_path: Path) -> None:
-    """Twice in a row, beside callers that keep their connections; a buy in flight ends in the old process."""
+def test_a_process_is_replaced_under_load_and_each_request_is_answered(tmp_path: Path) -> None:
+    """Twice in a row, under load on kept connections; a request in flight ends in the old process."""
 
     async def main() -> None:
-        async with platform(tmp_path) as made:
-            old = await made.program()
-            await old.until("check", "YES")
-            over, served = asyncio.Event(), 0
+        async with platform(tmp_path) as host:
+            old = await host.start_program()
+            await old.wait_for("check", "YES")
+            finished, served = asyncio.Event(), 0
 
             async def load(name: str) -> None:
-                """As clients do: what a closed connection did not take goes once more on a new one."""
+                """As clients do, repeat a request once on a new connection if the old one closed first."""
                 nonlocal served
-                caller, number = await Caller.to(made.port), 0
-                while not over.is_set():
+                caller, number = await Caller.to(host.port), 0
+                while not finished.is_set():
                     number += 1
                     try:
                         status, headers, _ = await caller.ask(f"{name}{number}")
-                    except (asyncio.IncompleteReadError, ConnectionError):  # the close crossed it
-                        caller = await Caller.to(made.port)
+                    except (asyncio.IncompleteReadError, ConnectionError):  # closed while it was being sent
+                        caller = await Caller.to(host.port)
                         status, headers, _ = await caller.ask(f"{name}{number}")
                     assert status == 200
                     served += 1
                     if headers.get("connection") == "close":
-                        caller = await Caller.to(made.port)
+                        caller = await Caller.to(host.port)
 
             callers = [asyncio.create_task(load(name)) for name in ("c", "d", "e")]
             for turn in range(2):
-                made.hold.clear()
-                held = await Caller.to(made.port)
+                host.release.clear()
+                held = await Caller.to(host.port)
                 held.send(f"held{turn}", "buy", 1900)
-                assert await made.holding.get() == f"held{turn}"
-                new = await made.program()
-                await new.until("check", "YES")
+                assert await host.held_requests.get() == f"held{turn}"
+                new = await host.start_program()
+                await new.wait_for("check", "YES")
                 old.process.send_signal(signal.SIGTERM)
-                made.hold.set()
+                host.release.set()
                 assert (await held.read())[0] == 200
                 assert await old.process.wait() == 0
                 before = served
                 while served < before + 20:
                     await asyncio.sleep(0)
                 old = new
-            over.set()
+            finished.set()
             await asyncio.gather(*callers)
-            ran = [m[1]["x-txn"] for m in made.upstream.requests]
+            ran = [m[1]["x-txn"] for m in host.upstream.requests]
             assert len(ran) == len(set(ran))  # nothing ran twice
-            assert (await old.figures())["app.success.read"] > 0
-            assert len(os.listdir(made.common)) == 1
+            assert (await old.metrics())["app.success.read"] > 0
+            assert len(os.listdir(host.common_directory)) == 1
 
     run(main())
 
 
-def test_a_new_one_that_dies_before_or_after_its_yes_leaves_the_old_one_serving(tmp_path: Path) -> None:
+def test_a_new_process_that_dies_before_or_after_it_is_ready_leaves_the_old_one_serving(
+    tmp_path: Path,
+) -> None:
     async def main() -> None:
-        async with platform(tmp_path) as made:
-            old = await made.program()
-            await old.until("check", "YES")
-            early = await made.program()
+        async with platform(tmp_path) as host:
+            old = await host.start_program()
+            await old.wait_for("check", "YES")
+            early = await host.start_program()
             early.process.kill()
             await early.process.wait()
-            caller = await Caller.to(made.port)
+            caller = await Caller.to(host.port)
             assert (await caller.ask("a1"))[0] == 200
-            late = await made.program()
-            await late.until("check", "YES")
+            late = await host.start_program()
+            await late.wait_for("check", "YES")
             answers: list[str | None] = []
-            while answers[-1:] != ["close"]:  # the old one has seen it, and asks its callers to go
+            while answers[-1:] != ["close"]:  # the old one has seen it and closes its connections
                 status, headers, _ = await caller.ask(f"b{len(answers)}")
                 assert status == 200
                 answers.append(headers.get("connection"))
             late.process.kill()
             await late.process.wait()
-            again = await Caller.to(made.port)
-            assert (await again.ask("c1"))[0] == 200  # the old one accepts again
+            new_client = await Caller.to(host.port)
+            assert (await new_client.ask("c1"))[0] == 200  # the old one accepts again
             assert (await old.ask("check")) == "YES\n"
 
     run(main())
 
 
-def test_an_old_one_that_dies_early_leaves_the_new_one_serving(tmp_path: Path) -> None:
+def test_an_old_process_that_dies_early_leaves_the_new_one_serving(tmp_path: Path) -> None:
     async def main() -> None:
-        async with platform(tmp_path) as made:
-            old = await made.program()
-            await old.until("check", "YES")
-            new = await made.program()
+        async with platform(tmp_path) as host:
+            old = await host.start_program()
+            await old.wait_for("check", "YES")
+            new = await host.start_program()
             old.process.kill()
             await old.process.wait()
-            await new.until("check", "YES")
-            assert (await (await Caller.to(made.port)).ask("a1"))[0] == 200
+            await new.wait_for("check", "YES")
+            assert (await (await Caller.to(host.port)).ask("a1"))[0] == 200
 
     run(main())
 
 
 @pytest.mark.parametrize("descriptor", [199, 0])
-def test_a_descriptor_that_is_no_listening_socket_is_passed_over(tmp_path: Path, descriptor: int) -> None:
+def test_a_descriptor_that_is_no_listening_socket_is_ignored(tmp_path: Path, descriptor: int) -> None:
     """It binds the address itself, which is free here."""
 
     async def main() -> None:
-        async with platform(tmp_path) as made:
-            made.socket.close()
-            made.socket = socket.create_server(("127.0.0.1", 0))  # another one is passed, and not named
-            program = await made.program(inherited=descriptor)
-            await program.until("check", "YES")
-            assert (await (await Caller.to(made.port)).ask("a1"))[0] == 200
+        async with platform(tmp_path) as host:
+            host.socket.close()
+            host.socket = socket.create_server(("127.0.0.1", 0))  # another one is passed, but not named
+            program = await host.start_program(inherited=descriptor)
+            await program.wait_for("check", "YES")
+            assert (await (await Caller.to(host.port)).ask("a1"))[0] == 200
 
     run(main())
 
 
-def test_a_descriptor_that_is_no_number_is_one_line_and_exit_2(tmp_path: Path) -> None:
+def test_a_descriptor_that_is_no_number_gives_one_error_line_and_exit_code_2(tmp_path: Path) -> None:
     async def main() -> None:
-        async with platform(tmp_path) as made:
-            program = await made.program(RELAY_ADMIN="nowhere")
+        async with platform(tmp_path) as host:
+            program = await host.start_program(RELAY_ADMIN="nowhere")
             assert await program.process.wait() == 2
             path = tmp_path / "config0.json"
             env = {**os.environ, "RELAY_CONFIG": str(path), "RELAY_LISTEN_FD": "seven"}
