--- a/brackengate/interface.py
+++ b/brackengate/interface.py
@@ -1,7 +1,7 @@
 """The balancer's interface: its settings, the events it handles and the actions it returns.
 
 Plain data only.  Times are whole microseconds on the host's clock; ids are opaque.
-`brackengate.brain.Balancer` takes a `Settings` at the start, then one event at a time,
+`brackengate.balancer.Balancer` takes a `Settings` at the start, then one event at a time,
 and returns a list of actions for each.
 """
 
--- a/brackengate/policy/__init__.py
+++ b/brackengate/policy/__init__.py
@@ -1,1 +1,1 @@
-"""The balancer's decisions, one mixin for each concern; brackengate/brain.py combines them."""
+"""The balancer's decisions, one mixin for each concern; brackengate/balancer.py combines them."""
--- a/tests/test_mechanism.py
+++ b/tests/test_mechanism.py
@@ -3,7 +3,7 @@
 from balancer_harness import READ, BalancerHarness, endpoints, probes, sends
 
 from brackengate import interface as api
-from brackengate.brain import Balancer
+from brackengate.balancer import Balancer
 
 OK, CONNECT_FAILED = api.Outcome.OK, api.Outcome.CONNECT_FAILED
 
--- a/tests/test_project.py
+++ b/tests/test_project.py
@@ -7,7 +7,7 @@
 ROOT = Path(__file__).parent.parent
 LISTED_FILES = tomllib.loads((ROOT / "deploy" / "balancer.toml").read_text())["policy"]
 SOURCE_BY_FILE = {name: (ROOT / name).read_text() for name in LISTED_FILES}
-BALANCER_SOURCE = SOURCE_BY_FILE["brackengate/brain.py"]
+BALANCER_SOURCE = SOURCE_BY_FILE["brackengate/balancer.py"]
 
 
 def test_source_size():
@@ -20,7 +20,7 @@
 def test_every_source_file_is_listed_once():
     files = (ROOT / "brackengate" / "policy").rglob("*.py")
     assert sorted(LISTED_FILES) == sorted(
-        ["brackengate/brain.py", *(str(f.relative_to(ROOT)) for f in files)]
+        ["brackengate/balancer.py", *(str(f.relative_to(ROOT)) for f in files)]
     )
 
 
