--- a/brackengate/policy/__init__.py
+++ b/brackengate/policy/__init__.py
@@ -1,1 +1,1 @@
-"""The decisions of the balancer by concern; brackengate/balancer.py puts them together."""
+"""The balancer's decisions, one mixin for each concern; brackengate/balancer.py combines them."""
--- a/brackengate/proxy/egress.py
+++ b/brackengate/proxy/egress.py
@@ -31,7 +31,7 @@
 from brackengate.net.node import FAILED, OVERDUE, REFUSED, Clock, Message, Node, Reply
 from brackengate.net.sockets import Address, SocketBudget
 from brackengate.net.upstream import Pool, Result
-from brackengate.policy.state import MOST_TRIES
+from brackengate.policy.state import MAX_TOTAL_ATTEMPTS
 from brackengate.protocol.config_items import Route
 from brackengate.protocol.http_api import MAX_BODY_BYTES
 from brackengate.protocol.messages import UpstreamReport
@@ -159,7 +159,7 @@
             tier=TIER,
             cold_share=0.4,
             cold_time=WARM_UP_US,
-            max_attempts=MOST_TRIES,  # of any kind; a route says how many may reach an upstream
+            max_attempts=MAX_TOTAL_ATTEMPTS,  # of any kind; a route says how many may reach an upstream
             retry_start=0.0,
             wait_for_upstream=False,
             unsent_attempts_free=True,
--- a/tests/proxy/mistakes.py
+++ b/tests/proxy/mistakes.py
@@ -15,7 +15,7 @@
 from brackengate.net.node import FAILED, Reply
 from brackengate.net.upstream import Result
 from brackengate.policy import retries
-from brackengate.policy.state import Call
+from brackengate.policy.state import TrackedRequest
 from brackengate.proxy import answer_classification, egress, ingress, keys
 from brackengate.proxy.admission import OperationState
 from brackengate.proxy.hop_headers import SERVER_SEAL, HopOutcome, forwarded_answer
@@ -118,10 +118,10 @@
     return _true_ended(self, clean)
 
 
-def _retry(self: retries.Retries, call: Call, ended: Any) -> bool:
+def _spend_retry(self: retries.Retries, request: TrackedRequest, ended: Any) -> bool:
     """Counts a try that was lost with its connection for none."""
-    call.most += ended.outcome is Outcome.RESET
-    return _true_retry(self, call, ended)
+    request.max_attempts += ended.outcome is Outcome.RESET
+    return _true_spend_retry(self, request, ended)
 
 
 def _broken(self: upstream.Job, stale: bool = False) -> None:
@@ -139,7 +139,7 @@
     ingress.Ingress._on_upstream_done,
     UpstreamMachine.ended,
 )
-_true_retry = retries.Retries._retry
+_true_spend_retry = retries.Retries._spend_retry
 
 
 _always_wanted = property(lambda self: upstream.always, lambda self, wanted: None)
@@ -199,7 +199,7 @@
     ),
     "free-resets": Mistake(
         "a try that was lost with its connection doesn't count toward MaxAttempts",
-        lambda: patch.object(retries.Retries, "_retry", _retry),
+        lambda: patch.object(retries.Retries, "_spend_retry", _spend_retry),
     ),
     "thawed": Mistake(
         "a proxy that stood still sends for callers who have left",
