--- a/benchmarks/bodies.py
+++ b/benchmarks/bodies.py
@@ -76,8 +76,8 @@
     budget = SocketBudget(4000)
     pool = Pool(loop, budget, 1.0, 60.0, bytes_)
     node = Node(loop, Clock(), api.Settings(classes=CLASSES, cancel=True), Module(), pool)
-    node.listed(api.ListKind.FULL, [(api.Endpoint("u0"), ("127.0.0.1", to))])
-    server = Server(loop, node, budget, [bind(("127.0.0.1", 0))], 4000, bytes_=bytes_)
+    node.update_upstreams(api.ListKind.FULL, [(api.Endpoint("u0"), ("127.0.0.1", to))])
+    server = Server(loop, node, budget, [bind(("127.0.0.1", 0))], 4000, byte_budget=bytes_)
     return server.start()[0], bytes_
 
 
@@ -116,10 +116,10 @@
             port, bytes_ = balancer(server.sockets[0].getsockname()[1], limit * MB)
             tasks = [asyncio.create_task(exchange(port, f"b{n}", size * MB, 4)) for n in range(number)]
             held = -1
-            while held != bytes_.taken:  # until nothing moves any more
-                held = bytes_.taken
+            while held != bytes_.in_use:  # until nothing moves any more
+                held = bytes_.in_use
                 await asyncio.sleep(0.5)
-            print(f"{number:7}  {size:7}  {limit:8}  {held / MB:7.2f}  {bytes_.most / MB:7.2f}")
+            print(f"{number:7}  {size:7}  {limit:8}  {held / MB:7.2f}  {bytes_.peak / MB:7.2f}")
             for task in tasks:
                 task.cancel()
             await asyncio.gather(*tasks, return_exceptions=True)
@@ -153,7 +153,7 @@
     loop = asyncio.get_running_loop()
     budget = SocketBudget(100)
     node = Node(loop, Clock(), api.Settings(classes=CLASSES), Module(), Pool(loop, budget, 1.0, 60.0))
-    node.listed(api.ListKind.FULL, [(api.Endpoint("u0"), ("127.0.0.1", bare))])
+    node.update_upstreams(api.ListKind.FULL, [(api.Endpoint("u0"), ("127.0.0.1", bare))])
     port = Server(loop, node, budget, [bind(("127.0.0.1", 0))], 100).start()[0]
     took: dict[int, list[float]] = {bare: [], port: []}
     streams = {to: await asyncio.open_connection("127.0.0.1", to) for to in took}
--- a/benchmarks/fuzz.py
+++ b/benchmarks/fuzz.py
@@ -22,8 +22,8 @@
 
 with atheris.instrument_imports(include=["brackengate.http"]):
     from brackengate.http import caller, upstream
-    from brackengate.http.body import WHOLE, Body, ByteBudget
-    from brackengate.http.message import MAX_HEAD, Arrival
+    from brackengate.http.body import MAX_UNSTREAMED_BYTES, Body, ByteBudget
+    from brackengate.http.message import MAX_HEAD_BYTES, IncomingRequest
 
 SEEDS = (
     b"GET /api HTTP/1.1\r\nHost: a\r\nX-Org: b\r\n\r\n",
@@ -41,7 +41,7 @@
     b"Expect: 100-continue", b"Upgrade: ", b"1\r\na\r\n", b"200", b"204", b";", b"chunked, chunked",
     b"HTTP/1.1 200 OK\r\n", b"http://a/",
 )  # fmt: skip
-HELD = caller.AHEAD + MAX_HEAD + 2 * WHOLE
+HELD = caller.MAX_READ_AHEAD_BYTES + MAX_HEAD_BYTES + 2 * MAX_UNSTREAMED_BYTES
 
 
 class Wrong(AssertionError):
@@ -63,15 +63,15 @@
     def __init__(self) -> None:
         self.machine = caller.CallerMachine(0, lambda target: 1 << 20)
         self.told: list[object] = []
-        self.arrivals: list[tuple[Arrival, bytes]] = []
+        self.arrivals: list[tuple[IncomingRequest, bytes]] = []
         self._bodies: dict[int, bytearray] = {}
         self._budget = ByteBudget(1 << 30)
 
     def run(self, parts: Iterator[bytes]) -> list[object]:
         for part in parts:
             self._do(self.machine.received(part, 0))
-            if self.machine.held() > HELD:
-                raise Wrong(f"{self.machine.held()} bytes are held")
+            if self.machine.buffered_bytes() > HELD:
+                raise Wrong(f"{self.machine.buffered_bytes()} bytes are held")
         return [*self.told, self.machine.state]
 
     def _do(self, commands: list[caller.Command]) -> None:
@@ -85,15 +85,15 @@
                 case caller.OpenBody(arrival, length):
                     arrival.stream = Body(self._budget, length, lambda: None)
                     self._bodies[id(arrival)] = bytearray()
-                case caller.Feed(arrival, data):
+                case caller.FeedBody(arrival, data):
                     self._bodies[id(arrival)] += data
-                case caller.Complain(bad):
-                    self.told.append((bad.status, bad.reason))
-                case caller.Again():
-                    self._do(self.machine.go_on(0))
+                case caller.ReportBadRequest(bad):
+                    self.told.append((bad.status, bad.rule_slug))
+                case caller.ContinueLater():
+                    self._do(self.machine.resume(0))
 
 
-def again(arrival: Arrival, body: bytes) -> bytes:
+def again(arrival: IncomingRequest, body: bytes) -> bytes:
     """The message as it would be written to the next one."""
     lines = [b"%s %s HTTP/%s" % (arrival.method, arrival.target, arrival.version.encode())]
     lines += [b"%s: %s" % (name, value) for name, value in arrival.headers]
@@ -121,7 +121,7 @@
 
     def run(parts: Iterator[bytes], ends: bool) -> list[object]:
         machine = upstream.UpstreamMachine()
-        machine.ask(0, None, upstream.Passing() if data[0] & 4 else None)
+        machine.start_request(0, None, upstream.StreamingPolicy() if data[0] & 4 else None)
         machine.next_piece(0)
         told: list[object] = []
         passed, begun = b"", False
@@ -130,20 +130,20 @@
             nonlocal passed, begun
             for event in events:
                 match event:
-                    case upstream.Begins(head, length):
+                    case upstream.ResponseStarted(head, length):
                         begun, passed = True, head.body
                         told.append((head.status, dict(head.fields), length))
-                    case upstream.Piece(piece):
+                    case upstream.BodyPiece(piece):
                         passed += piece
-                    case upstream.Answered(status, fields, body):
+                    case upstream.UpstreamResponse(status, fields, body):
                         told.append((status, dict(fields), passed + body, begun))
-                    case upstream.Spoilt():
+                    case upstream.InvalidResponse():
                         told.append("spoilt")
 
         for part in parts:
             take(machine.received(part, 0))
-            if machine.kept > upstream.MAX_ANSWER + 2 * WHOLE:
-                raise Wrong(f"{machine.kept} bytes are kept")
+            if machine.buffered_bytes > upstream.MAX_BUFFERED_RESPONSE_BYTES + 2 * MAX_UNSTREAMED_BYTES:
+                raise Wrong(f"{machine.buffered_bytes} bytes are kept")
             if (told and told[-1] == "spoilt") or machine.state.name in ("IDLE", "CLOSED"):
                 break
         if ends and machine.state.name != "CLOSED":
--- a/benchmarks/hot_path.py
+++ b/benchmarks/hot_path.py
@@ -94,7 +94,7 @@
     upstream = await loop.create_server(Upstream, "127.0.0.1", 0)
     budget = SocketBudget(4000)
     node = Node(loop, Clock(), SETTINGS, Balancer(SETTINGS, 1), Pool(loop, budget, 1.0, 60.0))
-    node.listed(api.ListKind.FULL, [(api.Endpoint("u0"), upstream.sockets[0].getsockname())])
+    node.update_upstreams(api.ListKind.FULL, [(api.Endpoint("u0"), upstream.sockets[0].getsockname())])
     port = Server(loop, node, budget, [bind(("127.0.0.1", 0))]).start()[0]
     before = calls()
     for _ in range(CONNECTIONS):
@@ -135,7 +135,7 @@
 def parts() -> dict[str, float]:
     """Each on the module's own objects, without a socket."""
     from brackengate.http import caller, upstream
-    from brackengate.net.api import Api
+    from brackengate.net.api import ApiFrontend
 
     clock, number = Clock(), 0
 
@@ -156,7 +156,7 @@
     answering = upstream.UpstreamMachine()
 
     def read_answer() -> None:
-        answering.ask(0)
+        answering.start_request(0)
         answering.next_piece(0)
         answering.received(ANSWER, 0)
 
@@ -169,7 +169,7 @@
     class Taken:
         def submit(self, request: api.Request, message: Any) -> None: ...
 
-    front = Api(cast(Any, Known()))
+    front = ApiFrontend(cast(Any, Known()))
     command = caller.CallerMachine(0, lambda target: 1 << 16).received(HEAD % 0, clock.now())[-1]
     assert isinstance(command, caller.Deliver)
     arrival = command.arrival
--- a/benchmarks/scale/hollow.py
+++ b/benchmarks/scale/hollow.py
@@ -35,7 +35,7 @@
     Report,
     RunClaims,
 )
-from brackengate.net.ground import steady_us
+from brackengate.net.environment import monotonic_clock_us
 from brackengate.pilot import role, watch
 from brackengate.pilot.follow import Following
 from brackengate.pilot.gate import Beat, Gate
@@ -69,10 +69,19 @@
         self.table = Table()
         self.gate = Gate(zone, plan.feedback_us, DRAIN_US, f"{time.monotonic_ns():016x}")
         self.following = Following(
-            ip, zone, plan.port, lambda: plan.seeds, self.table, self._changed, steady_us, lambda _: ()
+            ip,
+            zone,
+            plan.port,
+            lambda: plan.seeds,
+            self.table,
+            self._changed,
+            monotonic_clock_us,
+            lambda _: (),
         )
         me = ip, plan.port
-        self.watcher = CountingWatcher(me, steady_us, self.following.ask, self._standing, lambda _: None)
+        self.watcher = CountingWatcher(
+            me, monotonic_clock_us, self.following.ask, self._standing, lambda _: None
+        )
         self.suspected_at: dict[str, int] = {}
         self.routed_at: dict[int, int] = {}  # by timeout of the route that the runs change
         self._most_known = 0
@@ -99,14 +108,14 @@
         if self._ended:
             return
         self._beats += 1
-        self.gate.heard(Beat(f"i-{self.ip}", self.service, "ready", 6, 0, self._beats), steady_us())
+        self.gate.heard(Beat(f"i-{self.ip}", self.service, "ready", 6, 0, self._beats), monotonic_clock_us())
         self._loop.call_later(self._feedback_us / 1e6, self._beat)
 
     def _report(self) -> None:
         if self._ended:
             return
         self._loop.call_later(role.REPORT_S, self._report)
-        wanted, known = self.gate.report(steady_us()), self.table.instances.get(self.ip)
+        wanted, known = self.gate.report(monotonic_clock_us()), self.table.instances.get(self.ip)
         if wanted is None or self._reporting or not self.following.in_touch:
             return
         if known is not None and (known.id, known.state, known.pilot) == (
--- a/benchmarks/xds.py
+++ b/benchmarks/xds.py
@@ -33,8 +33,8 @@
 from brackengate.installation.reading import loads
 from brackengate.installation.schema import Route
 from brackengate.interface import Endpoint, ListKind, Settings, UpstreamList
-from brackengate.net.api import API, Api
-from brackengate.net.http import ANY
+from brackengate.net.api import API_PATH, ApiFrontend
+from brackengate.net.http import ANY_PATH
 from brackengate.net.node import Clock, Node
 from brackengate.net.server import Server
 from brackengate.net.sockets import SocketBudget, bind, parse_address
@@ -152,7 +152,7 @@
         return (
             run is not None
             and run.telling.done()
-            and run.node.serving() == count
+            and run.node.serving_count() == count
             and address in run.node._rows
         )
 
@@ -250,7 +250,7 @@
         pool = Connections(loop, budget, settings.connect_timeout / 1e6, 60.0)
         node = Node(loop, clock, settings, Balancer(settings, 1), pool)
         node.observer = Counters(lambda now: None)  # as instances have
-        node.listed(ListKind.FULL, [(Endpoint("u"), parse_address(address))])
+        node.update_upstreams(ListKind.FULL, [(Endpoint("u"), parse_address(address))])
         return Server(loop, node, budget, [sock])
     told = loads(
         FILE
@@ -260,8 +260,8 @@
     )
     configured = Configured(told, 0, clock, budget, Counters(lambda now: None))
     configured.start(told)
-    front = Api(configured.pools, None, None, configured.route_of)
-    return Server(loop, configured.pools, budget, [sock], fronts={API: front, ANY: front})
+    front = ApiFrontend(configured.pools, None, None, configured.route_of)
+    return Server(loop, configured.pools, budget, [sock], frontends={API_PATH: front, ANY_PATH: front})
 
 
 async def routes(rounds: int, requests: int) -> None:
--- a/brackengate/admin/protocol.py
+++ b/brackengate/admin/protocol.py
@@ -6,81 +6,84 @@
 from dataclasses import dataclass, field
 from enum import Enum
 
-from brackengate.net.figures import Figures
+from brackengate.net.metrics import RequestMetrics
 
-MAX_LINE = 64  # bytes, its end included
-PREFIX = "app"
+MAX_LINE_BYTES = 64  # bytes, its end included
+METRIC_PREFIX = "app"
 
 
-class Call(Enum):
+class AdminCommand(Enum):
     CHECK = "check"
     VARS = "vars"
     DRAIN_ON = "drain-on"
     DRAIN_OFF = "drain-off"
 
 
-WORDS = {call.value.encode(): call for call in Call}
-ALLOWED = ", ".join(call.value for call in Call)
+COMMANDS_BY_WORD = {call.value.encode(): call for call in AdminCommand}
+ALLOWED_COMMANDS = ", ".join(call.value for call in AdminCommand)
 
 
 @dataclass(frozen=True, slots=True)
-class Fault:
+class InvalidCommand:
     """What came is no call."""
 
-    why: str
+    reason: str
 
 
 @dataclass(slots=True)
-class Line:
+class CommandReader:
     """The one line of a connection, as it comes in.  What follows its end is of no account."""
 
-    _read: bytearray = field(default_factory=bytearray)
-    over: bool = False
+    _buffer: bytearray = field(default_factory=bytearray)
+    done: bool = False
 
-    def feed(self, data: bytes) -> Call | Fault | None:
+    def feed(self, data: bytes) -> AdminCommand | InvalidCommand | None:
         """The call, once the line is whole; None while it is not, and after it."""
-        if self.over:
+        if self.done:
             return None
-        self._read += data[: MAX_LINE + 1 - len(self._read)]
-        line, end, _ = self._read.partition(b"\n")
+        self._buffer += data[: MAX_LINE_BYTES + 1 - len(self._buffer)]
+        line, end, _ = self._buffer.partition(b"\n")
         if not end:
-            if len(self._read) > MAX_LINE:
-                return self._end(Fault(f"a line has {MAX_LINE} bytes at most"))
+            if len(self._buffer) > MAX_LINE_BYTES:
+                return self._finish(InvalidCommand(f"a line has {MAX_LINE_BYTES} bytes at most"))
             return None
         word = bytes(line).strip(b" \t\r")
-        call = WORDS.get(word)
+        call = COMMANDS_BY_WORD.get(word)
         if call is not None:
-            return self._end(call)
+            return self._finish(call)
         if not word:
-            return self._end(Fault(f"an empty line; the calls are {ALLOWED}"))
+            return self._finish(InvalidCommand(f"an empty line; the calls are {ALLOWED_COMMANDS}"))
         if not word.isascii() or not word.decode("ascii", "replace").isprintable():
-            return self._end(Fault(f"no text; the calls are {ALLOWED}"))
-        return self._end(Fault(f"no call {word.decode('ascii')!r}; the calls are {ALLOWED}"))
-
-    def _end(self, told: Call | Fault) -> Call | Fault:
-        self.over = True
-        self._read.clear()
+            return self._finish(InvalidCommand(f"no text; the calls are {ALLOWED_COMMANDS}"))
+        return self._finish(
+            InvalidCommand(f"no call {word.decode('ascii')!r}; the calls are {ALLOWED_COMMANDS}")
+        )
+
+    def _finish(self, told: AdminCommand | InvalidCommand) -> AdminCommand | InvalidCommand:
+        self.done = True
+        self._buffer.clear()
         return told
 
 
-def yes(why: str = "") -> bytes:
+def encode_yes(why: str = "") -> bytes:
     return f"YES {why}".rstrip().encode() + b"\n"
 
 
-def no(why: str) -> bytes:
+def encode_no(why: str) -> bytes:
     return f"NO {why}\n".encode()
 
 
-def figures_text(figures: Figures, classes: Iterable[str], listed: int, avoided: int) -> bytes:
+def encode_metrics(figures: RequestMetrics, classes: Iterable[str], listed: int, avoided: int) -> bytes:
     """All figures, a line each, and the end."""
     lines = [
-        f"{PREFIX}.{kind.value}.{name}:{count}|c" for (kind, name), count in figures.by_kind(classes).items()
+        f"{METRIC_PREFIX}.{kind.value}.{name}:{count}|c"
+        for (kind, name), count in figures.count_by_result(classes).items()
     ]
     lines += [
-        f"{PREFIX}.backend_calls:{figures.attempts_written}|c",
-        f"{PREFIX}.inflight:{figures.inflight}|g",
-        f"{PREFIX}.hosts_listed:{listed}|g",
-        f"{PREFIX}.hosts_down:{avoided}|g",
+        f"{METRIC_PREFIX}.backend_calls:{figures.attempts_written}|c",
+        f"{METRIC_PREFIX}.inflight:{figures.inflight}|g",
+        f"{METRIC_PREFIX}.hosts_listed:{listed}|g",
+        f"{METRIC_PREFIX}.hosts_down:{avoided}|g",
         "END",
     ]
     return "\n".join(lines).encode() + b"\n"
--- a/brackengate/emulator/calls/machine.py
+++ b/brackengate/emulator/calls/machine.py
@@ -118,7 +118,7 @@
         own, peers = (
             Pool(
                 ground.loop, budget, 0.25, 9.0, ByteBudget(8 << 20),
-                wire=ground.wire, judge=judge, settle=settle, slow=False,
+                network=ground.network, classify=judge, settle_us=settle, stream_slow_responses=False,
             )
             for judge, settle in ((verdict.own_judge, None), (verdict.judge, 0))
         )  # fmt: skip
@@ -131,7 +131,7 @@
         table = Table()
         self.way = WayOut(
             ground.loop, clock, budget, table, self.plant, address_of, rng, TRIES, Wake(),
-            ByteBudget(8 << 20), ground.wire,
+            ByteBudget(8 << 20), ground.network,
         )  # fmt: skip
         self.servers = [
             listener(ground.loop, clock, [ground.bind((self.ip, port))], front, budget)
@@ -166,4 +166,4 @@
     def term(self) -> None:
         self.gate.closed = True
         for server in self.servers:
-            server.ask_to_go(True)
+            server.set_draining(True)
--- a/brackengate/emulator/door.py
+++ b/brackengate/emulator/door.py
@@ -21,8 +21,8 @@
 from brackengate.emulator.network import Network
 from brackengate.emulator.process import EmulatedClock, EmulatedWire, Process
 from brackengate.emulator.upstream import Upstream
-from brackengate.net.http import Door
-from brackengate.net.node import Message, Node, Origin, Reply
+from brackengate.net.http import RequestStage
+from brackengate.net.node import ClientInfo, Message, Node, Reply
 from brackengate.net.sockets import SocketBudget
 from brackengate.net.upstream import Pool
 from brackengate.queues.admission import Admission
@@ -93,9 +93,9 @@
         assert not self.over, f"{self.id} is answered twice"
         self.over = True
         what = {200: "ok", 503: "refused"}.get(reply.status, "failed")
-        token = header(b"\r\n" + reply.extra, b"X-Place")
+        token = header(b"\r\n" + reply.extra_headers, b"X-Place")
         sim = self._sim
-        sim.at(sim.now + WAY_US, lambda: sim._answer(self, what, reply.retry_after, token))
+        sim.at(sim.now + WAY_US, lambda: sim._answer(self, what, reply.retry_after_us, token))
 
 
 class Simulation:
@@ -121,12 +121,12 @@
             SocketBudget(SOCKETS),
             self.settings.connect_timeout / 1e6,
             self.settings.idle_close / 1e6,
-            wire=EmulatedWire(net, self._clock),
+            network=EmulatedWire(net, self._clock),
         )
         module = Balancer(self.settings, self.rng.getrandbits(32))
         self.node = Node(process.as_loop(), self._clock, self.settings, module, pool)
         self.queues = QueuesDoor(self.node, admission, process.as_loop()) if admission is not None else None
-        self._door: Door = self.queues or self.node
+        self._door: RequestStage = self.queues or self.node
         self._backends: dict[str, Backend] = {}
         for number, (name, server) in enumerate(servers.items()):
             server.name = server.name or name
@@ -177,7 +177,7 @@
         return [one.id for one in self._tries.values() if not one.done and one.deadline < self.now]
 
     def _listed(self, kind: api.ListKind, rows: list[api.Endpoint]) -> None:
-        self.node.listed(kind, [(row, self._backends[row.upstream].address) for row in rows])
+        self.node.update_upstreams(kind, [(row, self._backends[row.upstream].address) for row in rows])
 
     def _seen(self, what: str, *of: object) -> None:
         if what == "ran":
@@ -222,8 +222,8 @@
         identity = client.name(one.item) if client.name else client.label
         address = client.address(one.item) if client.address else ""
         head = b"GET /api HTTP/1.1\r\nX-Txn: %s\r\nX-Work: %d\r\n" % (one.id.encode(), one.work)
-        origin = Origin(identity, address, b"" if token == b"-" else token)
-        message = Message(head, b"", origin=origin, parts=client.parts)
+        origin = ClientInfo(identity, address, b"" if token == b"-" else token)
+        message = Message(head, b"", client_info=origin, operation_count=client.parts)
         request = api.Request(one.id, one.cls.name, deadline, client.tenant, is_retry=retry)
         self._door.submit(request, message, one)
 
@@ -234,7 +234,7 @@
         self.records[one.client.label].answers["nothing"] += 1
         if one.at_door and not one.over:
             one.over = True
-            self._door.gone(one.id, one)
+            self._door.client_disconnected(one.id, one)
 
     def _answer(self, one: _Try, what: str, after: int = 0, token: bytes = b"") -> None:
         if one.done:
--- a/brackengate/emulator/instance.py
+++ b/brackengate/emulator/instance.py
@@ -23,9 +23,9 @@
 from brackengate.fleet.stack import Stack
 from brackengate.installation import settings as derived
 from brackengate.installation.schema import File
-from brackengate.net.ground import Ground
+from brackengate.net.environment import Environment
 from brackengate.net.node import Clock, Node
-from brackengate.net.server import LAST_CALL_S
+from brackengate.net.server import DRAIN_ACCEPT_S
 from brackengate.net.sockets import Address, SocketBudget
 
 ANSWER = b"HTTP/1.1 "
@@ -89,7 +89,7 @@
         self._asked, self._upward, self.listed = {}, {}, {}
         process.accepted, process.connected, process.closed = self._accepts, self._connects, self._closes
         clock = EmulatedClock(self._loop, self.off)
-        ground = Ground(
+        ground = Environment(
             process.as_loop(), random.Random(self.rng.getrandbits(64)), EmulatedWire(self._around.net, clock)
         )
         self.life = lifecycle.Lifecycle(alone=True)
@@ -126,9 +126,9 @@
                 case lifecycle.Open():
                     stack.server.start()
                 case lifecycle.AskToGo(on):
-                    stack.server.ask_to_go(on)
+                    stack.server.set_draining(on)
                 case lifecycle.Accept(on):
-                    stack.server.accept(on)
+                    stack.server.set_accepting(on)
                 case lifecycle.Drain(last_call):
                     self._around.trace("leaves", self.name)
                     self.process.create_task(self._drain(stack, last_call))
@@ -140,7 +140,7 @@
     async def _drain(self, stack: Stack, last_call: bool) -> None:
         within = (derived.longest(self._file) + derived.DRAIN_EXTRA_US) / 1e6
         if self.life.open:
-            await stack.server.drain(within, LAST_CALL_S if last_call else 0.0)
+            await stack.server.drain(within, DRAIN_ACCEPT_S if last_call else 0.0)
         self._live(lifecycle.Drained(stack.held()))
 
     def later(self, delay: int, do: Callable[[], None]) -> None:
@@ -165,9 +165,9 @@
                 self.listed[row.upstream] = row
         told = [(row, self._around.address(row.upstream)) for row in rows]
         if self.stack.configured is not None:
-            self.stack.configured.feed.listed(kind, told)
+            self.stack.configured.feed.update_upstreams(kind, told)
         elif isinstance(self.stack.node, Node):
-            self.stack.node.listed(kind, told)
+            self.stack.node.update_upstreams(kind, told)
 
     # --- what is seen on its connections
 
@@ -221,4 +221,4 @@
         yield "requests of its module", sum(len(module.calls) for module in stack.modules()), 0
         entries = sum(len(module.heap) for module in stack.modules())
         yield "entries in the module's order", entries, 5 * len(self.listed) + 16
-        yield "sockets", self._budget.taken, self._budget.limit
+        yield "sockets", self._budget.in_use, self._budget.limit
--- a/brackengate/emulator/mesh/ground.py
+++ b/brackengate/emulator/mesh/ground.py
@@ -13,7 +13,7 @@
 from brackengate.emulator.loop import MS, Loop, Timer
 from brackengate.emulator.network import DATA, RESET, End, Listener, Network, Socket
 from brackengate.emulator.process import EmulatedClock, EmulatedWire, Process
-from brackengate.net.ground import Ground
+from brackengate.net.environment import Environment
 from brackengate.net.sockets import READ_BUFFER, Address
 
 NEVER = 1 << 60
@@ -326,10 +326,10 @@
         return sock.end, protocol
 
 
-def ground_of(process: RoleProcess, loop: Loop, net: Network, rng: random.Random, off: int) -> Ground:
+def ground_of(process: RoleProcess, loop: Loop, net: Network, rng: random.Random, off: int) -> Environment:
     """`off`: of the machine's time of day, in microseconds."""
     clock = EmulatedClock(loop, off)
-    return Ground(
+    return Environment(
         process.as_loop(),
         rng,
         EmulatedWire(net, clock),
--- a/brackengate/emulator/network.py
+++ b/brackengate/emulator/network.py
@@ -15,7 +15,7 @@
 from typing import Any, Protocol
 
 from brackengate.emulator.loop import MS, Loop
-from brackengate.net.sockets import READ, READ_BUFFER, Address
+from brackengate.net.sockets import READ_BUFFER, READ_BYTES, Address
 
 RESEND = 200 * MS  # the first time-out of what was lost; doubled with each
 RESENDS = 5
@@ -144,8 +144,8 @@
         if self.hears is not None:
             self.hears(data)
             return
-        for start in range(0, len(data), READ):
-            piece = data[start : start + READ]
+        for start in range(0, len(data), READ_BYTES):
+            piece = data[start : start + READ_BYTES]
             READ_BUFFER[: len(piece)] = piece
             self.protocol.buffer_updated(len(piece))
             if self.closed:
--- a/brackengate/fleet/configured.py
+++ b/brackengate/fleet/configured.py
@@ -12,7 +12,7 @@
 from brackengate.installation import settings as derived
 from brackengate.installation.reading import BadFile, Fault
 from brackengate.installation.schema import File
-from brackengate.net.ground import Ground
+from brackengate.net.environment import Environment
 from brackengate.net.node import Clock
 from brackengate.net.observer import Observer
 from brackengate.net.sockets import SocketBudget
@@ -47,11 +47,11 @@
         clock: Clock,
         budget: SocketBudget,
         observer: Observer,
-        ground: Ground | None = None,
+        ground: Environment | None = None,
         maps: Maps | None = None,
     ) -> None:
         """`maps`: the source of maps of cells, in place of the file that `cells.file` names."""
-        ground = ground or Ground.machine()
+        ground = ground or Environment.for_this_machine()
         told, self._source = file.versions, file.versions.source
         name = f"{file.installation.name}-{file.fleet.first_number + slot}"
         terms = Terms(
--- a/brackengate/fleet/counters.py
+++ b/brackengate/fleet/counters.py
@@ -7,13 +7,13 @@
 from collections.abc import Callable
 
 from brackengate.interface import Outcome, Request
-from brackengate.net.figures import Figures
+from brackengate.net.metrics import RequestMetrics
 
 BOUNDS_MS = (1, 2, 5, 10, 20, 30, 50, 75, 100, 150, 200, 300, 410, 500, 750, 1000, 2000, 5000)
 MOST_UPSTREAMS = 4096  # names are ever new: beyond this the oldest is forgotten
 
 
-class Counters(Figures):
+class Counters(RequestMetrics):
     """The figures of every process, and by upstream and latency.  Bounded also by MOST_UPSTREAMS."""
 
     def __init__(self, on_serving: Callable[[bool], None]) -> None:
@@ -42,10 +42,10 @@
 
     def as_json(self) -> dict[str, object]:
         classes: dict[str, dict[str, int]] = {}
-        for (name, status), count in sorted(self.answers.items()):
+        for (name, status), count in sorted(self.requests_by_status.items()):
             classes.setdefault(name, {})[str(status)] = count
         return {
-            "taken": self.taken_total,
+            "taken": self.started_total,
             "inflight": self.inflight,
             "attempts_written": self.attempts_written,
             "answers": classes,
--- a/brackengate/fleet/instance.py
+++ b/brackengate/fleet/instance.py
@@ -26,10 +26,10 @@
 from brackengate.installation import settings as derived
 from brackengate.installation.reading import BadFile, load
 from brackengate.installation.schema import File
-from brackengate.net.discovery import Discovery, Listed
-from brackengate.net.ground import Ground
+from brackengate.net.discovery import Discovery, UpstreamListSink
+from brackengate.net.environment import Environment
 from brackengate.net.node import Clock, Node
-from brackengate.net.server import LAST_CALL_S
+from brackengate.net.server import DRAIN_ACCEPT_S
 from brackengate.net.sockets import SocketBudget, bind, parse_address
 
 log = logging.getLogger("brackengate")
@@ -80,7 +80,7 @@
         self._budget = SocketBudget(max(16, descriptors - RESERVED_DESCRIPTORS))
         self.counters = Counters(lambda now: self._post(lifecycle.Serving(now)))
         self._names, self._listening = self._open_sockets(file)
-        ground = Ground.machine()
+        ground = Environment.for_this_machine()
         self._stack = stack = Stack(
             file, told.slot, Clock(), self._budget, self._listening, self.counters, ground
         )
@@ -120,7 +120,7 @@
 
     def _make_source(self, file: File, rng: random.Random) -> StaticSource | Discovery:
         up = file.upstreams
-        target: Listed = self.node if isinstance(self.node, Node) else self._of_versions().feed
+        target: UpstreamListSink = self.node if isinstance(self.node, Node) else self._of_versions().feed
         if up.source == "discovery":
             return Discovery(target, parse_address(up.discovery), up.on_request, rng)
         if up.source == "file":
@@ -195,9 +195,9 @@
                     told = ", ".join(f"{n} on {s.getsockname()[0]}:{port}" for n, s, port in pairs)
                     log.info("instance %d: serving %s", self._told.slot, told)
                 case lifecycle.AskToGo(on):
-                    self._server.ask_to_go(on)
+                    self._server.set_draining(on)
                 case lifecycle.Accept(on):
-                    self._server.accept(on)
+                    self._server.set_accepting(on)
                 case lifecycle.Reload():
                     self._spawn(self._reload())
                 case lifecycle.Drain(last_call):
@@ -221,7 +221,7 @@
         log.info("instance %d: leaving, with %d requests held", self._told.slot, self._stack.held())
         within = (derived.longest(self._started_with) + derived.DRAIN_EXTRA_US) / 1e6
         if self.life.open:
-            await self._server.drain(within, LAST_CALL_S if last_call else 0.0)
+            await self._server.drain(within, DRAIN_ACCEPT_S if last_call else 0.0)
         held = self._stack.held()
         log.info("instance %d: left, with %d requests held", self._told.slot, held)
         self._post(lifecycle.Drained(held))
@@ -249,7 +249,7 @@
             self._configured.read(file)
         if "upstreams.source" not in needs and up.source != "none":
             if isinstance(self._source, Discovery):
-                self._source.move(parse_address(up.discovery))
+                self._source.change_address(parse_address(up.discovery))
             elif isinstance(self._source, FileSource):
                 self._source.follow(up.file, up.check_every / 1e6)
             else:
@@ -293,8 +293,8 @@
             "started": self._began,
             "held": self._stack.held(),
             "connections": self._server.connections(),
-            "sockets": self._budget.taken,
-            "upstreams": self.node.serving(),
+            "sockets": self._budget.in_use,
+            "upstreams": self.node.serving_count(),
             "memory_kb": pages * os.sysconf("SC_PAGE_SIZE") // 1024,
             "addresses": self._addresses(),
             "reloads_refused": self._reloads_refused,
--- a/brackengate/fleet/sources.py
+++ b/brackengate/fleet/sources.py
@@ -14,7 +14,7 @@
 from brackengate.installation.schema import Upstream
 from brackengate.installation.settings import listed
 from brackengate.interface import ListKind
-from brackengate.net.discovery import Listed
+from brackengate.net.discovery import UpstreamListSink
 
 log = logging.getLogger(__name__)
 
@@ -27,7 +27,7 @@
     warm one for cold costs some seconds of its share, the other way round its life.
     """
 
-    def __init__(self, node: Listed) -> None:
+    def __init__(self, node: UpstreamListSink) -> None:
         self._node = node
         self._since: dict[str, int] = {}
         self._version = 0
@@ -39,7 +39,7 @@
         self._since = {row.name: self._since.get(row.name, now) for row in rows}
         self._version += 1
         made = [listed(row, self._since[row.name]) for row in rows]
-        self._node.listed(ListKind.FULL, made, self._version)
+        self._node.update_upstreams(ListKind.FULL, made, self._version)
 
     def watch(self, on: bool) -> None:
         """Nothing to ask: the list is pushed."""
@@ -55,7 +55,7 @@
     a shorter list that is soon followed by another change; writers should write beside it and rename.
     """
 
-    def __init__(self, node: Listed, path: str, every_s: float) -> None:
+    def __init__(self, node: UpstreamListSink, path: str, every_s: float) -> None:
         super().__init__(node)
         self.path, self._every_s = path, every_s
         self.turned_down = 0
--- a/brackengate/fleet/stack.py
+++ b/brackengate/fleet/stack.py
@@ -14,9 +14,9 @@
 from brackengate.installation import settings as derived
 from brackengate.installation.schema import File
 from brackengate.interface import Settings
-from brackengate.net.api import API, Api
-from brackengate.net.ground import Ground
-from brackengate.net.http import ANY, Door, Front, Inner
+from brackengate.net.api import API_PATH, ApiFrontend
+from brackengate.net.environment import Environment
+from brackengate.net.http import ANY_PATH, Frontend, InnerStage, RequestStage
 from brackengate.net.node import Clock, Node
 from brackengate.net.observer import FlowWatch, Observer
 from brackengate.net.server import Server
@@ -43,14 +43,14 @@
         budget: SocketBudget,
         sockets: Sequence[Any],
         observer: Observer,
-        ground: Ground,
+        ground: Environment,
         maps: Maps | None = None,
         decide: Callable[[Settings, int], Balancer] = Balancer,
     ) -> None:
         """`decide`: what makes the module of a single node."""
         settings, loop = derived.settings(file), ground.loop
         connect_s, idle_s = settings.connect_timeout / 1e6, settings.idle_close / 1e6
-        self._pool = Pool(loop, budget, connect_s, idle_s, wire=ground.wire)
+        self._pool = Pool(loop, budget, connect_s, idle_s, network=ground.network)
         self._module: Balancer | None = None  # of the single node
         self.configured: Configured | None = None
         self.node: Node | Pools
@@ -68,18 +68,18 @@
         self.repeats: RepeatsDoor | None = None
         self.journal: Journal | None = None
         self.queues: QueuesDoor | None = None
-        door: Inner = self.node
+        door: InnerStage = self.node
         if origin_of is not None:
             door = self.queues = queues.door(file, door, ground)
-        self.door: Door = door
+        self.door: RequestStage = door
         if client_of is not None:
             self.repeats, self.journal = repeats.door(file, door, clock, ground, slot)
             self.door = self.repeats
-        fronts: dict[bytes, Front] = {
-            API: Api(self.node, client_of, origin_of, route_of, bool(file.cells.file))
+        fronts: dict[bytes, Frontend] = {
+            API_PATH: ApiFrontend(self.node, client_of, origin_of, route_of, bool(file.cells.file))
         }
         if route_of is not None:
-            fronts[ANY] = fronts[API]  # routes say which paths there are
+            fronts[ANY_PATH] = fronts[API_PATH]  # routes say which paths there are
         self.graphql: dict[str, Any] = {}
         if file.graphql.path:
             from brackengate.graphql import setup  # graphql-core is an extra: only where it is used
@@ -89,7 +89,9 @@
             )
             fronts[file.graphql.path.encode()] = front
         once = derived.once(file)
-        self.server = Server(loop, self.node, budget, sockets, room, fronts, self.door, self.crowd, once=once)
+        self.server = Server(
+            loop, self.node, budget, sockets, room, fronts, self.door, self.crowd, single_headers=once
+        )
 
     def watch_flows(self, flows: FlowWatch) -> None:
         self.server.flows = self._pool.flows = flows
@@ -105,7 +107,7 @@
 
     def held(self) -> int:
         """Requests that still await their answer, at the door or beyond."""
-        return self.node.held() + (self.queues.waiting() if self.queues is not None else 0)
+        return self.node.pending_count() + (self.queues.waiting() if self.queues is not None else 0)
 
     async def close(self) -> None:
         """What is still open; the listener's sockets are closed by its drain."""
@@ -120,7 +122,7 @@
     def queues_status(self) -> dict[str, Any]:
         if self.queues is None:
             return {}
-        return self.queues.status() | {"connections_turned": self.crowd.turned if self.crowd else 0}
+        return self.queues.status() | {"connections_turned": self.crowd.rejected if self.crowd else 0}
 
     def repeats_status(self) -> dict[str, int]:
         if self.repeats is None:
--- a/brackengate/graphql/front.py
+++ b/brackengate/graphql/front.py
@@ -16,15 +16,22 @@
 from brackengate.graphql.errors import Refused
 from brackengate.graphql.negotiate import Form, check_content_type, form_of
 from brackengate.graphql.persisted import Store
-from brackengate.http.body import WHOLE
-from brackengate.http.message import Arrival
+from brackengate.http.body import MAX_UNSTREAMED_BYTES
+from brackengate.http.message import IncomingRequest
 from brackengate.interface import Idempotency, Request
-from brackengate.net.api import ID, MILLISECONDS, NOT_FORWARDED, ClientOf, OriginOf, RouteOf
-from brackengate.net.http import CallerConnection, Core, Door
+from brackengate.net.api import (
+    HEADERS_NOT_FORWARDED,
+    MILLISECONDS_PATTERN,
+    REQUEST_ID_PATTERN,
+    ClientInfoResolver,
+    ClientResolver,
+    RouteResolver,
+)
+from brackengate.net.http import CallerConnection, RequestStage, TerminalStage
 from brackengate.net.node import Message, Reply
 
 KEY = re.compile(rb"[!-~ ]{1,256}")
-OWN = NOT_FORWARDED | {
+OWN = HEADERS_NOT_FORWARDED | {
     b"accept",
     b"accept-encoding",  # a coded answer could be neither judged nor put together
     b"content-type",
@@ -85,22 +92,22 @@
 
     def __init__(
         self,
-        node: Core,
-        door: Door,
+        node: TerminalStage,
+        door: RequestStage,
         classifier: Classifier,
         store: Store | None,
         options: Options,
-        client_of: ClientOf | None = None,
-        origin_of: OriginOf | None = None,
-        route_of: RouteOf | None = None,
+        client_of: ClientResolver | None = None,
+        origin_of: ClientInfoResolver | None = None,
+        route_of: RouteResolver | None = None,
     ) -> None:
         self._node, self._door, self._client_of, self._origin_of = node, door, client_of, origin_of
         self._route_of = route_of
         self._classifier, self._store, self._options = classifier, store, options
         self.counters: Counter[str] = Counter()
-        self.most_body = WHOLE  # it is read and judged before anything is sent
+        self.max_body_bytes = MAX_UNSTREAMED_BYTES  # it is read and judged before anything is sent
 
-    def begin(self, arrival: Arrival, connection: CallerConnection) -> None:
+    def begin(self, arrival: IncomingRequest, connection: CallerConnection) -> None:
         headers = arrival.fields
         form = Form.RESPONSE
         try:
@@ -131,7 +138,7 @@
         return told
 
     def _serve(
-        self, arrival: Arrival, headers: dict[bytes, bytes], form: Form, connection: CallerConnection
+        self, arrival: IncomingRequest, headers: dict[bytes, bytes], form: Form, connection: CallerConnection
     ) -> None:
         query_string = arrival.target.partition(b"?")[2]
         if arrival.method == b"GET":
@@ -156,14 +163,14 @@
         if not envelope.batch:
             body = self._body(arrival, envelope, items)
             call = self._call(arrival, headers, tenant, client, items[0].verdict, body)
-            call[1].origin = origin
+            call[1].client_info = origin
             self._route(arrival, connection, call, items[0])
             connection.submit(*call, _Single(connection, form))
         elif self._options.batch == "whole":
             verdict = self._strictest(items)
             body = self._body(arrival, envelope, items)
             call = self._call(arrival, headers, tenant, client, verdict, body)
-            call[1].origin, call[1].parts = origin, len(items)
+            call[1].client_info, call[1].operation_count = origin, len(items)
             self._route(arrival, connection, call, None, verdict.type)
             connection.submit(*call, _Single(connection, form, whole=True))
         else:
@@ -174,14 +181,14 @@
                 for item in items
             ]
             for call, item in zip(calls, items, strict=True):
-                call[1].origin = origin
+                call[1].client_info = origin
                 self._route(arrival, connection, call, item)
             mutations = [item.verdict.type == "mutation" for item in items]
             _Split(connection, form, self._door, calls, mutations).start()
 
     def _route(
         self,
-        arrival: Arrival,
+        arrival: IncomingRequest,
         connection: CallerConnection,
         call: tuple[Request, Message],
         item: Item | None,
@@ -230,7 +237,7 @@
             raise Refused("IDEMPOTENCY_KEY_INVALID", "Idempotency-Key has 1 to 256 visible characters")
         return key.decode("ascii")
 
-    def _body(self, arrival: Arrival, envelope: Envelope, items: tuple[Item, ...]) -> bytes:
+    def _body(self, arrival: IncomingRequest, envelope: Envelope, items: tuple[Item, ...]) -> bytes:
         """The client's own bytes, unless a text has to be filled in or there is no body."""
         if arrival.method == b"POST" and all(item.params.query is not None for item in items):
             return arrival.body
@@ -239,7 +246,7 @@
 
     def _call(
         self,
-        arrival: Arrival,
+        arrival: IncomingRequest,
         headers: dict[bytes, bytes],
         tenant: str,
         client: str | None,
@@ -249,14 +256,14 @@
     ) -> tuple[Request, Message]:
         cls = self._node.classes[verdict.class_name]
         left = headers.get(self._options.deadline_header, b"")
-        within = int(left) * 1000 if MILLISECONDS.fullmatch(left) else cls.deadline
+        within = int(left) * 1000 if MILLISECONDS_PATTERN.fullmatch(left) else cls.deadline
         txn = headers.get(b"x-txn", b"")
-        theirs = not many and ID.fullmatch(txn) and not self._node.known(txn.decode("ascii"))
+        theirs = not many and REQUEST_ID_PATTERN.fullmatch(txn) and not self._node.known(txn.decode("ascii"))
         name = txn.decode("ascii") if theirs else f"g{secrets.token_hex(12)}"
         request = Request(
             request=name,
             class_name=cls.name,
-            deadline=arrival.at + min(within, cls.deadline),
+            deadline=arrival.received_at + min(within, cls.deadline),
             tenant=tenant,
             key=headers.get(b"x-entity", b"").decode("latin-1"),
             is_retry=headers.get(b"x-resent") == b"1",
@@ -321,7 +328,9 @@
             elif told is not None and self._form is Form.RESPONSE and told.data is msgspec.UNSET:
                 status = 400  # a request error, as the upstream found (section 6.4.2)
         else:
-            body = json.dumps({"errors": [failure(status, reply.retry_after, bool(reply.ran))]}).encode()
+            body = json.dumps(
+                {"errors": [failure(status, reply.retry_after_us, bool(reply.possible_executions))]}
+            ).encode()
         self._connection.answer(replace(reply, status=status, body=body, content_type=self._form.value))
 
 
@@ -332,7 +341,7 @@
         self,
         connection: CallerConnection,
         form: Form,
-        door: Door,
+        door: RequestStage,
         calls: list[tuple[Request, Message]],
         mutations: list[bool],
     ) -> None:
@@ -346,7 +355,7 @@
         self._gone = False
 
     def start(self) -> None:
-        self._connection.hold(self._leave)
+        self._connection.expect_answer(self._leave)
         for number in self._queries + self._mutations[:1]:
             self._send(number)
 
@@ -358,17 +367,17 @@
         """The client has gone: what is out is told so, and the mutations still to come are not sent."""
         self._gone = True
         for number, part in list(self._out.items()):
-            self._door.gone(self._calls[number][0].request, part)
+            self._door.client_disconnected(self._calls[number][0].request, part)
 
     def _ended(self, number: int, reply: Reply) -> None:
         self._out.pop(number, None)
-        status, body, may_have_run = reply.status, reply.body, bool(reply.ran)
+        status, body, may_have_run = reply.status, reply.body, bool(reply.possible_executions)
         self._statuses[number] = status
         if status == 200 and read_answer(body) is None:
             status, may_have_run = 502, True
         if status != 200:
-            body = json.dumps({"errors": [failure(status, reply.retry_after, may_have_run)]}).encode()
-            self._retry_after = max(self._retry_after, reply.retry_after)
+            body = json.dumps({"errors": [failure(status, reply.retry_after_us, may_have_run)]}).encode()
+            self._retry_after = max(self._retry_after, reply.retry_after_us)
         self._answers[number] = body
         if self._gone:
             return
--- a/brackengate/graphql/setup.py
+++ b/brackengate/graphql/setup.py
@@ -11,8 +11,8 @@
 from brackengate.installation import settings as derived
 from brackengate.installation.reading import BadFile, Fault
 from brackengate.installation.schema import File, GraphqlField
-from brackengate.net.api import ClientOf, OriginOf, RouteOf
-from brackengate.net.http import Core, Door
+from brackengate.net.api import ClientInfoResolver, ClientResolver, RouteResolver
+from brackengate.net.http import RequestStage, TerminalStage
 
 
 def classifier(file: File) -> Classifier:
@@ -55,11 +55,11 @@
 
 def front(
     file: File,
-    node: Core,
-    door: Door,
-    client_of: ClientOf | None = None,
-    origin_of: OriginOf | None = None,
-    route_of: RouteOf | None = None,
+    node: TerminalStage,
+    door: RequestStage,
+    client_of: ClientResolver | None = None,
+    origin_of: ClientInfoResolver | None = None,
+    route_of: RouteResolver | None = None,
 ) -> GraphqlFront:
     told = file.graphql
     options = Options(
--- a/brackengate/http/chunks.py
+++ b/brackengate/http/chunks.py
@@ -7,73 +7,77 @@
 
 import re
 
-from brackengate.http.message import MAX_HEAD, Bad
-from brackengate.http.rules import TOKEN, VALUE, Rule
+from brackengate.http.message import MAX_HEAD_BYTES, RequestError
+from brackengate.http.rules import TOKEN_PATTERN, VALUE_PATTERN, Rule
 
-MAX_LINE = 4 << 10  # a chunk's size with its extensions
-OVERHEAD = 16  # bytes of framing for each byte of data, beside MAX_HEAD: one of 1 byte a chunk has 5
-SIZE = re.compile(rb"([0-9A-Fa-f]{1,16})(?:[ \t]*;[\t -~\x80-\xff]*)?\r\n")
-TRAILER = re.compile(TOKEN + rb":" + VALUE + rb"\r\n")
+MAX_CHUNK_LINE_BYTES = 4 << 10  # a chunk's size with its extensions
+MAX_FRAMING_PER_DATA_BYTE = (
+    16  # bytes of framing for each byte of data, beside MAX_HEAD: one of 1 byte a chunk has 5
+)
+CHUNK_SIZE_PATTERN = re.compile(rb"([0-9A-Fa-f]{1,16})(?:[ \t]*;[\t -~\x80-\xff]*)?\r\n")
+TRAILER_PATTERN = re.compile(TOKEN_PATTERN + rb":" + VALUE_PATTERN + rb"\r\n")
 
 
-def unreadable() -> Bad:
-    return Bad(400, Rule.CHUNKS.words, reason=Rule.CHUNKS.slug)
+def invalid_chunks() -> RequestError:
+    return RequestError(400, Rule.CHUNKS.description, rule_slug=Rule.CHUNKS.slug)
 
 
-class Chunks:
+class ChunkedBodyScanner:
     """Follows one body through its pieces, however they are cut."""
 
-    __slots__ = ("_data", "_left", "_line", "_overhead", "_trailers", "done", "fault")
+    __slots__ = ("_data_bytes", "_data_left", "_framing_bytes", "_in_trailers", "_line", "done", "fault")
 
     def __init__(self) -> None:
         self.done = False
-        self.fault: Bad | None = None
+        self.fault: RequestError | None = None
         self._line = b""  # a part of a size's or trailer's line
-        self._left = 0  # of a chunk's data, with the CRLF behind it
-        self._data = self._overhead = 0
-        self._trailers = False
+        self._data_left = 0  # of a chunk's data, with the CRLF behind it
+        self._data_bytes = self._framing_bytes = 0
+        self._in_trailers = False
 
-    def span(self, data: bytes) -> int:
+    def scan(self, data: bytes) -> int:
         """How many bytes of `data` belong to the body, up to a `fault` if there is one.
 
         Those before a fault are for the library first: where it finds one itself, that came before.
         """
         at, size = 0, len(data)
         while at < size and not self.done and self.fault is None:
-            if self._left:
-                step = min(self._left, size - at)
-                self._left -= step
+            if self._data_left:
+                step = min(self._data_left, size - at)
+                self._data_left -= step
                 at += step
                 continue
             end = data.find(b"\n", at) + 1 or size
-            most = (MAX_HEAD if self._trailers else MAX_LINE) - len(self._line)
+            most = (MAX_HEAD_BYTES if self._in_trailers else MAX_CHUNK_LINE_BYTES) - len(self._line)
             if end - at > most:
                 at += most
-                self.fault = Bad(431, "a chunk's size, or a trailer, without end", reason=Rule.CHUNKS.slug)
+                self.fault = RequestError(
+                    431, "a chunk's size, or a trailer, without end", rule_slug=Rule.CHUNKS.slug
+                )
                 break
             self._line += data[at:end]
             at = end
             if self._line.endswith(b"\n"):
-                self._whole(self._line)
+                self._line_complete(self._line)
                 self._line = b""
         return at
 
-    def _whole(self, line: bytes) -> None:
-        self._overhead += len(line)
-        if self._overhead > MAX_HEAD + OVERHEAD * self._data:
-            self.fault = Bad(431, "more framing than body", reason=Rule.CHUNKS.slug)
+    def _line_complete(self, line: bytes) -> None:
+        self._framing_bytes += len(line)
+        if self._framing_bytes > MAX_HEAD_BYTES + MAX_FRAMING_PER_DATA_BYTE * self._data_bytes:
+            self.fault = RequestError(431, "more framing than body", rule_slug=Rule.CHUNKS.slug)
             return
-        if self._trailers:
+        if self._in_trailers:
             if line == b"\r\n":
                 self.done = True
-            elif not TRAILER.fullmatch(line):
-                self.fault = unreadable()
+            elif not TRAILER_PATTERN.fullmatch(line):
+                self.fault = invalid_chunks()
             return
-        told = SIZE.fullmatch(line)
+        told = CHUNK_SIZE_PATTERN.fullmatch(line)
         if told is None:
-            self.fault = unreadable()
+            self.fault = invalid_chunks()
             return
         length = int(told[1], 16)
-        self._trailers = length == 0
-        self._left = length + 2 if length else 0
-        self._data += length
+        self._in_trailers = length == 0
+        self._data_left = length + 2 if length else 0
+        self._data_bytes += length
--- a/brackengate/http/message.py
+++ b/brackengate/http/message.py
@@ -6,8 +6,8 @@
 
 from brackengate.http.body import Body
 
-MAX_HEAD = 16 << 10  # of a request, and of an answer with the interim ones before it
-REASONS = {
+MAX_HEAD_BYTES = 16 << 10  # of a request, and of an answer with the interim ones before it
+REASON_PHRASES = {
     200: b"OK",
     400: b"Bad Request",
     403: b"Forbidden",
@@ -29,23 +29,28 @@
 }
 
 
-class Bad(Exception):
+class RequestError(Exception):
     """A request that gets an answer of the server's own: the caller's fault, or a front's refusal.
 
     `reason`: the row of `rules` that it breaks, under which it is counted; then its connection ends too.
     """
 
-    def __init__(self, status: int, why: str, extra: bytes = b"", reason: str = "") -> None:
-        super().__init__(why)
-        self.status, self.why, self.extra, self.reason = status, why, extra, reason
+    def __init__(self, status: int, detail: str, extra_headers: bytes = b"", rule_slug: str = "") -> None:
+        super().__init__(detail)
+        self.status, self.detail, self.extra_headers, self.rule_slug = (
+            status,
+            detail,
+            extra_headers,
+            rule_slug,
+        )
 
 
-class LocalFault(Exception):
+class InvalidTransition(Exception):
     """A machine was asked for what its state does not allow: a fault of this program, never of a peer."""
 
 
 @dataclass(slots=True)
-class Arrival:
+class IncomingRequest:
     """A whole request, as it was parsed."""
 
     method: bytes
@@ -53,7 +58,9 @@
     headers: list[tuple[bytes, bytes]]
     body: bytes
     keep_alive: bool
-    at: int  # microseconds: when its last byte came, or where the body is still coming, when it was handed on
+    received_at: (
+        int  # microseconds: when its last byte came, or where the body is still coming, when it was handed on
+    )
     stream: Body | None = None  # in place of `body`: it is still coming
     version: str = "1.1"
     fields: dict[bytes, bytes] = field(default_factory=dict)  # by name in lower case, the last of each
@@ -69,21 +76,27 @@
         return []
 
 
-def first_line(status: int) -> bytes:
-    return b"HTTP/1.1 %d %s\r\n" % (status, REASONS.get(status, b"Status"))
+def status_line(status: int) -> bytes:
+    return b"HTTP/1.1 %d %s\r\n" % (status, REASON_PHRASES.get(status, b"Status"))
 
 
-def response(
-    status: int, body: bytes, content_type: bytes, retry_after: int, close: bool, extra: bytes = b""
+def encode_response(
+    status: int,
+    body: bytes,
+    content_type: bytes,
+    retry_after_us: int,
+    close: bool,
+    extra_headers: bytes = b"",
 ) -> bytes:
-    """A whole answer.  `retry_after` in microseconds: told as a decimal, as whole seconds would be coarse."""
+    """A whole answer.  `retry_after_us` in microseconds: told as a decimal, as whole seconds would be
+    coarse."""
     return b"HTTP/1.1 %d %s\r\nContent-Length: %d\r\n%s%s%s%s\r\n%s" % (
         status,
-        REASONS.get(status, b"Status"),
+        REASON_PHRASES.get(status, b"Status"),
         len(body),
         b"Content-Type: %s\r\n" % content_type if content_type else b"",
-        b"Retry-After: %.3f\r\n" % (retry_after / 1e6) if retry_after > 0 else b"",
-        extra,
+        b"Retry-After: %.3f\r\n" % (retry_after_us / 1e6) if retry_after_us > 0 else b"",
+        extra_headers,
         b"Connection: close\r\n" if close else b"",
         body,
     )
--- a/brackengate/http/rules.py
+++ b/brackengate/http/rules.py
@@ -11,22 +11,28 @@
 from collections.abc import Collection
 from enum import Enum
 
-TOKEN = rb"[!#$%&'*+.^_`|~0-9A-Za-z-]+"
-VALUE = rb"[\t -~\x80-\xff]*"
-FIELDS = rb"(?:" + TOKEN + rb":" + VALUE + rb"\r\n)*\r\n"
-REQUEST = re.compile(rb"(" + TOKEN + rb") ([!-~]+) HTTP/1\.[01]\r\n" + FIELDS)
-ANSWER = re.compile(rb"HTTP/1\.[01] [1-9][0-9][0-9](?: " + VALUE + rb")?\r\n" + FIELDS)
-STRAY = re.compile(rb"[\x00-\x08\x0b\x0c\x0e-\x1f\x7f]|\r(?!\n|\Z)|(?<!\r)\n")
-VERSION = re.compile(rb" HTTP/[0-9]+(?:\.[0-9]+)?\r\n")
-HOST = re.compile(rb"(?:[A-Za-z0-9._~!$&'()*+,;=%-]*|\[[0-9A-Fa-f:.]+\])(?::[0-9]*)?")
-ABSOLUTE = re.compile(rb"https?://([^/?#]*)(/[^#]*|\?[^#]*|)", re.I)
-
-NO_CONTENT = (b"GET", b"HEAD")
-ALWAYS_ONCE = frozenset(
+TOKEN_PATTERN = rb"[!#$%&'*+.^_`|~0-9A-Za-z-]+"
+VALUE_PATTERN = rb"[\t -~\x80-\xff]*"
+FIELD_LINES_PATTERN = rb"(?:" + TOKEN_PATTERN + rb":" + VALUE_PATTERN + rb"\r\n)*\r\n"
+REQUEST_HEAD_PATTERN = re.compile(
+    rb"(" + TOKEN_PATTERN + rb") ([!-~]+) HTTP/1\.[01]\r\n" + FIELD_LINES_PATTERN
+)
+RESPONSE_HEAD_PATTERN = re.compile(
+    rb"HTTP/1\.[01] [1-9][0-9][0-9](?: " + VALUE_PATTERN + rb")?\r\n" + FIELD_LINES_PATTERN
+)
+STRAY_BYTE_PATTERN = re.compile(rb"[\x00-\x08\x0b\x0c\x0e-\x1f\x7f]|\r(?!\n|\Z)|(?<!\r)\n")
+VERSION_PATTERN = re.compile(rb" HTTP/[0-9]+(?:\.[0-9]+)?\r\n")
+HOST_PATTERN = re.compile(rb"(?:[A-Za-z0-9._~!$&'()*+,;=%-]*|\[[0-9A-Fa-f:.]+\])(?::[0-9]*)?")
+ABSOLUTE_TARGET_PATTERN = re.compile(rb"https?://([^/?#]*)(/[^#]*|\?[^#]*|)", re.I)
+
+METHODS_WITHOUT_BODY = (b"GET", b"HEAD")
+SINGLE_REQUEST_HEADERS = frozenset(
     b"content-length transfer-encoding host expect content-type idempotency-key"
     b" x-txn x-lane x-remaining-ms x-org x-entity x-resent x-estimate x-labels".split()
 )
-ANSWER_ONCE = frozenset(b"content-length transfer-encoding content-type x-turned-away x-pressure".split())
+SINGLE_RESPONSE_HEADERS = frozenset(
+    b"content-length transfer-encoding content-type x-turned-away x-pressure".split()
+)
 
 Headers = list[tuple[bytes, bytes]]
 
@@ -58,26 +64,26 @@
         return self.value[1]
 
     @property
-    def words(self) -> str:
+    def description(self) -> str:
         return self.value[2]
 
 
-def broken_line(head: bytes, start: int = 0) -> bool:
+def has_stray_byte(head: bytes, start: int = 0) -> bool:
     """Whether what has come of a head can be no good one's beginning.  `start`: looked at from there on."""
-    return STRAY.search(head, start) is not None
+    return STRAY_BYTE_PATTERN.search(head, start) is not None
 
 
-def form(head: bytes, request: bool) -> Rule | None:
+def head_syntax_fault(head: bytes, request: bool) -> Rule | None:
     """What is wrong with the bytes of a whole head, from its first line to the empty one."""
-    if (REQUEST if request else ANSWER).fullmatch(head):
+    if (REQUEST_HEAD_PATTERN if request else RESPONSE_HEAD_PATTERN).fullmatch(head):
         return None
-    if STRAY.search(head):
+    if STRAY_BYTE_PATTERN.search(head):
         return Rule.LINE_ENDS
     first = head[: head.index(b"\r\n") + 2]
-    grammar = REQUEST if request else ANSWER
+    grammar = REQUEST_HEAD_PATTERN if request else RESPONSE_HEAD_PATTERN
     if grammar.fullmatch(first + b"\r\n"):
         return Rule.FIELD_LINE
-    found = VERSION.search(first) if request else None
+    found = VERSION_PATTERN.search(first) if request else None
     return Rule.VERSION if found and found[0][1:-2] not in (b"HTTP/1.0", b"HTTP/1.1") else Rule.FIRST_LINE
 
 
@@ -87,7 +93,7 @@
         return None if b"#" in target else target
     if target == b"*":
         return target if method == b"OPTIONS" else None
-    told = ABSOLUTE.fullmatch(target)
+    told = ABSOLUTE_TARGET_PATTERN.fullmatch(target)
     if told is None or told[1].lower() != host.lower() or not host:
         return None
     return told[2] if told[2].startswith(b"/") else b"/" + told[2]
@@ -98,56 +104,57 @@
     version: str,
     headers: Headers,
     fields: dict[bytes, bytes],
-    once: Collection[bytes] = ALWAYS_ONCE,
+    single_headers: Collection[bytes] = SINGLE_REQUEST_HEADERS,
 ) -> Rule | None:
     """What is wrong with a request's head that has the right form.
 
-    `fields`: the headers by name in lower case.  `once`: names that decide something here or upstream.
+    `fields`: the headers by name in lower case.  `single_headers`: names that decide something here or
+    upstream.
     """
     if len(fields) != len(headers) or any(b"_" in name for name in fields):
-        found = _repeated(headers, once)
+        found = _repeated_header(headers, single_headers)
         if found is not None:
             return found
     host = fields.get(b"host")
-    if (host is None and version != "1.0") or (host is not None and not HOST.fullmatch(host)):
+    if (host is None and version != "1.0") or (host is not None and not HOST_PATTERN.fullmatch(host)):
         return Rule.HOST
-    found = _framing(version, fields)
+    found = _framing_fault(version, fields)
     if found is not None:
         return found
-    if method in NO_CONTENT:
+    if method in METHODS_WITHOUT_BODY:
         has_length = int(fields.get(b"content-length", b"0")) > 0
         if has_length or b"transfer-encoding" in fields:
             return Rule.CONTENT
     named = fields.get(b"connection")
     if named is not None:
         tokens = {token.strip().lower() for token in named.split(b",")}
-        if not tokens.isdisjoint(once):
+        if not tokens.isdisjoint(single_headers):
             return Rule.UNNAMED
     return None
 
 
-def answer_fault(status: int, version: str, headers: Headers, fields: dict[bytes, bytes]) -> Rule | None:
+def response_fault(status: int, version: str, headers: Headers, fields: dict[bytes, bytes]) -> Rule | None:
     """What is wrong with an answer's head that has the right form."""
     if len(fields) != len(headers):
-        found = _repeated(headers, ANSWER_ONCE)
+        found = _repeated_header(headers, SINGLE_RESPONSE_HEADERS)
         if found is not None:
             return found
-    return _framing(version, fields)
+    return _framing_fault(version, fields)
 
 
-def _framing(version: str, fields: dict[bytes, bytes]) -> Rule | None:
+def _framing_fault(version: str, fields: dict[bytes, bytes]) -> Rule | None:
     """What the library leaves of this: lengths that are none, two, or beside a coding it refuses itself."""
     coding = fields.get(b"transfer-encoding")
     return None if coding is None or (coding.lower() == b"chunked" and version != "1.0") else Rule.CODING
 
 
-def _repeated(headers: Headers, once: Collection[bytes]) -> Rule | None:
+def _repeated_header(headers: Headers, single_headers: Collection[bytes]) -> Rule | None:
     seen: set[bytes] = set()
     for raw, _ in headers:
         name = raw.lower()
-        if name in seen and name in once:
+        if name in seen and name in single_headers:
             return Rule.HOST if name == b"host" else Rule.TWICE
         seen.add(name)
-        if b"_" in name and name.replace(b"_", b"-") in once:
+        if b"_" in name and name.replace(b"_", b"-") in single_headers:
             return Rule.DISGUISED
     return None
--- a/brackengate/installation/settings.py
+++ b/brackengate/installation/settings.py
@@ -5,7 +5,7 @@
 from dataclasses import dataclass
 
 from brackengate import interface as api
-from brackengate.http.rules import ALWAYS_ONCE
+from brackengate.http.rules import SINGLE_REQUEST_HEADERS
 from brackengate.installation.schema import File, Upstream
 from brackengate.net.sockets import Address, parse_address
 
@@ -77,7 +77,7 @@
     if file.queues.mode != "off":
         named.append(file.queues.place_header)
         named += [file.queues.client_header] if file.queues.client == "header" else []
-    return ALWAYS_ONCE.union(name.lower().encode() for name in named if name)
+    return SINGLE_REQUEST_HEADERS.union(name.lower().encode() for name in named if name)
 
 
 def listed(row: Upstream, since: int) -> tuple[api.Endpoint, Address]:
--- a/brackengate/lighthouse/control.py
+++ b/brackengate/lighthouse/control.py
@@ -8,7 +8,7 @@
 
 import msgspec
 
-from brackengate.http.message import Arrival, Bad
+from brackengate.http.message import IncomingRequest, RequestError
 from brackengate.lighthouse.commands import OPERATOR_PATIENCE, patience_for
 from brackengate.net.http import CallerConnection
 from brackengate.signals.door import MOST_BODY, collect, rpc
@@ -37,20 +37,20 @@
 
 
 class Control:
-    most_body = MOST_BODY
+    max_body_bytes = MOST_BODY
 
     def __init__(self, asks: Asks) -> None:
         self._asks = asks
 
-    def begin(self, arrival: Arrival, connection: CallerConnection) -> None:
+    def begin(self, arrival: IncomingRequest, connection: CallerConnection) -> None:
         call, _ = rpc(arrival.target)
         if call == "config.amend":
-            connection.hold(lambda: None)
+            connection.expect_answer(lambda: None)
             collect(arrival, lambda body: self._amend(body, connection))
         elif call == "config.read":
             self._ask(Read(), connection, call)
         else:
-            raise Bad(404, "no such call")
+            raise RequestError(404, "no such call")
 
     def _amend(self, body: bytes, connection: CallerConnection) -> None:
         try:
@@ -65,7 +65,7 @@
     ) -> None:
         """A caller that goes may be refused elsewhere: its call is not pursued any more."""
         number = self._asks.ask(what, lambda result: self._answer(connection, call, result), patience)
-        connection.hold(lambda: self._asks.withdraw(number))
+        connection.expect_answer(lambda: self._asks.withdraw(number))
 
     def _answer(self, connection: CallerConnection, call: str, result: CommandResult | None) -> None:
         status, body = answer_to(result)
--- a/brackengate/lighthouse/role.py
+++ b/brackengate/lighthouse/role.py
@@ -28,7 +28,7 @@
 from brackengate.lighthouse.replica import FIRST, Replica, StoredState
 from brackengate.lighthouse.store import Damaged, Drive, Waits, damaged
 from brackengate.lighthouse.watchroom import Watchroom
-from brackengate.net.ground import Ground
+from brackengate.net.environment import Environment
 from brackengate.net.node import Clock
 from brackengate.net.sockets import Address
 from brackengate.signals.door import listener
@@ -58,11 +58,13 @@
 
 
 class Lighthouse:
-    def __init__(self, settings: Settings, ground: Ground | None = None, drive: Waits | None = None) -> None:
+    def __init__(
+        self, settings: Settings, ground: Environment | None = None, drive: Waits | None = None
+    ) -> None:
         """`ground`, `drive`: what it stands on, and its disk; by default the machine's."""
         self.settings = settings
-        ground = ground or Ground(asyncio.get_running_loop(), random.Random())
-        self._loop, self._rng, self._bind, self.now = ground.loop, ground.rng, ground.bind, ground.steady
+        ground = ground or Environment(asyncio.get_running_loop(), random.Random())
+        self._loop, self._rng, self._bind, self.now = ground.loop, ground.rng, ground.bind, ground.monotonic
         self.clock = ground.clock or Clock()
         control = plain(settings.listen.control, "Control")
         self.me = f"{control[0]}:{control[1]}"
--- a/brackengate/net/ground.py
+++ b/brackengate/net/environment.py
@@ -16,12 +16,12 @@
     from brackengate.net.node import Clock
 
 
-def steady_us() -> int:
+def monotonic_clock_us() -> int:
     """Microseconds of the machine's clock that never steps."""
     return time.monotonic_ns() // 1000
 
 
-class Wire(Protocol):
+class NetworkBackend(Protocol):
     """What connections to upstreams stand on, where that is not the machine itself."""
 
     def now(self) -> int:
@@ -32,14 +32,14 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Ground:
+class Environment:
     loop: asyncio.AbstractEventLoop
     rng: random.Random  # whence secrets and all other seeds are drawn
-    wire: Wire | None = None  # None: the machine's clock and sockets
+    network: NetworkBackend | None = None  # None: the machine's clock and sockets
     clock: Clock | None = None  # of requests and deadlines; None: the machine's own
-    steady: Callable[[], int] = steady_us  # microseconds; the same through all lives of a process
+    monotonic: Callable[[], int] = monotonic_clock_us  # microseconds; the same through all lives of a process
     bind: Callable[[Address], socket.socket] = bind  # OSError where an address cannot be had
 
     @classmethod
-    def machine(cls) -> Ground:
+    def for_this_machine(cls) -> Environment:
         return cls(asyncio.get_running_loop(), random.SystemRandom())
--- a/brackengate/net/http.py
+++ b/brackengate/net/http.py
@@ -10,42 +10,43 @@
 from typing import Protocol, cast
 
 from brackengate.http import caller as machine
-from brackengate.http.body import WHOLE, AnswerStream, Body, ByteBudget
-from brackengate.http.message import Arrival, Bad
+from brackengate.http.body import MAX_UNSTREAMED_BYTES, Body, ByteBudget, ResponseStream
+from brackengate.http.message import IncomingRequest, RequestError
 from brackengate.interface import Request, RequestClass
 from brackengate.net.node import Caller, Clock, Message, Reply
 from brackengate.net.observer import FlowCounter, FlowWatch
 from brackengate.net.sockets import READ_BUFFER
 
-MAX_BODY = WHOLE  # where a front takes bodies whole
-MAX_LONG_BODY = 64 << 20  # where it takes them in pieces; they are said to hold 32 MB
-SEND_BUFFER = (
+MAX_BUFFERED_BODY_BYTES = MAX_UNSTREAMED_BYTES  # where a front takes bodies whole
+MAX_STREAMED_BODY_BYTES = 64 << 20  # where it takes them in pieces; they are said to hold 32 MB
+SEND_BUFFER_BYTES = (
     128 << 10
 )  # the kernel's, for a long answer: else seconds pass before a slow reader is seen to read
-OUT_AHEAD = 32 << 10  # of a long answer, what may wait here for its caller
-RESETS = struct.pack("ii", 1, 0)
-ANY = b"*"  # the front of every path that has none of its own
+MAX_UNSENT_BYTES = 32 << 10  # of a long answer, what may wait here for its caller
+LINGER_RESET = struct.pack("ii", 1, 0)
+ANY_PATH = b"*"  # the front of every path that has none of its own
 
 
-class Front(Protocol):
+class Frontend(Protocol):
     """What one path means: makes of a request one that the door takes, or answers it."""
 
-    most_body: int
-    """The longest body in bytes.  One of over MAX_BODY comes in pieces: then `Arrival.stream` is set."""
+    max_body_bytes: int
+    """The longest body in bytes.  One of over MAX_BODY comes in pieces: then `IncomingRequest.stream` is
+    set."""
 
-    def begin(self, arrival: Arrival, connection: CallerConnection) -> None:
-        """Call `connection.submit` or `connection.respond` once, or raise `Bad`."""
+    def begin(self, arrival: IncomingRequest, connection: CallerConnection) -> None:
+        """Call `connection.submit` or `connection.respond` once, or raise `RequestError`."""
 
 
-class Door(Protocol):
+class RequestStage(Protocol):
     """Where fronts hand requests in: the node, or a stage before it."""
 
     def submit(self, request: Request, message: Message, caller: Caller) -> None: ...
 
-    def gone(self, request: str, caller: Caller) -> None: ...
+    def client_disconnected(self, request: str, caller: Caller) -> None: ...
 
 
-class Inner(Door, Protocol):
+class InnerStage(RequestStage, Protocol):
     """The node, or a stage before it, as the next stage out needs it."""
 
     classes: dict[str, RequestClass]
@@ -55,7 +56,7 @@
         """Whether an attempt of it has been sent."""
 
 
-class Core(Inner, Protocol):
+class TerminalStage(InnerStage, Protocol):
     """What stands behind all stages: one node, or one for each pool."""
 
     def can_serve(self) -> bool:
@@ -65,45 +66,49 @@
         """Whether the id is in flight, or was of late."""
 
 
-class Host(Protocol):
+class ConnectionServer(Protocol):
     """The server, as its connections see it."""
 
     loop: asyncio.AbstractEventLoop
-    node: Core
-    door: Door
-    fronts: Mapping[bytes, Front]
-    once: Collection[bytes]
+    node: TerminalStage
+    stage: RequestStage
+    frontends: Mapping[bytes, Frontend]
+    single_headers: Collection[bytes]
     draining: bool
     flows: FlowWatch | None
-    bytes: ByteBudget
+    byte_budget: ByteBudget
 
-    def lost(self, connection: CallerConnection) -> None: ...
+    def connection_closed(self, connection: CallerConnection) -> None: ...
 
-    def stood_still(self) -> bool: ...
+    def recently_paused(self) -> bool: ...
 
-    def complain(self, bad: Bad) -> None: ...
+    def report_bad_request(self, bad: RequestError) -> None: ...
 
 
 class CallerConnection(asyncio.BufferedProtocol):
     """One caller's connection.  Requests are served one at a time, in the order in which they came."""
 
-    def __init__(self, server: Host) -> None:
+    def __init__(self, server: ConnectionServer) -> None:
         self._server, self._clock = server, server.node.clock
         self._loop = server.loop
-        self.machine = machine.CallerMachine(self._clock.now(), self._most_body, server.once)
+        self.machine = machine.CallerMachine(self._clock.now(), self._max_body_bytes, server.single_headers)
         self._transport: asyncio.Transport | None = None
         self.sock: socket.socket | None = None  # the transport's own gives no look at what is unread
-        self._gone: Callable[[], None] | None = None  # while a request is held: whom to tell that it goes
-        self._out: _Outgoing | None = None  # the long answer that is being passed on
+        self._on_caller_gone: Callable[[], None] | None = (
+            None  # while a request is held: whom to tell that it goes
+        )
+        self._streamed: _StreamedResponse | None = None  # the long answer that is being passed on
         self._flow: FlowCounter | None = None  # where somebody looks on
-        self._asked: tuple[str, str, int] | None = None  # the same: class, tenant and time of what is held
+        self._flow_request: tuple[str, str, int] | None = (
+            None  # the same: class, tenant and time of what is held
+        )
         self._peer = self.network = ""
-        self._todo: list[machine.Command] = []
+        self._queued_commands: list[machine.Command] = []
         self._busy = False
 
     # --- for the server
 
-    def unread(self) -> bool:
+    def has_unread_bytes(self) -> bool:
         """Whether bytes lie in the kernel that the loop has not met yet."""
         if self.sock is None:
             return False
@@ -112,13 +117,13 @@
         except OSError:  # nothing there, or it has gone
             return False
 
-    def abandoned(self) -> bool:
+    def closed_by_caller(self) -> bool:
         """Whether the caller has left and the loop has not met that yet.
 
         Guards against a process that thaws and sends on what was given up while it was frozen.  Only then is
         the kernel asked: a call of the system for each request has its price.
         """
-        if self.sock is None or not self._server.stood_still():
+        if self.sock is None or not self._server.recently_paused():
             return False
         try:
             return not self.sock.recv(1, socket.MSG_PEEK | socket.MSG_DONTWAIT)
@@ -128,10 +133,10 @@
             return True
 
     def close(self, at_once: bool = False) -> None:
-        self._do(self.machine.close(self._clock.now(), at_once))
+        self._execute_all(self.machine.close(self._clock.now(), at_once))
 
     def tick(self, now: int) -> None:
-        self._do(self.machine.tick(now))
+        self._execute_all(self.machine.tick(now))
 
     # --- asyncio.Protocol
 
@@ -149,7 +154,7 @@
     def buffer_updated(self, nbytes: int) -> None:
         if self._flow is not None:
             self._flow.received(nbytes)
-        self._do(self.machine.received(bytes(READ_BUFFER[:nbytes]), self._clock.now()))
+        self._execute_all(self.machine.received(bytes(READ_BUFFER[:nbytes]), self._clock.now()))
 
     def eof_received(self) -> bool:
         return False  # a caller that ends its sending has gone away
@@ -158,106 +163,106 @@
         if self._flow is not None and self._server.flows is not None:
             self._server.flows.ended(self._flow, exc is not None)
             self._flow = None
-        self._do(self.machine.lost())
-        self._server.lost(self)
+        self._execute_all(self.machine.connection_closed())
+        self._server.connection_closed(self)
 
     def pause_writing(self) -> None:
-        if self._out is not None:
-            self._out.stream.hold_back(True)
-        self._do(self.machine.full(True, self._clock.now()))
+        if self._streamed is not None:
+            self._streamed.stream.set_paused(True)
+        self._execute_all(self.machine.set_write_buffer_full(True, self._clock.now()))
 
     def resume_writing(self) -> None:
-        if self._out is not None:
-            self._out.taken()
-            self._out.stream.hold_back(False)
-        self._do(self.machine.full(False, self._clock.now()))
+        if self._streamed is not None:
+            self._streamed.drained()
+            self._streamed.stream.set_paused(False)
+        self._execute_all(self.machine.set_write_buffer_full(False, self._clock.now()))
 
     # --- carrying out
 
-    def _do(self, commands: list[machine.Command]) -> None:
+    def _execute_all(self, commands: list[machine.Command]) -> None:
         """In order; what comes of one is done after those that were said with it."""
         if self._busy:
-            self._todo += commands
+            self._queued_commands += commands
             return
         self._busy = True
         try:
             while commands:
                 for command in commands:
-                    self._carry_out(command)
-                commands, self._todo = self._todo, []
+                    self._execute(command)
+                commands, self._queued_commands = self._queued_commands, []
         finally:
             self._busy = False
 
-    def _carry_out(self, command: machine.Command) -> None:
+    def _execute(self, command: machine.Command) -> None:
         transport = self._transport
         if isinstance(command, machine.Deliver):
-            self._begin(command.arrival)
+            self._dispatch(command.arrival)
         elif isinstance(command, machine.Write):
             if transport is not None and not transport.is_closing():
                 if self._flow is not None:
                     self._flow.sent(len(command.data))
                 transport.write(command.data)
-        elif isinstance(command, machine.Feed):
+        elif isinstance(command, machine.FeedBody):
             assert command.arrival.stream is not None
             if not command.arrival.stream.feed(command.data):
-                self._do(self.machine.hold_back(True, self._clock.now()))
+                self._execute_all(self.machine.set_body_paused(True, self._clock.now()))
         elif isinstance(command, machine.OpenBody):
-            command.arrival.stream = Body(self._server.bytes, command.length, self._room)
+            command.arrival.stream = Body(self._server.byte_budget, command.length, self._body_has_room)
         elif isinstance(command, machine.EndBody):
             assert command.arrival.stream is not None
             command.arrival.stream.end()
-        elif isinstance(command, machine.CutBody):
-            self._gone = None
+        elif isinstance(command, machine.TruncateBody):
+            self._on_caller_gone = None
             if command.arrival.stream is not None:
-                command.arrival.stream.cut_off()
-        elif isinstance(command, machine.Gone):
-            gone, self._gone = self._gone, None
-            out, self._out = self._out, None
+                command.arrival.stream.truncate()
+        elif isinstance(command, machine.CallerGone):
+            gone, self._on_caller_gone = self._on_caller_gone, None
+            out, self._streamed = self._streamed, None
             if gone is not None:
                 gone()
             if out is not None:
-                out.gone()
-        elif isinstance(command, machine.Complain):
-            self._server.complain(command.bad)
-        elif isinstance(command, machine.Again):
-            self._loop.call_soon(self._again)
+                out.caller_gone()
+        elif isinstance(command, machine.ReportBadRequest):
+            self._server.report_bad_request(command.error)
+        elif isinstance(command, machine.ContinueLater):
+            self._loop.call_soon(self._resume_parsing)
         elif transport is None:
             return  # what is left is for a connection that has been made
         elif isinstance(command, machine.Close):
-            if command.resets and self.sock is not None:
-                self.sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, RESETS)
-            (transport.abort if command.at_once else transport.close)()
+            if command.reset and self.sock is not None:
+                self.sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, LINGER_RESET)
+            (transport.abort if command.immediately else transport.close)()
         elif not transport.is_closing():
-            if isinstance(command, machine.Read):
+            if isinstance(command, machine.SetReading):
                 (transport.resume_reading if command.on else transport.pause_reading)()
             else:
                 transport.write_eof()
 
-    def _again(self) -> None:
-        self._do(self.machine.go_on(self._clock.now()))
+    def _resume_parsing(self) -> None:
+        self._execute_all(self.machine.resume(self._clock.now()))
 
-    def _room(self) -> None:
+    def _body_has_room(self) -> None:
         """The body's reader has room again."""
-        self._do(self.machine.hold_back(False, self._clock.now()))
+        self._execute_all(self.machine.set_body_paused(False, self._clock.now()))
 
     # --- requests
 
-    def _begin(self, arrival: Arrival) -> None:
+    def _dispatch(self, arrival: IncomingRequest) -> None:
         try:
-            front = self._front(arrival.target)
+            front = self._frontend_for(arrival.target)
             if front is None:
-                raise Bad(404, "path")
+                raise RequestError(404, "path")
             front.begin(arrival, self)
-        except Bad as bad:
-            self._do(self.machine.refuse(bad, self._clock.now(), self._server.draining))
+        except RequestError as bad:
+            self._execute_all(self.machine.refuse(bad, self._clock.now(), self._server.draining))
 
-    def _front(self, target: bytes) -> Front | None:
-        fronts = self._server.fronts
-        return fronts.get(target.partition(b"?")[0]) or fronts.get(ANY)
+    def _frontend_for(self, target: bytes) -> Frontend | None:
+        fronts = self._server.frontends
+        return fronts.get(target.partition(b"?")[0]) or fronts.get(ANY_PATH)
 
-    def _most_body(self, target: bytes) -> int:
-        front = self._front(target)
-        return front.most_body if front is not None else MAX_BODY
+    def _max_body_bytes(self, target: bytes) -> int:
+        front = self._frontend_for(target)
+        return front.max_body_bytes if front is not None else MAX_BUFFERED_BODY_BYTES
 
     def peer(self) -> str:
         """The caller's address, without its port; empty once it has gone."""
@@ -270,96 +275,107 @@
         """A front's way on: `caller`, or this connection, gets the one answer."""
         awaits = caller or self
         if self._flow is not None:
-            self._asked = (request.class_name, request.tenant, self._clock.now())
-        self._gone = partial(self._server.door.gone, request.request, awaits)
-        self._server.door.submit(request, message, awaits)
+            self._flow_request = (request.class_name, request.tenant, self._clock.now())
+        self._on_caller_gone = partial(self._server.stage.client_disconnected, request.request, awaits)
+        self._server.stage.submit(request, message, awaits)
 
-    def hold(self, gone: Callable[[], None]) -> None:
+    def expect_answer(self, gone: Callable[[], None]) -> None:
         """A front that hands in by itself: `answer` is owed once, and `gone` is called if the caller goes."""
-        self._gone = gone
+        self._on_caller_gone = gone
 
     # --- answers
 
     def answer(self, reply: Reply) -> None:
         """The one answer to the request that is held for this connection."""
-        self._gone = None
-        if self._asked is not None and self._flow is not None and self._server.flows is not None:
-            (name, tenant, at), self._asked = self._asked, None
+        self._on_caller_gone = None
+        if self._flow_request is not None and self._flow is not None and self._server.flows is not None:
+            (name, tenant, at), self._flow_request = self._flow_request, None
             self._server.flows.request(self._flow, name, tenant, reply.status, self._clock.now() - at)
         if reply.stream is not None:
-            self._pass_on(reply, reply.stream)
+            self._start_streaming(reply, reply.stream)
         else:
-            self.respond(reply.status, reply.body, reply.content_type, reply.retry_after, reply.extra)
+            self.respond(
+                reply.status, reply.body, reply.content_type, reply.retry_after_us, reply.extra_headers
+            )
 
     def respond(
-        self, status: int, body: bytes, content_type: bytes = b"", retry_after: int = 0, extra: bytes = b""
+        self,
+        status: int,
+        body: bytes,
+        content_type: bytes = b"",
+        retry_after_us: int = 0,
+        extra_headers: bytes = b"",
     ) -> None:
-        """Answer the request that is being served.  `extra`: whole header lines."""
+        """Answer the request that is being served.  `extra_headers`: whole header lines."""
         draining = self._server.draining
-        self._do(
-            self.machine.answer(self._clock.now(), status, body, content_type, retry_after, extra, draining)
+        self._execute_all(
+            self.machine.answer(
+                self._clock.now(), status, body, content_type, retry_after_us, extra_headers, draining
+            )
         )
 
-    def _pass_on(self, reply: Reply, stream: AnswerStream) -> None:
+    def _start_streaming(self, reply: Reply, stream: ResponseStream) -> None:
         """Begin an answer whose rest comes in pieces."""
         transport, now = self._transport, self._clock.now()
         draining = self._server.draining
         head = self.machine.begin_answer(
-            now, stream.length, reply.content_type, reply.extra, draining, reply.status
+            now, stream.length, reply.content_type, reply.extra_headers, draining, reply.status
         )
         if not head or transport is None or transport.is_closing():
             return
         if self.sock is not None:
-            self.sock.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, SEND_BUFFER)
-        transport.set_write_buffer_limits(high=OUT_AHEAD)
-        self._out = stream.sink = _Outgoing(self, stream, self._server.bytes)
-        self._do(head)
-        self._out.piece(reply.body)
+            self.sock.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, SEND_BUFFER_BYTES)
+        transport.set_write_buffer_limits(high=MAX_UNSENT_BYTES)
+        self._streamed = stream.sink = _StreamedResponse(self, stream, self._server.byte_budget)
+        self._execute_all(head)
+        self._streamed.write(reply.body)
 
     def send_piece(self, data: bytes) -> int:
         """Write; how much of what was written waits here."""
         if self._transport is None or self._transport.is_closing():
             return 0
-        self._do(self.machine.piece(data))
+        self._execute_all(self.machine.answer_piece(data))
         return self._transport.get_write_buffer_size()
 
     def finish_answer(self) -> None:
-        self._out = None
+        self._streamed = None
         if self._transport is not None and not self._transport.is_closing():
             self._transport.set_write_buffer_limits()
-        self._do(self.machine.end_answer(self._clock.now()))
+        self._execute_all(self.machine.end_answer(self._clock.now()))
 
     def cut_answer(self) -> None:
-        self._out = None
-        self._do(self.machine.cut_answer(self._clock.now()))
+        self._streamed = None
+        self._execute_all(self.machine.abort_answer(self._clock.now()))
 
 
-class _Outgoing:
+class _StreamedResponse:
     """A long answer on its way to its caller, and what it holds of the process's bound."""
 
-    def __init__(self, connection: CallerConnection, stream: AnswerStream, budget: ByteBudget) -> None:
+    def __init__(self, connection: CallerConnection, stream: ResponseStream, budget: ByteBudget) -> None:
         self._connection, self.stream, self._budget = connection, stream, budget
-        self._held = 0
+        self._held_bytes = 0
 
-    def piece(self, data: bytes) -> None:
-        self._hold(self._connection.send_piece(data))
+    def write(self, data: bytes) -> None:
+        self._set_held_bytes(self._connection.send_piece(data))
 
     def finish(self) -> None:
-        self._hold(0)  # what still waits is no stream's any more, and bounded by OUT_AHEAD and a piece
+        self._set_held_bytes(
+            0
+        )  # what still waits is no stream's any more, and bounded by OUT_AHEAD and a piece
         self._connection.finish_answer()
 
-    def cut(self) -> None:
-        self._hold(0)
+    def truncate(self) -> None:
+        self._set_held_bytes(0)
         self._connection.cut_answer()
 
-    def taken(self) -> None:
+    def drained(self) -> None:
         """Its caller has taken what waited, or nearly."""
-        self._hold(0)
+        self._set_held_bytes(0)
 
-    def gone(self) -> None:
-        self._hold(0)
+    def caller_gone(self) -> None:
+        self._set_held_bytes(0)
         self.stream.abandon()
 
-    def _hold(self, count: int) -> None:
-        self._budget.take(count - self._held)
-        self._held = count
+    def _set_held_bytes(self, count: int) -> None:
+        self._budget.acquire(count - self._held_bytes)
+        self._held_bytes = count
--- a/brackengate/net/figures.py
+++ b/brackengate/net/metrics.py
@@ -9,42 +9,42 @@
 from brackengate.interface import Outcome, Request
 
 
-class Kind(Enum):
+class ResultKind(Enum):
     """How a request ended, as far as its caller is concerned."""
 
     SERVED = "success"
-    REFUSED = "busy"
+    BUSY = "busy"
     FAILED = "failure"
 
 
-def kind_of(status: int) -> Kind | None:
+def result_kind(status: int) -> ResultKind | None:
     """The one place that says what counts as what; None: nobody was there to have an answer."""
     if status == 0:
         return None
     if status == 200:
-        return Kind.SERVED
-    return Kind.REFUSED if status in (429, 503) else Kind.FAILED
+        return ResultKind.SERVED
+    return ResultKind.BUSY if status in (429, 503) else ResultKind.FAILED
 
 
-class Figures:
+class RequestMetrics:
     """Counts from the start of the process.  Bounded by classes and statuses."""
 
     def __init__(self) -> None:
-        self.taken_total = 0
+        self.started_total = 0
         self.ended_total = 0
         self.attempts_written = 0  # whole, to upstreams; probes are none
-        self.answers: Counter[tuple[str, int]] = Counter()
+        self.requests_by_status: Counter[tuple[str, int]] = Counter()
 
     @property
     def inflight(self) -> int:
         """Requests taken and not ended."""
-        return self.taken_total - self.ended_total
+        return self.started_total - self.ended_total
 
-    def by_kind(self, classes: Iterable[str]) -> dict[tuple[Kind, str], int]:
+    def count_by_result(self, classes: Iterable[str]) -> dict[tuple[ResultKind, str], int]:
         """By kind and class, with a zero for what has not happened."""
-        counts = {(kind, name): 0 for kind in Kind for name in classes}
-        for (name, status), count in self.answers.items():
-            kind = kind_of(status)
+        counts = {(kind, name): 0 for kind in ResultKind for name in classes}
+        for (name, status), count in self.requests_by_status.items():
+            kind = result_kind(status)
             if kind is not None:
                 counts[kind, name] = counts.get((kind, name), 0) + count
         return counts
@@ -55,11 +55,11 @@
         pass
 
     def taken(self, request: Request, at: int) -> None:
-        self.taken_total += 1
+        self.started_total += 1
 
     def ended(self, request: Request, status: int, began: int, at: int) -> None:
         self.ended_total += 1
-        self.answers[request.class_name, status] += 1
+        self.requests_by_status[request.class_name, status] += 1
 
     def attempt_began(self, request: Request, number: int, upstream: str, at: int) -> None:
         pass
--- a/brackengate/net/sockets.py
+++ b/brackengate/net/sockets.py
@@ -7,8 +7,10 @@
 from collections.abc import Callable
 
 Address = tuple[str, int]
-READ = 64 << 10  # bytes read at once
-READ_BUFFER = memoryview(bytearray(READ))  # each read is copied out of it before the next: one serves all
+READ_BYTES = 64 << 10  # bytes read at once
+READ_BUFFER = memoryview(
+    bytearray(READ_BYTES)
+)  # each read is copied out of it before the next: one serves all
 
 
 def parse_address(text: str) -> Address:
@@ -32,7 +34,7 @@
     return sock
 
 
-def listening(descriptor: int) -> socket.socket:
+def inherited_listener(descriptor: int) -> socket.socket:
     """An inherited TCP socket; OSError where the descriptor is closed, a file or does not listen."""
     sock = socket.socket(fileno=os.dup(descriptor))
     try:
@@ -65,63 +67,65 @@
     number, so idle connections make room before that.
     """
 
-    def __init__(self, limit: int, elsewhere: Callable[[], int] = lambda: 0) -> None:
-        """`elsewhere`: what other processes hold under the same limit."""
+    def __init__(self, limit: int, used_elsewhere: Callable[[], int] = lambda: 0) -> None:
+        """`used_elsewhere`: what other processes hold under the same limit."""
         self.limit = limit
-        self.taken = 0
-        self._elsewhere = elsewhere
-        self.own_bound = False  # whether the last refusal was by a bound on one user alone
+        self.in_use = 0
+        self._used_elsewhere = used_elsewhere
+        self.refused_by_own_limit = False  # whether the last refusal was by a bound on one user alone
         self._evictors: list[Callable[[], bool]] = []
 
-    def on_short(self, evict: Callable[[], bool]) -> None:
+    def add_evictor(self, evict: Callable[[], bool]) -> None:
         """Register a way to close one idle socket; those registered first are asked first."""
         self._evictors.append(evict)
 
-    def forget(self, evict: Callable[[], bool]) -> None:
+    def remove_evictor(self, evict: Callable[[], bool]) -> None:
         self._evictors.remove(evict)
 
-    def claim(self) -> bool:
+    def acquire(self) -> bool:
         """Take a place for one socket, if need be that of an idle one."""
-        if self.taken + self._elsewhere() >= self.limit and not any(evict() for evict in self._evictors):
+        if self.in_use + self._used_elsewhere() >= self.limit and not any(
+            evict() for evict in self._evictors
+        ):
             return False
-        self.taken += 1
+        self.in_use += 1
         return True
 
-    def free(self) -> None:
-        self.taken -= 1
+    def release(self) -> None:
+        self.in_use -= 1
 
 
-class PartBudget(SocketBudget):
+class NestedSocketBudget(SocketBudget):
     """A bound of its own within another budget: one user of sockets can't take all of them.
 
     Only its own idle sockets make room for it at its own bound.
     """
 
-    def __init__(self, whole: SocketBudget, limit: int) -> None:
+    def __init__(self, parent: SocketBudget, limit: int) -> None:
         super().__init__(limit)
-        self._whole = whole
-        self.whole_limit = whole.limit
+        self._parent = parent
+        self.parent_limit = parent.limit
         self.refused = 0
 
-    def on_short(self, evict: Callable[[], bool]) -> None:
-        super().on_short(evict)
-        self._whole.on_short(evict)
+    def add_evictor(self, evict: Callable[[], bool]) -> None:
+        super().add_evictor(evict)
+        self._parent.add_evictor(evict)
 
     def close(self) -> None:
         """Its user is gone."""
         for evict in self._evictors:
-            self._whole.forget(evict)
+            self._parent.remove_evictor(evict)
 
-    def claim(self) -> bool:
-        self.own_bound = not super().claim()
-        if self.own_bound:
+    def acquire(self) -> bool:
+        self.refused_by_own_limit = not super().acquire()
+        if self.refused_by_own_limit:
             self.refused += 1
             return False
-        if not self._whole.claim():
-            self.taken -= 1
+        if not self._parent.acquire():
+            self.in_use -= 1
             return False
         return True
 
-    def free(self) -> None:
-        super().free()
-        self._whole.free()
+    def release(self) -> None:
+        super().release()
+        self._parent.release()
--- a/brackengate/pilot/beats.py
+++ b/brackengate/pilot/beats.py
@@ -7,7 +7,7 @@
 
 import msgspec
 
-from brackengate.http.message import Arrival, Bad
+from brackengate.http.message import IncomingRequest, RequestError
 from brackengate.installation.units import duration
 from brackengate.net.http import CallerConnection
 from brackengate.pilot.gate import Beat
@@ -30,12 +30,12 @@
 class Beats:
     """The front of `Control` on machines with an upstream."""
 
-    most_body = 64 << 10
+    max_body_bytes = 64 << 10
 
     def __init__(self, heard: Callable[[Beat], None], leaves: Callable[[str], None]) -> None:
         self._heard, self._leaves = heard, leaves
 
-    def begin(self, arrival: Arrival, connection: CallerConnection) -> None:
+    def begin(self, arrival: IncomingRequest, connection: CallerConnection) -> None:
         call, of = rpc(arrival.target)
         if call == "instances.feedback" and of:
             collect(arrival, lambda body: self._beat(of, body, connection))
@@ -43,7 +43,7 @@
             self._leaves(of)
             connection.respond(200, b"{}", JSON)
         else:
-            raise Bad(404, "no such call")
+            raise RequestError(404, "no such call")
 
     def _beat(self, of: str, body: bytes, connection: CallerConnection) -> None:
         try:
@@ -51,7 +51,7 @@
             warmup = int(duration(said.warmup_left))
         except (msgspec.DecodeError, ValueError) as error:
             log.warning("beats: unreadable from %s: %s", of, error)
-            raise Bad(400, "not a beat") from None
+            raise RequestError(400, "not a beat") from None
         self._heard(
             Beat(of, said.plant, said.state, max(1, said.capacity), warmup, said.call_count, said.zone)
         )
--- a/brackengate/pilot/entry.py
+++ b/brackengate/pilot/entry.py
@@ -11,14 +11,14 @@
 from functools import partial
 from typing import Any
 
-from brackengate.http.body import WHOLE, AnswerSink, AnswerStream
-from brackengate.http.message import Arrival, Bad
-from brackengate.http.upstream import MAX_ANSWER, Answered
+from brackengate.http.body import MAX_UNSTREAMED_BYTES, ResponseSink, ResponseStream
+from brackengate.http.message import IncomingRequest, RequestError
+from brackengate.http.upstream import MAX_BUFFERED_RESPONSE_BYTES, UpstreamResponse
 from brackengate.interface import Outcome
 from brackengate.net.http import CallerConnection
 from brackengate.net.node import Clock, Reply
 from brackengate.net.sockets import Address
-from brackengate.net.upstream import Begun, Job, Pool, Result
+from brackengate.net.upstream import Job, Pool, Result, StreamAcceptor
 from brackengate.pilot.gate import Gate, State
 from brackengate.pilot.hop import (
     ATTEMPT,
@@ -50,7 +50,7 @@
 class Entry:
     """The front of `Inbound`."""
 
-    most_body = MOST_BODY
+    max_body_bytes = MOST_BODY
 
     def __init__(
         self,
@@ -77,19 +77,19 @@
         self.visits: set[Visit] = set()
         self._running: set[Visit] = set()  # whose job the upstream has, also where nobody awaits it any more
 
-    def begin(self, arrival: Arrival, connection: CallerConnection) -> None:
+    def begin(self, arrival: IncomingRequest, connection: CallerConnection) -> None:
         step = step_of(arrival.fields)
         left = arrival.fields.get(DEADLINE.lower(), b"")
         if step is None or not left.isdigit():
-            raise Bad(400, "this door is for pilots")
-        if connection.abandoned():
+            raise RequestError(400, "this door is for pilots")
+        if connection.closed_by_caller():
             return
-        visit = Visit(arrival, connection, step, arrival.at + int(left) * 1000)
-        connection.hold(partial(self._gone, visit))
+        visit = Visit(arrival, connection, step, arrival.received_at + int(left) * 1000)
+        connection.expect_answer(partial(self._gone, visit))
         self.visits.add(visit)
         self._await(visit)
         if arrival.stream is not None:
-            arrival.stream.on_end = partial(self._body_ended, visit, visit.deadline - arrival.at)
+            arrival.stream.on_end = partial(self._body_ended, visit, visit.deadline - arrival.received_at)
         if step.keyed:
             self._keys.comes(visit)
         else:
@@ -125,7 +125,7 @@
         head = forwarded(visit.arrival, drop=(HOP, DEADLINE, TARGET))
         head += b"%s: %s\r\n%s: %d\r\n\r\n" % (TARGET, beat.id.encode(), DEADLINE, left)
         visit.ticket = self.load.sent(visit.step.route, self._clock.now())
-        self._pool.wanted = {beat.id: self._application}
+        self._pool.addresses = {beat.id: self._application}
         self._running.add(visit)
         visit.job = self._pool.start(
             beat.id,
@@ -133,10 +133,10 @@
             head + visit.arrival.body,
             partial(self._ran, visit),
             body=visit.arrival.stream,
-            begun=self.passes(visit, partial(passed_on, drop=(HOP, UNRUN), add=RAN)),
-            whole=WHOLE if visit.operation is None else MAX_ANSWER,
-            call=visit.arrival.fields.get(ID, b""),
-            wanted=partial(self._wanted, visit),
+            on_streaming=self.passes(visit, partial(passed_on, drop=(HOP, UNRUN), add=RAN)),
+            unstreamed_bytes=MAX_UNSTREAMED_BYTES if visit.operation is None else MAX_BUFFERED_RESPONSE_BYTES,
+            call_id=visit.arrival.fields.get(ID, b""),
+            still_wanted=partial(self._wanted, visit),
         )
         if visit.operation is not None and not visit.open:
             self._bound(visit.job, visit)
@@ -144,7 +144,7 @@
     def _wanted(self, visit: Visit) -> bool:
         """Whether somebody still awaits it; asked before it is sent, in case this process stood still."""
         in_time = visit.open or self._clock.now() < visit.deadline
-        return in_time and not visit.over and not visit.connection.abandoned()
+        return in_time and not visit.over and not visit.connection.closed_by_caller()
 
     def _bound(self, job: Job, visit: Visit) -> None:
         """An operation goes on without its caller, but not for ever."""
@@ -158,14 +158,14 @@
     def _ran(self, visit: Visit, result: Result) -> None:
         visit.job = None
         self._running.discard(visit)
-        operation, answer = visit.operation, result.answer
+        operation, answer = visit.operation, result.response
         self._unload(visit, result.outcome is Outcome.OK)
         if self.passed(visit, result):
             return
         if result.outcome is Outcome.OK and answer is not None:
             reply = passed_on(answer, drop=(HOP, UNRUN), add=RAN)
             if operation is not None:
-                self._keys.operations.keep(operation, reply, len(reply.body) + len(reply.extra))
+                self._keys.operations.keep(operation, reply, len(reply.body) + len(reply.extra_headers))
             self.answer(visit, reply)
         elif result.outcome in (Outcome.REJECTED, Outcome.CONNECT_FAILED, Outcome.NOT_SENT):
             said = Said.SHED if result.outcome is Outcome.REJECTED else Said.UNREACHED
@@ -193,7 +193,7 @@
         """A request that came in pieces is whole: its time counts from here.  Or its rest will not come."""
         stream, job = visit.arrival.stream, visit.job
         assert stream is not None
-        if stream.cut:
+        if stream.truncated:
             self._end(visit)
             if job is not None and not job.written:
                 job.give_up(Outcome.CONNECT_FAILED)  # what is not written whole has not run
@@ -203,14 +203,18 @@
             if visit.operation is not None and job is not None:
                 self._bound(job, visit)
 
-    def passes(self, visit: Visit, made: Callable[[Answered], Reply]) -> Begun | None:
+    def passes(self, visit: Visit, made: Callable[[UpstreamResponse], Reply]) -> StreamAcceptor | None:
         """Who takes a long answer; none where a length is told and no body follows.  `made`: what goes back
         of its head."""
         return None if visit.arrival.method == b"HEAD" else partial(self._begun, visit, made)
 
     def _begun(
-        self, visit: Visit, made: Callable[[Answered], Reply], head: Answered, stream: AnswerStream
-    ) -> AnswerSink | None:
+        self,
+        visit: Visit,
+        made: Callable[[UpstreamResponse], Reply],
+        head: UpstreamResponse,
+        stream: ResponseStream,
+    ) -> ResponseSink | None:
         """A long answer's head and first bytes are there: it is the caller's from here on.
 
         It is not kept: of its operation nobody can be told any more than that it has run.
@@ -235,14 +239,14 @@
         sink, visit.sink = visit.sink, None
         if sink is None:
             return False
-        (sink.finish if result.outcome is Outcome.OK else sink.cut)()
+        (sink.finish if result.outcome is Outcome.OK else sink.truncate)()
         self._end(visit)
         return True
 
     def let_go(self, visit: Visit) -> None:
         """Nobody will read its body any more: what is held of it counts."""
         if visit.over and visit.job is None and visit.arrival.stream is not None:
-            visit.arrival.stream.cut_off()
+            visit.arrival.stream.truncate()
 
     # --- answers
 
@@ -250,7 +254,7 @@
         if visit.over:
             return
         self._end(visit)
-        fields, at, step = visit.arrival.fields, visit.arrival.at, visit.step
+        fields, at, step = visit.arrival.fields, visit.arrival.received_at, visit.step
         key = fields.get(KEY.lower(), b"") if step.keyed else b""
         took = self._clock.now() - at
         self._wake.visited(fields.get(ID, b""), at, took, step.route, step.instance, key, said, why)
--- a/brackengate/pilot/hop.py
+++ b/brackengate/pilot/hop.py
@@ -10,8 +10,8 @@
 from dataclasses import dataclass
 from enum import Enum
 
-from brackengate.http.message import Arrival
-from brackengate.http.upstream import Answered
+from brackengate.http.message import IncomingRequest
+from brackengate.http.upstream import UpstreamResponse
 from brackengate.net.node import Reply
 
 ATTEMPT = b"X-Brackengate-Attempt-Id"
@@ -82,7 +82,7 @@
     return _SAID.get(fields.get(HOP.lower(), b""))
 
 
-def forwarded(arrival: Arrival, drop: tuple[bytes, ...]) -> bytes:
+def forwarded(arrival: IncomingRequest, drop: tuple[bytes, ...]) -> bytes:
     """A request's head as it goes on, without the headers of one connection and those that are dropped."""
     dropped = HOP_BY_HOP | {name.lower() for name in drop}
     named = arrival.fields.get(b"connection")
@@ -98,20 +98,20 @@
     return b"\r\n".join(lines) + b"\r\n"
 
 
-def turned_down(arrival: Arrival, status: int, said: Said) -> Reply:
+def turned_down(arrival: IncomingRequest, status: int, said: Said) -> Reply:
     """The word of a proxy itself; it bears the call's id, so that the other one can tell whose it is."""
     extra = b"%s: %s\r\n" % (HOP, said.value)
     asked = arrival.fields.get(ATTEMPT.lower())
     if asked is not None:
         extra += b"%s: %s\r\n" % (ATTEMPT, asked)
-    return Reply(status, extra=extra)
+    return Reply(status, extra_headers=extra)
 
 
-def passed_on(answer: Answered, drop: tuple[bytes, ...] = (HOP,), add: bytes = b"") -> Reply:
+def passed_on(answer: UpstreamResponse, drop: tuple[bytes, ...] = (HOP,), add: bytes = b"") -> Reply:
     """An answer as it goes back."""
     dropped = HOP_BY_HOP | {name.lower() for name in drop}
     named = answer.fields.get(b"connection")
     if named is not None:
         dropped |= {token.strip().lower() for token in named.split(b",")} - {ATTEMPT.lower(), SEAL.lower()}
     extra = [b"%s: %s\r\n" % (name, value) for name, value in answer.headers if name.lower() not in dropped]
-    return Reply(answer.status, answer.body, extra=b"".join(extra) + add)
+    return Reply(answer.status, answer.body, extra_headers=b"".join(extra) + add)
--- a/brackengate/pilot/keys.py
+++ b/brackengate/pilot/keys.py
@@ -12,7 +12,7 @@
 from functools import partial
 from typing import Any
 
-from brackengate.http.message import Arrival
+from brackengate.http.message import IncomingRequest
 from brackengate.interface import Outcome
 from brackengate.net.node import Clock, Reply
 from brackengate.net.sockets import Address
@@ -108,7 +108,7 @@
     def _waiting(self, operation: Operation) -> list[Visit]:
         waiters, operation.waiters = operation.waiters, []
         visits = [visit for visit in waiters if isinstance(visit, Visit) and not visit.over]
-        return [visit for visit in visits if not visit.connection.abandoned()]
+        return [visit for visit in visits if not visit.connection.closed_by_caller()]
 
     def settle(self, operation: Operation) -> None:
         """It has come to another state: those who wait hear of it."""
@@ -182,13 +182,13 @@
         head = forwarded(visit.arrival, drop=(HOP, DEADLINE))
         head += b"%s%s: %d\r\n\r\n" % (step.lines(), DEADLINE, left)
         name = f"gate {operation.holder}"
-        self._peers.wanted[name] = address
+        self._peers.addresses[name] = address
 
         def done(result: Result) -> None:
             visit.job = None
             if self._host.passed(visit, result):
                 return
-            answer = result.answer
+            answer = result.response
             said = hop_of(answer.fields) if answer is not None else None
             if answer is not None and said is Said.RAN:
                 self._host.answer(visit, passed_on(answer, drop=()), why=f"by the gate {operation.holder}")
@@ -208,7 +208,7 @@
             head + visit.arrival.body,
             done,
             body=visit.arrival.stream,
-            begun=self._host.passes(visit, partial(passed_on, drop=())),
+            on_streaming=self._host.passes(visit, partial(passed_on, drop=())),
         )
 
     def _read_off(self, visit: Visit, reply: Reply) -> None:
@@ -220,7 +220,7 @@
         def wake() -> None:
             while stream.take() is not None:
                 pass
-            if stream.over:
+            if stream.fully_taken:
                 self._host.answer(visit, reply)
 
         if stream.open(wake):
@@ -229,12 +229,14 @@
             self._host.say(visit, Said.UNKNOWN)
 
 
-def _again(reply: Reply, arrival: Arrival) -> Reply:
+def _again(reply: Reply, arrival: IncomingRequest) -> Reply:
     """The first try's answer for another try: only whose answer it is differs."""
     lines = [
-        line for line in reply.extra.split(b"\r\n") if line and not line.lower().startswith(ATTEMPT.lower())
+        line
+        for line in reply.extra_headers.split(b"\r\n")
+        if line and not line.lower().startswith(ATTEMPT.lower())
     ]
     asked = arrival.fields.get(ATTEMPT.lower())
     if asked is not None:
         lines.append(b"%s: %s" % (ATTEMPT, asked))
-    return Reply(reply.status, reply.body, extra=b"".join(line + b"\r\n" for line in lines))
+    return Reply(reply.status, reply.body, extra_headers=b"".join(line + b"\r\n" for line in lines))
--- a/brackengate/pilot/role.py
+++ b/brackengate/pilot/role.py
@@ -20,7 +20,7 @@
 import msgspec
 
 from brackengate.http.body import ByteBudget
-from brackengate.net.ground import Ground
+from brackengate.net.environment import Environment
 from brackengate.net.node import Clock
 from brackengate.net.server import Server
 from brackengate.net.sockets import Address, SocketBudget
@@ -54,12 +54,12 @@
 
 class Pilot:
     def __init__(
-        self, settings: Settings, read: Callable[[], Settings], ground: Ground | None = None
+        self, settings: Settings, read: Callable[[], Settings], ground: Environment | None = None
     ) -> None:
         """`read`: the settings as the file has them by now; BadSettings where it can't be used.  `ground`:
         what it stands on; by default the machine."""
         self.settings, self._read = settings, read
-        ground = ground or Ground(asyncio.get_running_loop(), random.Random())
+        ground = ground or Environment(asyncio.get_running_loop(), random.Random())
         loop, rng, bind = ground.loop, ground.rng, ground.bind
         self._loop = loop
         clock = self.clock = ground.clock or Clock()
@@ -72,7 +72,7 @@
         inbound = plain(settings.listen.inbound, "Inbound")
         self._port = inbound[1]
         self.table = Table()
-        wake, wire = Wake(), ground.wire
+        wake, wire = Wake(), ground.network
         self.gate = Gate(
             settings.zone, settings.feedback, settings.bounds.drain, f"{rng.getrandbits(32):08x}"
         )
@@ -83,14 +83,21 @@
             CONNECT_S,
             IDLE_S,
             bytes_,
-            wire=wire,
-            judge=judge,
-            settle=0,
-            silent_ms=SILENT_MS,
-            slow=False,
+            network=wire,
+            classify=judge,
+            settle_us=0,
+            tcp_user_timeout_ms=SILENT_MS,
+            stream_slow_responses=False,
         )
         self._own = Pool(
-            loop, self._budget, CONNECT_S, IDLE_S, bytes_, wire=wire, judge=own_judge, slow=False
+            loop,
+            self._budget,
+            CONNECT_S,
+            IDLE_S,
+            bytes_,
+            network=wire,
+            classify=own_judge,
+            stream_slow_responses=False,
         )
         self.following = Following(
             settings.ip,
@@ -193,7 +200,7 @@
             return
         self._leaving = True
         log.info("pilot: leaving, with %d requests held", self.way.held() + self.entry.held())
-        self._clients.ask_to_go(True)
+        self._clients.set_draining(True)
         now, longest = self.clock.now(), max((route.cutoff for route in self.table.routes()), default=0)
         plan = LeavePlan(now, self.settings.bounds.grace, longest)
         self.way.leave(plan)
@@ -213,7 +220,7 @@
         """Other proxies' connections end with their next answer, and not before the news has reached them:
         a close that crosses a request leaves its caller without knowing whether it ran."""
         self.gate.closed = True
-        self._gate_door.ask_to_go(True)
+        self._gate_door.set_draining(True)
 
     def _look_out(self, plan: LeavePlan) -> None:
         held = self.way.held() + self.entry.held()
@@ -233,12 +240,12 @@
         before = self.gate.beat
         self.gate.heard(beat, self.clock.now())
         if before is not None and before.id != beat.id:
-            self._own.release(before.id)
+            self._own.close_idle(before.id)
         self._reconcile()
 
     def _leave(self, id_: str) -> None:
         self.gate.leaves(id_)
-        self._own.release(id_)
+        self._own.close_idle(id_)
         self._reconcile()
 
     def _report(self) -> None:
@@ -291,7 +298,7 @@
     def _cut_off(self, machine: str) -> None:
         """And that nothing waits for one which has not answered for long, nor on a connection."""
         self.way.given_up(machine)
-        self._gates.break_off(machine)
+        self._gates.reset_connections(machine)
 
 
 def _said(instance: Instance) -> tuple[str, str, str]:
--- a/brackengate/pilot/unrouted.py
+++ b/brackengate/pilot/unrouted.py
@@ -10,9 +10,9 @@
 from collections.abc import Callable
 from dataclasses import dataclass
 
-from brackengate.http.message import Arrival
+from brackengate.http.message import IncomingRequest
 from brackengate.net.http import CallerConnection
-from brackengate.net.node import REFUSED, Reply
+from brackengate.net.node import STATUS_UNAVAILABLE, Reply
 
 HOLD_S = 0.15
 RETRY_AFTER = 100_000  # microseconds
@@ -21,7 +21,7 @@
 
 @dataclass(eq=False, slots=True)
 class Held:
-    arrival: Arrival
+    arrival: IncomingRequest
     connection: CallerConnection
     timer: asyncio.TimerHandle
 
@@ -31,16 +31,16 @@
         self,
         loop: asyncio.AbstractEventLoop,
         is_current: Callable[[], bool],
-        begin: Callable[[Arrival, CallerConnection], bool],
+        begin: Callable[[IncomingRequest, CallerConnection], bool],
     ) -> None:
         """`begin`: sends a request on its way; False: there is no route for it."""
         self._loop, self._is_current, self._begin = loop, is_current, begin
         self._held: list[Held] = []
 
-    def hold(self, arrival: Arrival, connection: CallerConnection) -> None:
+    def hold(self, arrival: IncomingRequest, connection: CallerConnection) -> None:
         held = Held(arrival, connection, self._loop.call_later(HOLD_S, lambda: self._over(held)))
         self._held.append(held)
-        connection.hold(lambda: self._drop(held))
+        connection.expect_answer(lambda: self._drop(held))
 
     def look(self) -> None:
         """What is in force, or how current it is, has changed."""
@@ -54,7 +54,7 @@
         return len(self._held)
 
     def _over(self, held: Held) -> None:
-        self._end(held, Reply(REFUSED, retry_after=RETRY_AFTER))
+        self._end(held, Reply(STATUS_UNAVAILABLE, retry_after_us=RETRY_AFTER))
 
     def _end(self, held: Held, reply: Reply) -> None:
         self._drop(held)
--- a/brackengate/pilot/verdict.py
+++ b/brackengate/pilot/verdict.py
@@ -8,7 +8,7 @@
 
 from __future__ import annotations
 
-from brackengate.http.upstream import Answered
+from brackengate.http.upstream import UpstreamResponse
 from brackengate.interface import Outcome
 from brackengate.net.upstream import Result
 from brackengate.pilot.hop import ATTEMPT, SEAL, UNRUN, Said, hop_of
@@ -43,37 +43,39 @@
     return head[start : head.index(b"\r\n", start)].strip()
 
 
-def own_judge(payload: bytes, answer: Answered) -> Result:
+def own_judge(payload: bytes, answer: UpstreamResponse) -> Result:
     """What an upstream's answer means, by its head."""
     told = answer.fields.get(_ID)
     if _twofold(answer):
-        return Result(Outcome.ERROR, astray=True)
+        return Result(Outcome.ERROR, mismatched=True)
     if told != call_id(payload):
-        return Result(Outcome.ERROR if told is None else Outcome.RESET, astray=True)
+        return Result(Outcome.ERROR if told is None else Outcome.RESET, mismatched=True)
     if _UNRUN in answer.fields or answer.status == MISDIRECTED:
-        return Result(Outcome.REJECTED, answer=answer)
+        return Result(Outcome.REJECTED, response=answer)
     if answer.status in PROMISES:
         return Result(Outcome.ERROR)  # without that header it proves nothing, and would become our promise
     if _lacks_seal(answer):
-        return Result(Outcome.ERROR, astray=True)
-    return Result(Outcome.OK, answer=answer)
+        return Result(Outcome.ERROR, mismatched=True)
+    return Result(Outcome.OK, response=answer)
 
 
-def judge(payload: bytes, answer: Answered) -> Result:
+def judge(payload: bytes, answer: UpstreamResponse) -> Result:
     """What the answer of the proxy beside an upstream means to the module that chooses among upstreams."""
     said = hop_of(answer.fields)
     if said is None:
-        return Result(Outcome.TIMEOUT, astray=True)  # a listener's own words; which call they are for is open
+        return Result(
+            Outcome.TIMEOUT, mismatched=True
+        )  # a listener's own words; which call they are for is open
     if answer.fields.get(_ID) != call_id(payload) or _twofold(answer):
-        return Result(Outcome.RESET, astray=True)
+        return Result(Outcome.RESET, mismatched=True)
     if said is not Said.RAN:
-        return Result(_OUTCOMES[said], answer=answer)
+        return Result(_OUTCOMES[said], response=answer)
     if answer.status in PROMISES or _lacks_seal(answer):
-        return Result(Outcome.TIMEOUT, astray=True)
-    return Result(Outcome.OK if answer.status < 500 else Outcome.ERROR, answer=answer)
+        return Result(Outcome.TIMEOUT, mismatched=True)
+    return Result(Outcome.OK if answer.status < 500 else Outcome.ERROR, response=answer)
 
 
-def _twofold(answer: Answered) -> bool:
+def _twofold(answer: UpstreamResponse) -> bool:
     """Whether it names two ids or two seals: each reader could take another one for its own."""
     if len(answer.headers) <= len(answer.fields):
         return False
@@ -81,6 +83,6 @@
     return max(names.count(_ID), names.count(_SEAL)) > 1
 
 
-def _lacks_seal(answer: Answered) -> bool:
+def _lacks_seal(answer: UpstreamResponse) -> bool:
     """Whether it is a success that no upstream has put its seal to."""
     return answer.status < 300 and _SEAL not in answer.fields
--- a/brackengate/pilot/visit.py
+++ b/brackengate/pilot/visit.py
@@ -7,12 +7,12 @@
 from dataclasses import dataclass
 from typing import Protocol
 
-from brackengate.http.body import AnswerSink
-from brackengate.http.message import Arrival
-from brackengate.http.upstream import Answered
+from brackengate.http.body import ResponseSink
+from brackengate.http.message import IncomingRequest
+from brackengate.http.upstream import UpstreamResponse
 from brackengate.net.http import CallerConnection
 from brackengate.net.node import Reply
-from brackengate.net.upstream import Begun, Job, Result
+from brackengate.net.upstream import Job, Result, StreamAcceptor
 from brackengate.pilot.gate import Operation
 from brackengate.pilot.hop import Said, Step
 from brackengate.pilot.load import Ticket
@@ -22,7 +22,7 @@
 class Visit:
     """One request at the gate, until it is answered."""
 
-    arrival: Arrival
+    arrival: IncomingRequest
     connection: CallerConnection
     step: Step
     deadline: int
@@ -30,14 +30,14 @@
     job: Job | None = None
     operation: Operation | None = None
     ticket: Ticket | None = None
-    sink: AnswerSink | None = None  # once a long answer is passed on
+    sink: ResponseSink | None = None  # once a long answer is passed on
     over: bool = False  # it is answered, or its answer has begun, or nobody awaits one
 
     @property
     def open(self) -> bool:
         """Whether its body is still coming."""
         stream = self.arrival.stream
-        return stream is not None and not stream.whole
+        return stream is not None and not stream.complete
 
 
 class Host(Protocol):
@@ -54,7 +54,7 @@
 
     def answer(self, visit: Visit, reply: Reply, said: Said = Said.RAN, why: str = "") -> None: ...
 
-    def passes(self, visit: Visit, made: Callable[[Answered], Reply]) -> Begun | None:
+    def passes(self, visit: Visit, made: Callable[[UpstreamResponse], Reply]) -> StreamAcceptor | None:
         """Who takes a long answer to it."""
 
     def passed(self, visit: Visit, result: Result) -> bool:
--- a/brackengate/pilot/way.py
+++ b/brackengate/pilot/way.py
@@ -12,8 +12,8 @@
 
 from brackengate.brain import Balancer
 from brackengate.http.body import ByteBudget
-from brackengate.http.message import Arrival, Bad
-from brackengate.http.upstream import Answered
+from brackengate.http.message import IncomingRequest, RequestError
+from brackengate.http.upstream import UpstreamResponse
 from brackengate.interface import (
     ClassesChanged,
     Earlier,
@@ -26,9 +26,17 @@
     Settings,
     Standing,
 )
-from brackengate.net.ground import Wire
+from brackengate.net.environment import NetworkBackend
 from brackengate.net.http import CallerConnection
-from brackengate.net.node import FAILED, OVERDUE, REFUSED, Clock, Message, Node, Reply
+from brackengate.net.node import (
+    STATUS_BAD_GATEWAY,
+    STATUS_GATEWAY_TIMEOUT,
+    STATUS_UNAVAILABLE,
+    Clock,
+    Message,
+    Node,
+    Reply,
+)
 from brackengate.net.sockets import Address, SocketBudget
 from brackengate.net.upstream import Pool, Result
 from brackengate.pilot.budget import ration
@@ -81,28 +89,28 @@
 class MeshWords:
     """Upstreams' answers go back as they are; refusals say when to come back."""
 
-    def served(self, result: Result) -> Reply:
-        answer = result.answer
+    def success(self, result: Result) -> Reply:
+        answer = result.response
         assert answer is not None
         return passed_on(answer)
 
-    def begins(self, head: Answered) -> Reply:
+    def streaming(self, head: UpstreamResponse) -> Reply:
         return passed_on(head)
 
-    def unserved(self, status: int, retry_after: int, last: Result | None, ran: Sequence[Earlier]) -> Reply:
-        answer = last.answer if last is not None else None
-        if answer is not None and hop_of(answer.fields) is Said.RAN and status != OVERDUE:
+    def failure(self, status: int, retry_after: int, last: Result | None, ran: Sequence[Earlier]) -> Reply:
+        answer = last.response if last is not None else None
+        if answer is not None and hop_of(answer.fields) is Said.RAN and status != STATUS_GATEWAY_TIMEOUT:
             return passed_on(answer)
         said = hop_of(answer.fields) if answer is not None else None
         if said is Said.BUSY:
             return Reply(CONFLICT)
         if not ran or (said is Said.UNKNOWN and len(ran) <= 1):  # this try has not run, and will not
-            if status == REFUSED or ran:
-                return Reply(REFUSED, retry_after=retry_after or RETRY_AFTER)
+            if status == STATUS_UNAVAILABLE or ran:
+                return Reply(STATUS_UNAVAILABLE, retry_after_us=retry_after or RETRY_AFTER)
         elif (
-            status == REFUSED
+            status == STATUS_UNAVAILABLE
         ):  # the module refuses what may be repeated; a 503 would promise that it never ran
-            return Reply(FAILED)
+            return Reply(STATUS_BAD_GATEWAY)
         return Reply(status)
 
 
@@ -117,7 +125,7 @@
         budget: SocketBudget,
         seed: int,
         bytes_: ByteBudget | None = None,
-        wire: Wire | None = None,
+        wire: NetworkBackend | None = None,
     ) -> None:
         self.name, self._clock = name, clock
         self.pool = Pool(
@@ -126,11 +134,11 @@
             CONNECT_S,
             IDLE_S,
             bytes_,
-            wire=wire,
-            judge=judge,
-            settle=0,
-            silent_ms=SILENT_MS,
-            slow=False,
+            network=wire,
+            classify=judge,
+            settle_us=0,
+            tcp_user_timeout_ms=SILENT_MS,
+            stream_slow_responses=False,
         )  # a node's list is its pool's
         settings = Settings(
             classes=(),
@@ -171,28 +179,28 @@
                 started_at=started,
             )
             said.append((row, address))
-        self.node.listed(ListKind.FULL, said)
+        self.node.update_upstreams(ListKind.FULL, said)
         before, self._pilots = self._pilots, {instance.id: instance.pilot for _, instance, _ in rows}
         for id_, life in self._pilots.items():
             if before.get(id_, life) != life:  # a new process: what had failed was the one before it
-                self.node.told(Standing(id_, True))
+                self.node.post_event(Standing(id_, True))
 
     def standing(self, address: Address, up: bool) -> None:
         """What its watchers say of a machine."""
-        for id_ in [id_ for id_, at in self.pool.wanted.items() if at == address]:
-            self.node.told(Standing(id_, up))
+        for id_ in [id_ for id_, at in self.pool.addresses.items() if at == address]:
+            self.node.post_event(Standing(id_, up))
 
     def change_classes(self, changed: dict[str, RequestClass], gone: set[str]) -> None:
         for name in gone:
             self.classes.pop(name, None)
         self.classes.update(changed)
-        self.node.told(ClassesChanged(tuple(changed.values()), tuple(sorted(gone))))
+        self.node.post_event(ClassesChanged(tuple(changed.values()), tuple(sorted(gone))))
 
 
 class WayOut:
     """The front of `Outbound`."""
 
-    most_body = MOST_BODY
+    max_body_bytes = MOST_BODY
 
     def __init__(
         self,
@@ -206,7 +214,7 @@
         budget_of_tries: tuple[float, float],
         wake: Wake,
         bytes_: ByteBudget | None = None,
-        wire: Wire | None = None,
+        wire: NetworkBackend | None = None,
         is_current: Callable[[], bool] = lambda: True,
     ) -> None:
         """`plant`: the service beside this pilot.  `address_of`: where the pilot of a machine is reached.
@@ -238,7 +246,7 @@
         pilots = len(self._table.pilots()) if touched.services else self._pilots
         for name, service in self.services.items():
             if pilots != self._pilots or name in begun:
-                service.node.told(ration(*self._tries, pilots))
+                service.node.post_event(ration(*self._tries, pilots))
         self._pilots = pilots
 
     def _routes_changed(self, names: set[str]) -> set[str]:
@@ -275,69 +283,71 @@
     def given_up(self, machine: str) -> None:
         """What is under way there ends as if its connection had broken."""
         for service in self.services.values():
-            service.pool.break_off(self._address_of(machine)[0])
+            service.pool.reset_connections(self._address_of(machine)[0])
 
     # --- requests
 
-    def begin(self, arrival: Arrival, connection: CallerConnection) -> None:
-        if connection.abandoned():
+    def begin(self, arrival: IncomingRequest, connection: CallerConnection) -> None:
+        if connection.closed_by_caller():
             return
         attempt = arrival.fields.get(ID, b"")
         if not self._table.known:
-            self._wake.turned_away(attempt, arrival.at, 503, "no configuration yet")
-            raise Bad(503, "no configuration yet", b"Retry-After: 0.3\r\n")
+            self._wake.turned_away(attempt, arrival.received_at, 503, "no configuration yet")
+            raise RequestError(503, "no configuration yet", b"Retry-After: 0.3\r\n")
         route = self._route_of(arrival)
         if route is not None:
             if not self._takes(route, arrival):
-                self._wake.turned_away(attempt, arrival.at, REFUSED, "this proxy leaves")
-                raise Bad(REFUSED, "this proxy leaves", LEAVING)
+                self._wake.turned_away(attempt, arrival.received_at, STATUS_UNAVAILABLE, "this proxy leaves")
+                raise RequestError(STATUS_UNAVAILABLE, "this proxy leaves", LEAVING)
             self._send_on(route, arrival, connection)
         elif self._is_current():
-            self._wake.turned_away(attempt, arrival.at, NOT_FOUND, "no route")
-            raise Bad(NOT_FOUND, "no route")
+            self._wake.turned_away(attempt, arrival.received_at, NOT_FOUND, "no route")
+            raise RequestError(NOT_FOUND, "no route")
         else:
-            self._wake.turned_away(attempt, arrival.at, REFUSED, "no route, and it may be behind")
+            self._wake.turned_away(
+                attempt, arrival.received_at, STATUS_UNAVAILABLE, "no route, and it may be behind"
+            )
             self.unrouted.hold(arrival, connection)
 
     def leave(self, plan: LeavePlan) -> None:
         """This proxy was told to stop."""
         self._leaving = plan
 
-    def _takes(self, route: Route, arrival: Arrival) -> bool:
+    def _takes(self, route: Route, arrival: IncomingRequest) -> bool:
         leaving = self._leaving
         return leaving is None or leaving.takes(limit_of(route, arrival), self._clock.now())
 
-    def _route_of(self, arrival: Arrival) -> Route | None:
+    def _route_of(self, arrival: IncomingRequest) -> Route | None:
         host = host_of(arrival.fields.get(b"host", b""))
         path = arrival.target.partition(b"?")[0].decode("latin-1")
         return self._table.find(host, path)
 
-    def _begin_held(self, arrival: Arrival, connection: CallerConnection) -> bool:
+    def _begin_held(self, arrival: IncomingRequest, connection: CallerConnection) -> bool:
         route = self._route_of(arrival)
         if route is not None:
             self._send_on(route, arrival, connection)
         return route is not None
 
-    def _send_on(self, route: Route, arrival: Arrival, connection: CallerConnection) -> None:
+    def _send_on(self, route: Route, arrival: IncomingRequest, connection: CallerConnection) -> None:
         attempt = arrival.fields.get(ID, b"")
         service = self.services[self._choose(route, arrival)]
         limit = limit_of(route, arrival)
         self._count += 1
-        request = Request(str(self._count), route.name, arrival.at + max(limit, 1000) + END_SLACK)
-        self._wake.begins(request.request, attempt, arrival.at, route.name, service.name, limit)
+        request = Request(str(self._count), route.name, arrival.received_at + max(limit, 1000) + END_SLACK)
+        self._wake.begins(request.request, attempt, arrival.received_at, route.name, service.name, limit)
         keyed = route.kind == "keyed" and KEY.lower() in arrival.fields
         head = forwarded(arrival, drop=(CALLER, DEADLINE, HOP)) + b"%s: %s\r\n" % (CALLER, self._plant)
         message = Outgoing(head, arrival.body, stream=arrival.stream, keyed=keyed, route_name=route.name)
         message.aim_before_end_ms = max(0, route.cutoff - route.setpoint) // 1000
         message.rank = max(0, route.priority)
-        message.in_pieces = arrival.method != b"HEAD"  # its answer tells a length and has no body
-        message.call = attempt
-        message.wanted = partial(_awaited, connection)
+        message.stream_response = arrival.method != b"HEAD"  # its answer tells a length and has no body
+        message.call_id = attempt
+        message.still_wanted = partial(_awaited, connection)
         message.again = limit < AGAIN_PART * route.cutoff
-        connection.hold(partial(service.node.gone, request.request, connection))
+        connection.expect_answer(partial(service.node.client_disconnected, request.request, connection))
         service.node.submit(request, message, connection)
 
-    def _choose(self, route: Route, arrival: Arrival) -> str:
+    def _choose(self, route: Route, arrival: IncomingRequest) -> str:
         if len(route.parts) == 1:
             return route.parts[0].plant
         key = arrival.fields.get(KEY.lower())
@@ -345,17 +355,19 @@
         return choose(route.parts, at)
 
     def held(self) -> int:
-        return self.unrouted.count() + sum(service.node.out() for service in self.services.values())
+        return self.unrouted.count() + sum(
+            service.node.unfinished_count() for service in self.services.values()
+        )
 
 
-def limit_of(route: Route, arrival: Arrival) -> int:
+def limit_of(route: Route, arrival: IncomingRequest) -> int:
     """How long a request may take, in microseconds: its client's deadline or its route's, the sooner."""
     left = arrival.fields.get(DEADLINE.lower(), b"")
     return min(int(left) * 1000, route.cutoff) if left.isdigit() and len(left) < 10 else route.cutoff
 
 
 def _awaited(connection: CallerConnection) -> bool:
-    return not connection.abandoned()
+    return not connection.closed_by_caller()
 
 
 def _class_of(route: Route) -> RequestClass:
--- a/brackengate/platform/config.py
+++ b/brackengate/platform/config.py
@@ -7,7 +7,7 @@
 from typing import Any
 
 from brackengate.interface import Settings
-from brackengate.net.discovery import BadList, read_list
+from brackengate.net.discovery import InvalidEndpointList, parse_endpoint_list
 from brackengate.net.sockets import Address, parse_address
 from brackengate.platform import wire
 
@@ -52,7 +52,7 @@
         if not isinstance(told["settings"], dict) or not told["settings"].get("Classes"):
             raise BadConfig(f"{path}: 'settings' names no classes")
         known = told.get("known") or {"index": 0, "snapshot": True, "endpoints": []}
-        read_list(known)
+        parse_endpoint_list(known)
         admin = environ.get("RELAY_ADMIN") or told.get("admin")
         return Config(
             name=environ.get("RELAY_NAME") or str(told.get("name", "")),
@@ -68,7 +68,7 @@
         )
     except KeyError as error:
         raise BadConfig(f"{path}: {error} is missing") from None
-    except BadList as error:
+    except InvalidEndpointList as error:
         raise BadConfig(f"{path}: 'known': {error}") from None
     except wire.WireError as error:
         reason = str(error).partition(": ")[2]
--- a/brackengate/platform/program.py
+++ b/brackengate/platform/program.py
@@ -14,16 +14,16 @@
 from collections.abc import Coroutine
 from typing import Any
 
-from brackengate.admin.listener import Listener
-from brackengate.admin.protocol import Call, figures_text, no, yes
+from brackengate.admin.listener import AdminListener
+from brackengate.admin.protocol import AdminCommand, encode_metrics, encode_no, encode_yes
 from brackengate.brain import Balancer
 from brackengate.fleet import lifecycle
 from brackengate.http.body import ByteBudget
 from brackengate.net.discovery import Discovery
-from brackengate.net.figures import Figures
+from brackengate.net.metrics import RequestMetrics
 from brackengate.net.node import Clock, Node
-from brackengate.net.server import LAST_CALL_S, Server
-from brackengate.net.sockets import SocketBudget, bind, listening
+from brackengate.net.server import DRAIN_ACCEPT_S, Server
+from brackengate.net.sockets import SocketBudget, bind, inherited_listener
 from brackengate.net.upstream import Pool
 from brackengate.platform.config import BadConfig, Config, load_config
 from brackengate.platform.siblings import Siblings, part, successor
@@ -38,7 +38,7 @@
     """An address to listen on, or an inherited socket, cannot be had."""
 
 
-class Watched(Figures):
+class Watched(RequestMetrics):
     """The figures, and a word when it changes whether an upstream serves."""
 
     def __init__(self, program: Program) -> None:
@@ -80,9 +80,9 @@
             [self._listen()],
             mine.callers,
             ready=lambda: self.life.ready,
-            bytes_=bytes_,
+            byte_budget=bytes_,
         )
-        self._admin = Listener(self._called)
+        self._admin = AdminListener(self._called)
 
     # --- what it stands on
 
@@ -105,7 +105,7 @@
         config = self._config
         if config.listen_fd is not None:
             try:
-                return listening(config.listen_fd)
+                return inherited_listener(config.listen_fd)
             except OSError as error:
                 log.error(
                     "RELAY_LISTEN_FD: descriptor %d: %s; the address is bound instead",
@@ -153,9 +153,9 @@
                     port = self._start_server()
                     log.info("%s: serving on %s:%d", self._config.name, self._config.listen[0], port)
                 case lifecycle.AskToGo(on):
-                    self._server.ask_to_go(on)
+                    self._server.set_draining(on)
                 case lifecycle.Accept(on):
-                    self._server.accept(on)
+                    self._server.set_accepting(on)
                 case lifecycle.Reload():
                     self.post(lifecycle.Reloaded(self._read_again()))
                 case lifecycle.Drain(last_call):
@@ -191,14 +191,14 @@
         """Tell the processes beside this one how it is, and see how they are."""
         if self._siblings is not None:
             accepts = self.life.open and self.life.state is not lifecycle.State.DRAINING
-            self._siblings.tell(accepts and self.life.ready, self._budget.taken)
+            self._siblings.tell(accepts and self.life.ready, self._budget.in_use)
             self.post(lifecycle.Successor(successor(self._began, self._siblings.look())))
 
     async def _drain(self, last_call: bool) -> None:
-        log.info("%s: leaving, with %d requests held", self._config.name, self._node.held())
+        log.info("%s: leaving, with %d requests held", self._config.name, self._node.pending_count())
         longest = max((c.deadline for c in self._config.settings.classes), default=1_000_000) / 1e6
-        await self._server.drain(longest + DRAIN_EXTRA_S, LAST_CALL_S if last_call else 0.0)
-        held = self._node.held()
+        await self._server.drain(longest + DRAIN_EXTRA_S, DRAIN_ACCEPT_S if last_call else 0.0)
+        held = self._node.pending_count()
         log.info("%s: left, with %d requests held", self._config.name, held)
         self.post(lifecycle.Drained(held))
 
@@ -224,22 +224,22 @@
         log.info("%s: configuration read again; discovery at %s:%d", config.name, *told.discovery)
         if (told.listen, told.sockets, told.settings) != (config.listen, config.sockets, config.settings):
             log.warning("%s: only discovery changes without a restart", config.name)
-        self._discovery.move(told.discovery)
+        self._discovery.change_address(told.discovery)
         return "configuration read again"
 
     # --- operators
 
-    def _called(self, call: Call) -> bytes:
+    def _called(self, call: AdminCommand) -> bytes:
         match call:
-            case Call.CHECK:
-                return yes() if self.life.ready else no(f"not ready: {self.life.why_not}")
-            case Call.VARS:
-                listed, avoided = self._node.listed_count(), self._module.avoided()
-                return figures_text(self.figures, self._node.classes, listed, avoided)
-            case Call.DRAIN_ON:
+            case AdminCommand.CHECK:
+                return encode_yes() if self.life.ready else encode_no(f"not ready: {self.life.why_not}")
+            case AdminCommand.VARS:
+                listed, avoided = self._node.upstream_count(), self._module.avoided()
+                return encode_metrics(self.figures, self._node.classes, listed, avoided)
+            case AdminCommand.DRAIN_ON:
                 self.post(lifecycle.DrainOn())
-                return yes() if self.life.asks_to_go else no(self.life.why_not)
-            case Call.DRAIN_OFF:
+                return encode_yes() if self.life.asks_to_go else encode_no(self.life.why_not)
+            case AdminCommand.DRAIN_OFF:
                 self.post(lifecycle.DrainOff())
                 leaving = self.life.state is lifecycle.State.DRAINING
-                return no(self.life.why_not) if leaving else yes()
+                return encode_no(self.life.why_not) if leaving else encode_yes()
--- a/brackengate/queues/door.py
+++ b/brackengate/queues/door.py
@@ -8,8 +8,8 @@
 from typing import Any
 
 from brackengate.interface import Idempotency, Request
-from brackengate.net.alarms import Alarm, Alarms
-from brackengate.net.http import Inner
+from brackengate.net.alarms import Timer, TimerQueue
+from brackengate.net.http import InnerStage
 from brackengate.net.node import Caller, Message, Reply
 from brackengate.queues.admission import Admission, Offer, Reason, Turn, Verdict
 from brackengate.queues.scheduler import Identity
@@ -40,20 +40,20 @@
 
     def __init__(
         self,
-        inner: Inner,
+        inner: InnerStage,
         admission: Admission,
         loop: asyncio.AbstractEventLoop,
         header: bytes = b"X-Place",
         dry: bool = False,
     ) -> None:
         self._inner, self.admission = inner, admission
-        self._alarms = Alarms(loop, inner.clock)
+        self._alarms = TimerQueue(loop, inner.clock)
         self._header, self.dry = header, dry
         self.classes, self.clock = inner.classes, inner.clock
         self._held: dict[str, _Held] = {}
         self._verdicts: deque[Verdict] = deque()
         self._busy = False
-        self._alarm: Alarm | None = None
+        self._alarm: Timer | None = None
         self._alarm_at = 0
 
     # --- Door
@@ -62,7 +62,7 @@
         return self._inner.started(request)
 
     def submit(self, request: Request, message: Message, caller: Caller) -> None:
-        origin, cls = message.origin, self.classes.get(request.class_name)
+        origin, cls = message.client_info, self.classes.get(request.class_name)
         if origin is None or cls is None:
             self._inner.submit(request, message, caller)
             return
@@ -80,10 +80,10 @@
             request.deadline,
             len(message.head) + len(message.body) + ITEM_BYTES,
             request.work_hint,
-            message.parts,
+            message.operation_count,
             request.is_retry,
             message.key if keyed else b"",
-            origin.place,
+            origin.queue_token,
         )
         verdicts = self.admission.arrive(self.clock.now(), offer)
         if self.dry:
@@ -91,14 +91,14 @@
             self._inner.submit(request, message, held)
         self._act(verdicts)
 
-    def gone(self, request: str, caller: Caller) -> None:
+    def client_disconnected(self, request: str, caller: Caller) -> None:
         held = self._held.get(request)
         if held is None or held.caller is not caller:
-            self._inner.gone(request, caller)
+            self._inner.client_disconnected(request, caller)
             return
         del self._held[request]
         if held.handed_on:
-            self._inner.gone(request, held)
+            self._inner.client_disconnected(request, held)
         now = self.clock.now()
         if not self.admission.gone(now, request):
             self._act(self.admission.ended(now, request, False, False))
@@ -131,7 +131,7 @@
         if due is not None and (self._alarm is None or due < self._alarm_at):
             if self._alarm is not None:
                 self._alarm.cancel()
-            self._alarm, self._alarm_at = self._alarms.at(due, self._ring, self.clock.now()), due
+            self._alarm, self._alarm_at = self._alarms.schedule(due, self._ring, self.clock.now()), due
 
     def _ring(self) -> None:
         self._alarm = None
@@ -154,7 +154,7 @@
         if not turn.retry_after:
             body += b"no place is free in the time that it has\n"
         extra = self._place_header(turn.token)
-        held.caller.answer(Reply(REFUSED, body, b"text/plain", turn.retry_after, extra=extra))
+        held.caller.answer(Reply(REFUSED, body, b"text/plain", turn.retry_after, extra_headers=extra))
 
     def _place_header(self, token: bytes) -> bytes:
         return b"%s: %s\r\n" % (self._header, token) if token else b""
@@ -167,8 +167,8 @@
             return []
         refused = reply.status == REFUSED
         if refused and not self.dry:
-            reply.retry_after, token = self.admission.refused(now, name, reply.retry_after)
-            reply.extra += self._place_header(token)
+            reply.retry_after_us, token = self.admission.refused(now, name, reply.retry_after_us)
+            reply.extra_headers += self._place_header(token)
         return self.admission.ended(now, name, reply.status == 200, refused)
 
     def status(self, most: int = 128) -> dict[str, Any]:
--- a/brackengate/queues/setup.py
+++ b/brackengate/queues/setup.py
@@ -5,15 +5,15 @@
 import random
 from pathlib import Path
 
-from brackengate.http.message import Arrival
+from brackengate.http.message import IncomingRequest
 from brackengate.installation import settings as derived
 from brackengate.installation.reading import BadFile, Fault
 from brackengate.installation.schema import File
-from brackengate.net.api import OriginOf
-from brackengate.net.crowd import Crowd
-from brackengate.net.ground import Ground
-from brackengate.net.http import CallerConnection, Inner
-from brackengate.net.node import Origin
+from brackengate.net.api import ClientInfoResolver
+from brackengate.net.connection_admission import ConnectionAdmission
+from brackengate.net.environment import Environment
+from brackengate.net.http import CallerConnection, InnerStage
+from brackengate.net.node import ClientInfo
 from brackengate.queues.admission import Admission, Bounds, ClassTerms
 from brackengate.queues.clients import ClientBounds, prefix_of
 from brackengate.queues.door import QueuesDoor
@@ -66,7 +66,7 @@
     return found
 
 
-def origin_of(file: File) -> OriginOf | None:
+def origin_of(file: File) -> ClientInfoResolver | None:
     """Who sent a request and whence.  One without the header that names it is known by its address."""
     told = file.queues
     if told.mode == "off":
@@ -74,7 +74,7 @@
     by_header = told.client_header.lower().encode() if told.client == "header" else b""
     by_address, place = told.address_header.lower().encode(), told.place_header.lower().encode()
 
-    def read(arrival: Arrival, connection: CallerConnection) -> Origin:
+    def read(arrival: IncomingRequest, connection: CallerConnection) -> ClientInfo:
         client = address = token = b""
         for name, value in arrival.headers:
             lower = name.lower()
@@ -85,22 +85,22 @@
             elif lower == place:
                 token = value.strip()
         whence = address.decode("latin-1") if address else connection.peer()
-        return Origin(client.decode("latin-1") or whence, whence, token)
+        return ClientInfo(client.decode("latin-1") or whence, whence, token)
 
     return read
 
 
-def crowd(file: File) -> Crowd | None:
+def crowd(file: File) -> ConnectionAdmission | None:
     """The bound on one network's connections; None where there is none.  It holds in every mode but off."""
     told = file.queues
     if told.mode == "off" or not told.connections:
         return None
-    return Crowd(
+    return ConnectionAdmission(
         told.connections, lambda address: prefix_of(address, told.prefix_v4, told.prefix_v6) or address
     )
 
 
-def door(file: File, inner: Inner, ground: Ground) -> QueuesDoor:
+def door(file: File, inner: InnerStage, ground: Environment) -> QueuesDoor:
     told = file.queues
     terms = {cls.name: ClassTerms(cls.aim, cls.worth) for cls in derived.settings(file).classes}
     shares = {name: tenant.share for name, tenant in file.tenant.items()}
--- a/brackengate/repeats/door.py
+++ b/brackengate/repeats/door.py
@@ -7,8 +7,8 @@
 from dataclasses import dataclass, field
 
 from brackengate.interface import Earlier, Idempotency, Request, RequestClass
-from brackengate.net.alarms import Alarm, Alarms
-from brackengate.net.http import Inner
+from brackengate.net.alarms import Timer, TimerQueue
+from brackengate.net.http import InnerStage
 from brackengate.net.node import Caller, Message, Reply
 from brackengate.repeats.table import Answer, Identity, Join, Lead, Pass, Replay, Table, Turned
 
@@ -30,7 +30,7 @@
     request: Request
     message: Message
     caller: Caller
-    alarm: Alarm | None = None
+    alarm: Timer | None = None
 
 
 @dataclass(slots=True, eq=False)
@@ -53,11 +53,11 @@
     """
 
     def __init__(
-        self, inner: Inner, table: Table, loop: asyncio.AbstractEventLoop, keep: Keep | None = None
+        self, inner: InnerStage, table: Table, loop: asyncio.AbstractEventLoop, keep: Keep | None = None
     ) -> None:
         """`keep`: the journal's; told what is finished, and None for an answer that is not known."""
         self._inner, self.table, self._keep = inner, table, keep
-        self._alarms = Alarms(loop, inner.clock)
+        self._alarms = TimerQueue(loop, inner.clock)
         self._groups: dict[Identity, _Group] = {}
         self._by_request: dict[str, _Group] = {}
 
@@ -86,17 +86,19 @@
             case Replay(answer):
                 caller.answer(Reply(200, answer.body, answer.content_type))
             case Turned.UNKNOWN:
-                caller.answer(Reply(CONFLICT, WORDS[told], b"text/plain", ran=(Earlier.somewhere(now),)))
+                caller.answer(
+                    Reply(CONFLICT, WORDS[told], b"text/plain", possible_executions=(Earlier.somewhere(now),))
+                )
             case Turned.BUSY:
                 caller.answer(Reply(CONFLICT, WORDS[told], b"text/plain", BUSY_RETRY_US))
             case Turned.MISMATCH:
                 caller.answer(Reply(UNPROCESSABLE, WORDS[told], b"text/plain"))
 
-    def gone(self, request: str, caller: Caller) -> None:
+    def client_disconnected(self, request: str, caller: Caller) -> None:
         group = self._by_request.get(request)
         waiter = group.waiters.get(request) if group is not None else None
         if group is None or waiter is None or waiter.caller is not caller:
-            self._inner.gone(request, caller)
+            self._inner.client_disconnected(request, caller)
             return
         self._forget(group, request)
         lead = group.lead
@@ -104,7 +106,7 @@
             # Nobody waits, and no upstream has it: the last to leave ends it.
             self._close(group)
             self.table.never_ran(self._inner.clock.now(), group.identity, lead.request)
-            self._inner.gone(lead.request, lead)
+            self._inner.client_disconnected(lead.request, lead)
 
     def waiting(self) -> int:
         """Requests that await the answer of another."""
@@ -129,7 +131,7 @@
         group.waiters[name] = waiter
         self._by_request[name] = group
         now = self._inner.clock.now()
-        waiter.alarm = self._alarms.at(waiter.request.deadline, lambda: self._late(group, name), now)
+        waiter.alarm = self._alarms.schedule(waiter.request.deadline, lambda: self._late(group, name), now)
 
     def _late(self, group: _Group, name: str) -> None:
         """One that joined has no time left; the others go on."""
@@ -137,7 +139,7 @@
         if waiter is not None:
             self._forget(group, name)
             ran = (Earlier.somewhere(self._inner.clock.now()),)
-            waiter.caller.answer(Reply(OVERDUE, ran=ran))
+            waiter.caller.answer(Reply(OVERDUE, possible_executions=ran))
 
     def _forget(self, group: _Group, name: str) -> _Waiter:
         waiter = group.waiters.pop(name)
@@ -161,7 +163,7 @@
 
     def _ended(self, group: _Group, lead: _Leader, reply: Reply) -> None:
         """The node's answer to the leader."""
-        now, identity, ran = self._inner.clock.now(), group.identity, reply.ran
+        now, identity, ran = self._inner.clock.now(), group.identity, reply.possible_executions
         if reply.status == 200:
             answer = Answer(reply.body, reply.content_type)
             self.table.answered(now, identity, lead.request, answer)
--- a/brackengate/repeats/setup.py
+++ b/brackengate/repeats/setup.py
@@ -4,18 +4,18 @@
 
 from pathlib import Path
 
-from brackengate.http.message import Arrival
+from brackengate.http.message import IncomingRequest
 from brackengate.installation.schema import File
-from brackengate.net.api import ClientOf
-from brackengate.net.ground import Ground
-from brackengate.net.http import CallerConnection, Inner
+from brackengate.net.api import ClientResolver
+from brackengate.net.environment import Environment
+from brackengate.net.http import CallerConnection, InnerStage
 from brackengate.net.node import Clock
 from brackengate.repeats.door import RepeatsDoor
 from brackengate.repeats.journal import Journal
 from brackengate.repeats.table import Bounds, Table
 
 
-def client_of(file: File) -> ClientOf | None:
+def client_of(file: File) -> ClientResolver | None:
     """Who sent a request.  One that does not say so is nobody's repeat, and nobody's is its."""
     told = file.repeats
     if told.client == "off":
@@ -24,7 +24,7 @@
         return lambda _arrival, connection: connection.peer() or None
     wanted = told.client_header.lower().encode()
 
-    def by_header(arrival: Arrival, _connection: CallerConnection) -> str | None:
+    def by_header(arrival: IncomingRequest, _connection: CallerConnection) -> str | None:
         found = [value for name, value in arrival.headers if name.lower() == wanted]
         return found[0].decode("latin-1") if len(found) == 1 and found[0] else None
 
@@ -32,7 +32,7 @@
 
 
 def door(
-    file: File, inner: Inner, clock: Clock, ground: Ground, slot: int
+    file: File, inner: InnerStage, clock: Clock, ground: Environment, slot: int
 ) -> tuple[RepeatsDoor, Journal | None]:
     """The stage, and its journal where one is kept.  OSError where its folder can't be used."""
     told, fleet = file.repeats, file.fleet
--- a/brackengate/routing/feed.py
+++ b/brackengate/routing/feed.py
@@ -23,7 +23,9 @@
         self.clock, self._changed = clock, changed
         self._rows: dict[str, Upstream] = {}
 
-    def listed(self, kind: ListKind, rows: Iterable[tuple[Endpoint, Address]], version: int = 0) -> None:
+    def update_upstreams(
+        self, kind: ListKind, rows: Iterable[tuple[Endpoint, Address]], version: int = 0
+    ) -> None:
         """Discovery's word, as a node would take it.  `CACHED` is what a start holds: nothing."""
         if kind in (ListKind.BROKEN, ListKind.CACHED):
             return
--- a/brackengate/routing/pools.py
+++ b/brackengate/routing/pools.py
@@ -15,10 +15,10 @@
 from brackengate.cells.owners import Go, Owners, Terms, Turned, Why
 from brackengate.installation.schema import Pool as PoolSettings
 from brackengate.interface import Idempotency, ListKind, Outcome, Request, Settings
-from brackengate.net.ground import Ground
-from brackengate.net.node import FAILED, REFUSED, Caller, Clock, Message, Node, Reply
+from brackengate.net.environment import Environment
+from brackengate.net.node import STATUS_BAD_GATEWAY, STATUS_UNAVAILABLE, Caller, Clock, Message, Node, Reply
 from brackengate.net.observer import FlowWatch, Observer
-from brackengate.net.sockets import PartBudget, SocketBudget
+from brackengate.net.sockets import NestedSocketBudget, SocketBudget
 from brackengate.net.upstream import Pool as Connections
 from brackengate.routing.bulkhead import WORDS, Bulkhead
 from brackengate.routing.earlier import goes_to, with_pool, without_pool
@@ -80,15 +80,15 @@
         clock: Clock,
         budget: SocketBudget,
         ages: Ages,
-        ground: Ground,
+        ground: Environment,
     ) -> None:
         self.name, self.generation = name, generation
         self._loop = ground.loop
         settings = pool_settings(base, told)
         self.settings = settings
-        self.budget = PartBudget(budget, told.max_connections or budget.limit)
+        self.budget = NestedSocketBudget(budget, told.max_connections or budget.limit)
         connect_s, idle_s = settings.connect_timeout / 1e6, settings.idle_close / 1e6
-        self.connections = Connections(self._loop, self.budget, connect_s, idle_s, wire=ground.wire)
+        self.connections = Connections(self._loop, self.budget, connect_s, idle_s, network=ground.network)
         self.module = Balancer(settings, ground.rng.getrandbits(64))
         self.node = Node(self._loop, clock, settings, self.module, self.connections)
         self.bulkhead = Bulkhead(told.max_requests, settings.max_retry_after)
@@ -100,7 +100,7 @@
     def caps(self, told: PoolSettings) -> None:
         """Bounds that change while it runs; what is over a lower one goes as it ends."""
         self.bulkhead.most = told.max_requests
-        self.budget.limit = told.max_connections or self.budget.whole_limit
+        self.budget.limit = told.max_connections or self.budget.parent_limit
 
     def tell(self, rows: Rows) -> None:
         """Those that leave now; the rest a slice each turn of the loop, the first of them now."""
@@ -111,7 +111,7 @@
 
     def _list(self, listed: list[Any]) -> None:
         self._lists += 1
-        self.node.listed(ListKind.CHANGES, listed, self._lists)
+        self.node.update_upstreams(ListKind.CHANGES, listed, self._lists)
 
     def _next(self) -> None:
         self._telling = False
@@ -136,10 +136,10 @@
             "pool": self.name,
             "generation": self.generation,
             "upstreams": self.telling.known(),
-            "serving": self.node.serving(),
+            "serving": self.node.serving_count(),
             "held": self.bulkhead.held,
             "max_requests": self.bulkhead.most,
-            "connections": self.budget.taken,
+            "connections": self.budget.in_use,
             "max_connections": self.budget.limit,
             "connections_refused": self.budget.refused,
             "mean_ms": round(self.bulkhead.mean / 1000, 1),
@@ -171,7 +171,7 @@
         observer: Observer | None = None,
         answered: Callable[[int], None] | None = None,
         new_pools_warm: bool = True,
-        ground: Ground | None = None,
+        ground: Environment | None = None,
     ) -> None:
         """`answered`: hears of each answer's status, for whoever judges a version.
 
@@ -181,7 +181,7 @@
         """
         self._base, self.clock, self._budget = base, clock, budget
         self._observer, self.on_answer, self._warm = observer, answered, new_pools_warm
-        self._ground = ground or Ground.machine()
+        self._ground = ground or Environment.for_this_machine()
         self._loop = self._ground.loop
         self.classes = {cls.name: cls for cls in base.classes}
         self.snapshot: Snapshot = EMPTY
@@ -205,11 +205,11 @@
     def can_serve(self) -> bool:
         return any(run.node.can_serve() for run in self.runs.values())
 
-    def serving(self) -> int:
+    def serving_count(self) -> int:
         """Upstreams that serve, over all pools."""
-        return sum(run.node.serving() for run in self.runs.values())
+        return sum(run.node.serving_count() for run in self.runs.values())
 
-    def held(self) -> int:
+    def pending_count(self) -> int:
         return len(self._held)
 
     def known(self, request: str) -> bool:
@@ -222,7 +222,7 @@
     def submit(self, request: Request, message: Message, caller: Caller) -> None:
         chosen, name = message.route, request.request
         if not isinstance(chosen, Chosen):
-            caller.answer(Reply(REFUSED, b"refused: no pool was chosen\n", b"text/plain"))
+            caller.answer(Reply(STATUS_UNAVAILABLE, b"refused: no pool was chosen\n", b"text/plain"))
             return
         if name in self._held:  # one that waited at the door while another took its id
             caller.answer(Reply(BAD, b"X-Txn has been used\n", b"text/plain"))
@@ -234,25 +234,27 @@
             kind = self.classes[request.class_name].idempotency
             pool = goes_to(run.name, request.earlier, kind, self.runs)
             if not pool:
-                self._told(FAILED, chosen)
-                caller.answer(Reply(FAILED, ELSEWHERE, b"text/plain", ran=request.earlier))
+                self._told(STATUS_BAD_GATEWAY, chosen)
+                caller.answer(
+                    Reply(STATUS_BAD_GATEWAY, ELSEWHERE, b"text/plain", possible_executions=request.earlier)
+                )
                 return
             run = run if pool == run.name else self.runs[pool]
             request.earlier = tuple(without_pool(one) for one in request.earlier)
         reason = run.bulkhead.ask(run.telling.known(), bool(run.retired_at))
         if reason is not None:
             after = run.bulkhead.retry_after(reason)
-            self._told(REFUSED, chosen)
-            caller.answer(Reply(REFUSED, WORDS[reason], b"text/plain", after))
+            self._told(STATUS_UNAVAILABLE, chosen)
+            caller.answer(Reply(STATUS_UNAVAILABLE, WORDS[reason], b"text/plain", after))
             return
         held = self._held[name] = _Held(self, run, name, caller, self.clock.now(), chosen)
         run.node.submit(request, message, held)
 
-    def gone(self, request: str, caller: Caller) -> None:
+    def client_disconnected(self, request: str, caller: Caller) -> None:
         held = self._held.get(request)
         if held is not None and held.caller is caller:
             self._forget(held)
-            held.run.node.gone(request, held)
+            held.run.node.client_disconnected(request, held)
 
     def _forget(self, held: _Held) -> None:
         if self._held.get(held.name) is held:
@@ -329,7 +331,10 @@
             self.table = RouteTable(snapshot.routes, version)
         for run in old:
             log.info(
-                "pool %s (generation %d): leaves, with %d held", run.name, run.generation, run.node.held()
+                "pool %s (generation %d): leaves, with %d held",
+                run.name,
+                run.generation,
+                run.node.pending_count(),
             )
             self.leaving.append(run)
             run.retire(now)
@@ -373,7 +378,7 @@
         if self._looking is not None:
             self._looking.cancel()
             self._looking = None
-        for run in [run for run in self.leaving if run.node.out() == 0]:
+        for run in [run for run in self.leaving if run.node.unfinished_count() == 0]:
             self.leaving.remove(run)
             run.close()
             self.counters["pools_gone"] += 1
@@ -415,7 +420,7 @@
 
     def answer(self, reply: Reply) -> None:
         self._pools._forget(self)
-        if reply.ran:
-            reply.ran = [with_pool(one, self.run.name) for one in reply.ran]
+        if reply.possible_executions:
+            reply.possible_executions = [with_pool(one, self.run.name) for one in reply.possible_executions]
         self.caller.answer(reply)
         self._pools._told(reply.status, self._chosen)
--- a/brackengate/routing/setup.py
+++ b/brackengate/routing/setup.py
@@ -3,11 +3,11 @@
 from __future__ import annotations
 
 from brackengate.cells.owners import Turned
-from brackengate.http.message import Arrival, Bad
+from brackengate.http.message import IncomingRequest, RequestError
 from brackengate.http.rules import Rule
 from brackengate.installation.schema import File
 from brackengate.interface import Request
-from brackengate.net.api import RouteOf
+from brackengate.net.api import RouteResolver
 from brackengate.net.http import CallerConnection
 from brackengate.routing.pools import Chosen, Pools
 from brackengate.routing.table import Traits, bare_host
@@ -21,16 +21,20 @@
     return make(file.pool, file.route)
 
 
-def route_of(file: File, pools: Pools) -> RouteOf:
-    """Raises Bad: 404 where no route fits, 503 as long as there is no version at all."""
+def route_of(file: File, pools: Pools) -> RouteResolver:
+    """Raises RequestError: 404 where no route fits, 503 as long as there is no version at all."""
     client_header = file.versions.client_header.lower().encode()
 
     def choose(
-        arrival: Arrival, connection: CallerConnection, request: Request, operation: str, operation_type: str
+        arrival: IncomingRequest,
+        connection: CallerConnection,
+        request: Request,
+        operation: str,
+        operation_type: str,
     ) -> Chosen:
         table = pools.table
         if table is None:
-            raise Bad(503, "there are no routes yet", NOT_YET)
+            raise RequestError(503, "there are no routes yet", NOT_YET)
         headers, host, client = {}, "", ""
         for name, value in arrival.headers:
             lower = name.lower()
@@ -40,7 +44,7 @@
                 client = value.decode("latin-1").strip()
             if lower in table.headers:
                 if lower.decode("latin-1") in headers:
-                    raise Bad(400, Rule.TWICE.words, reason=Rule.TWICE.slug)
+                    raise RequestError(400, Rule.TWICE.description, rule_slug=Rule.TWICE.slug)
                 headers[lower.decode("latin-1")] = value.decode("latin-1").strip()
         traits = Traits(
             method=arrival.method.decode("latin-1"),
@@ -58,9 +62,9 @@
         chosen = pools.choose(traits)
         if isinstance(chosen, Turned):
             advice = b"Retry-After: %.3f\r\n" % (-(-chosen.wait // 1000) / 1e3)  # not a moment too early
-            raise Bad(503, f"refused: {chosen.why.value}", advice)
+            raise RequestError(503, f"refused: {chosen.why.value}", advice)
         if chosen is None:
-            raise Bad(404, "no route fits")
+            raise RequestError(404, "no route fits")
         return chosen
 
     return choose
--- a/brackengate/signals/door.py
+++ b/brackengate/signals/door.py
@@ -9,9 +9,9 @@
 from urllib.parse import parse_qs
 
 from brackengate.http.body import ByteBudget
-from brackengate.http.message import Arrival, Bad
+from brackengate.http.message import IncomingRequest, RequestError
 from brackengate.interface import Request, RequestClass
-from brackengate.net.http import ANY, CallerConnection, Front
+from brackengate.net.http import ANY_PATH, CallerConnection, Frontend
 from brackengate.net.node import Caller, Clock, Message
 from brackengate.net.server import Server
 from brackengate.net.sockets import SocketBudget
@@ -42,7 +42,7 @@
     def submit(self, request: Request, message: Message, caller: Caller) -> None:
         raise NotImplementedError
 
-    def gone(self, request: str, caller: Caller) -> None:
+    def client_disconnected(self, request: str, caller: Caller) -> None:
         raise NotImplementedError
 
 
@@ -50,14 +50,23 @@
     loop: asyncio.AbstractEventLoop,
     clock: Clock,
     sockets: Sequence[socket.socket],
-    front: Front,
+    front: Frontend,
     budget: SocketBudget | None = None,
     bytes_: ByteBudget | None = None,
 ) -> Server:
     """A server whose every path is one front's.  `bytes_`: what its bodies in pieces may hold."""
-    fronts: Mapping[bytes, Front] = {ANY: front}
+    fronts: Mapping[bytes, Frontend] = {ANY_PATH: front}
     budget = budget or SocketBudget(512)
-    return Server(loop, NoCore(clock), budget, sockets, fronts=fronts, bytes_=bytes_, once=ONCE, bare=True)
+    return Server(
+        loop,
+        NoCore(clock),
+        budget,
+        sockets,
+        frontends=fronts,
+        byte_budget=bytes_,
+        single_headers=ONCE,
+        without_default_frontends=True,
+    )
 
 
 def rpc(target: bytes) -> tuple[str, str]:
@@ -69,7 +78,7 @@
     return fields.get("call", [""])[0], fields.get("of", [""])[0]
 
 
-def collect(arrival: Arrival, done: Callable[[bytes], None]) -> None:
+def collect(arrival: IncomingRequest, done: Callable[[bytes], None]) -> None:
     """The whole body of a request, also of one that comes in pieces."""
     stream = arrival.stream
     if stream is None:
@@ -80,23 +89,23 @@
     def wake() -> None:
         while (piece := stream.take()) is not None:
             pieces.append(piece)
-        if stream.over:
+        if stream.fully_taken:
             stream.close()
-            stream.cut_off()
+            stream.truncate()
             done(b"".join(pieces))
 
     if not stream.open(wake):
-        raise Bad(400, "the body is gone")
+        raise RequestError(400, "the body is gone")
     wake()
 
 
 class Readiness:
     """Answers whether clients may come."""
 
-    most_body = 1 << 10
+    max_body_bytes = 1 << 10
 
     def __init__(self, ready: Callable[[], bool]) -> None:
         self._ready = ready
 
-    def begin(self, arrival: Arrival, connection: CallerConnection) -> None:
+    def begin(self, arrival: IncomingRequest, connection: CallerConnection) -> None:
         connection.respond(200 if self._ready() else 503, b"", b"text/plain")
--- a/brackengate/versions/carrier.py
+++ b/brackengate/versions/carrier.py
@@ -11,7 +11,7 @@
 from typing import Any, Protocol
 
 from brackengate import files
-from brackengate.net.alarms import Alarm, Alarms
+from brackengate.net.alarms import Timer, TimerQueue
 from brackengate.net.node import Clock
 from brackengate.snapshot.diff import lines
 from brackengate.snapshot.model import EMPTY, Snapshot
@@ -46,8 +46,8 @@
         self.on_verdict: Callable[[Version, tuple[str, ...]], None] | None = None
         self._todo: deque[Action] = deque()
         self._busy = False
-        self._alarms = Alarms(self._loop, clock)
-        self._alarm: Alarm | None = None
+        self._alarms = TimerQueue(self._loop, clock)
+        self._alarm: Timer | None = None
         self._alarm_at = 0
         self._save: Save | None = None
         self._saving: asyncio.Task[None] | None = None
@@ -124,7 +124,7 @@
         if due and (self._alarm is None or due < self._alarm_at):
             if self._alarm is not None:
                 self._alarm.cancel()
-            self._alarm, self._alarm_at = self._alarms.at(due, self._ring, self._clock.now()), due
+            self._alarm, self._alarm_at = self._alarms.schedule(due, self._ring, self._clock.now()), due
 
     def _carry_out(self, action: Action) -> None:
         match action:
--- a/tests/admin/test_admin_listener.py
+++ b/tests/admin/test_admin_listener.py
@@ -8,8 +8,8 @@
 from peers import run
 
 from brackengate.admin import listener as listener_module
-from brackengate.admin.listener import MOST, Listener
-from brackengate.admin.protocol import Call, yes
+from brackengate.admin.listener import MAX_CONNECTIONS, AdminListener
+from brackengate.admin.protocol import AdminCommand, encode_yes
 from brackengate.net.sockets import bind
 
 
@@ -17,12 +17,12 @@
     """A listener that keeps the calls it was asked."""
 
     def __init__(self) -> None:
-        self.calls: list[Call] = []
-        self.listener = Listener(self._answer)
+        self.calls: list[AdminCommand] = []
+        self.listener = AdminListener(self._answer)
 
-    def _answer(self, call: Call) -> bytes:
+    def _answer(self, call: AdminCommand) -> bytes:
         self.calls.append(call)
-        return yes(call.value)
+        return encode_yes(call.value)
 
     async def start(self) -> Desk:
         sock = bind(("127.0.0.1", 0))
@@ -49,7 +49,7 @@
         assert (await desk.ask(b"stop\n")).startswith(b"NO no call 'stop'")
         assert (await desk.ask(b"\x00\xff\n")).startswith(b"NO ")
         assert (await desk.ask(b"y" * 1000)).startswith(b"NO ")
-        assert desk.calls == [Call.CHECK, Call.DRAIN_ON]
+        assert desk.calls == [AdminCommand.CHECK, AdminCommand.DRAIN_ON]
         desk.listener.close()
 
     run(main())
@@ -61,13 +61,13 @@
     async def main() -> None:
         desk = await Desk().start()
         held = []
-        for _ in range(10 * MOST):
+        for _ in range(10 * MAX_CONNECTIONS):
             reader, writer = await desk.open()
             writer.write(b"che")
             held.append((reader, writer))
-            if len(held) % MOST == 0:
+            if len(held) % MAX_CONNECTIONS == 0:
                 assert await desk.ask(b"vars\n") == b"YES vars\n"
-        while desk.listener.pushed_out < 9 * MOST:
+        while desk.listener.evicted_count < 9 * MAX_CONNECTIONS:
             await asyncio.sleep(0)
         first = held[0][0]
         with pytest.raises((ConnectionResetError, asyncio.IncompleteReadError)):
@@ -83,7 +83,7 @@
 def test_a_line_that_never_ends_is_closed_and_one_that_ends_with_the_connection_asks_nothing(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    monkeypatch.setattr(listener_module, "WAIT_S", 0.05)
+    monkeypatch.setattr(listener_module, "REQUEST_TIMEOUT_S", 0.05)
 
     async def main() -> None:
         desk = await Desk().start()
--- a/tests/fleet/test_edges.py
+++ b/tests/fleet/test_edges.py
@@ -197,7 +197,9 @@
         self.lists: list[list[Endpoint]] = []
         self.new = asyncio.Event()
 
-    def listed(self, kind: ListKind, rows: Iterable[tuple[Endpoint, Any]], version: int = 0) -> None:
+    def update_upstreams(
+        self, kind: ListKind, rows: Iterable[tuple[Endpoint, Any]], version: int = 0
+    ) -> None:
         assert kind is ListKind.FULL
         self.lists.append([row for row, _ in rows])
         self.new.set()
--- a/tests/graphql/test_front.py
+++ b/tests/graphql/test_front.py
@@ -18,7 +18,7 @@
 from brackengate.graphql.classify import Classifier
 from brackengate.graphql.front import GraphqlFront, Options
 from brackengate.graphql.persisted import Store
-from brackengate.net.http import Front
+from brackengate.net.http import Frontend
 from brackengate.net.node import Node
 from standins import http
 from standins.graphql_upstream import Cut, GraphqlUpstream
@@ -37,7 +37,7 @@
     ) -> None:
         self.made: GraphqlFront
 
-        def fronts(node: Node) -> dict[bytes, Front]:
+        def fronts(node: Node) -> dict[bytes, Frontend]:
             told = Classifier(TABLE, Limits())
             self.made = GraphqlFront(node, node, told, store or Store(), options or Options())
             return {b"/graphql": self.made}
@@ -349,7 +349,7 @@
         dealer.writer.close()
         gone = {(await module.next(api.ClientGone)).request for _ in range(2)}
         assert gone == {headers["x-txn"] for _, headers, _ in peer.requests}
-        assert bench.node.held() == 0
+        assert bench.node.pending_count() == 0
         assert len([e for e in module.events if isinstance(e, api.Request)]) == 2
 
     run(main())
@@ -414,7 +414,7 @@
         zone = "ab"[number % 2]
         endpoint = api.Endpoint(up.name, zone=zone, cell=number % 2, state=state)
         rows.append((endpoint, ("127.0.0.1", up.port)))
-    bench.node.listed(api.ListKind.FULL, rows)
+    bench.node.update_upstreams(api.ListKind.FULL, rows)
 
 
 def test_a_draining_upstream_gets_no_operation_whatever_its_class(
@@ -481,7 +481,7 @@
         )
         fronts: list[GraphqlFront] = []
 
-        def make(node: Node) -> dict[bytes, Front]:
+        def make(node: Node) -> dict[bytes, Frontend]:
             fronts.append(GraphqlFront(node, node, Classifier(TABLE, Limits()), None, Options()))
             return {b"/graphql": fronts[0]}
 
@@ -525,6 +525,6 @@
                 assert runs[field, name[1:]] == 0 or field == "lot"
         statuses = Counter(status for told in ends.values() for status, _ in told)
         assert statuses[200] > 0.7 * len(ends), statuses
-        assert bench.node.held() == 0
+        assert bench.node.pending_count() == 0
 
     run(main(), 120)
--- a/tests/http/machines.py
+++ b/tests/http/machines.py
@@ -7,7 +7,7 @@
 
 from brackengate.http import caller, upstream
 from brackengate.http.body import Body, ByteBudget
-from brackengate.http.message import Arrival
+from brackengate.http.message import IncomingRequest
 
 MOST_LONG = 64 << 20
 
@@ -24,7 +24,7 @@
     written: bytes = b""
     closed: bool = False
     most_held: int = 0
-    delivered: list[Arrival] = field(default_factory=list)
+    delivered: list[IncomingRequest] = field(default_factory=list)
 
     def __post_init__(self) -> None:
         self.machine = caller.CallerMachine(self.now, lambda target: self.most_body)
@@ -34,7 +34,7 @@
 
     def send(self, data: bytes) -> None:
         self.do(self.machine.received(data, self.now))
-        self.most_held = max(self.most_held, self.machine.held())
+        self.most_held = max(self.most_held, self.machine.buffered_bytes())
 
     def do(self, commands: Sequence[caller.Command]) -> None:
         for command in commands:
@@ -48,19 +48,19 @@
                 case caller.OpenBody(arrival, length):
                     arrival.stream = Body(self._budget, length, lambda: None)
                     self.bodies[id(arrival)] = bytearray()
-                case caller.Feed(arrival, data):
+                case caller.FeedBody(arrival, data):
                     self.bodies[id(arrival)] += data
                 case caller.Write(data):
                     assert not self.closed
                     self.written += data
-                case caller.Complain(bad):
-                    self.refused.append((bad.status, bad.reason))
+                case caller.ReportBadRequest(bad):
+                    self.refused.append((bad.status, bad.rule_slug))
                 case caller.Close():
                     self.closed = True
-                case caller.Read(on):
+                case caller.SetReading(on):
                     self.reads = on
-                case caller.Again():
-                    self.do(self.machine.go_on(self.now))
+                case caller.ContinueLater():
+                    self.do(self.machine.resume(self.now))
 
     def verdict(self) -> tuple[object, ...]:
         return self.requests, self.refused, self.written, self.machine.state
@@ -82,7 +82,7 @@
 
     def __post_init__(self) -> None:
         self.machine = upstream.UpstreamMachine()
-        self.machine.ask(0, None, upstream.Passing() if self.in_pieces else None)
+        self.machine.start_request(0, None, upstream.StreamingPolicy() if self.in_pieces else None)
         if self.written:
             self.machine.next_piece(0)
         self.said: list[tuple[object, ...]] = []
@@ -92,20 +92,20 @@
     def take(self, events: Sequence[upstream.Event]) -> None:
         for event in events:
             match event:
-                case upstream.Begins(head, _):
+                case upstream.ResponseStarted(head, _):
                     self.body = head.body
-                case upstream.Piece(data):
+                case upstream.BodyPiece(data):
                     self.body += data
-                case upstream.Answered(status, _, body, reuse):
+                case upstream.UpstreamResponse(status, _, body, reuse):
                     self.said.append(("answered", status, self.body + body, reuse))
-                case upstream.Spoilt():
+                case upstream.InvalidResponse():
                     self.said.append(("spoilt",))
-                case upstream.Unasked():
+                case upstream.UnsolicitedData():
                     self.said.append(("unasked",))
 
     def send(self, data: bytes) -> None:
         self.take(self.machine.received(data, 0))
-        self.most_held = max(self.most_held, self.machine.kept + len(self.machine._rest))
+        self.most_held = max(self.most_held, self.machine.buffered_bytes + len(self.machine._unparsed))
 
 
 def answered(pieces: Iterable[bytes], ends: bool = False, **more: bool) -> Answer:
--- a/tests/http/test_model.py
+++ b/tests/http/test_model.py
@@ -11,9 +11,17 @@
 import pytest
 
 from brackengate.http import caller, upstream
-from brackengate.http.body import WHOLE, Body, ByteBudget
-from brackengate.http.message import Arrival, Bad, LocalFault
-from brackengate.http.table import CALLER, UPSTREAM, Caller, CallerMove, Upstream, UpstreamMove, step
+from brackengate.http.body import MAX_UNSTREAMED_BYTES, Body, ByteBudget
+from brackengate.http.connection_states import (
+    CALLER_STATES,
+    UPSTREAM_STATES,
+    CallerState,
+    CallerTransition,
+    UpstreamState,
+    UpstreamTransition,
+    next_state,
+)
+from brackengate.http.message import IncomingRequest, InvalidTransition, RequestError
 
 GET = b"GET /a HTTP/1.1\r\nHost: a\r\n\r\n"
 POST = b"POST /a HTTP/1.1\r\nHost: a\r\nContent-Length: %d\r\n\r\n"
@@ -25,8 +33,8 @@
     "bad": b"GET /a HTTP/2.0\r\nHost: a\r\n\r\n",
     "short body": POST % 4,
     "body": b"abcd",
-    "long body": POST % (WHOLE + 10),
-    "much": b"x" * WHOLE,
+    "long body": POST % (MAX_UNSTREAMED_BYTES + 10),
+    "much": b"x" * MAX_UNSTREAMED_BYTES,
     "ten": b"x" * 10,
 }
 DEPTH = 6
@@ -38,7 +46,7 @@
     def __init__(self) -> None:
         self.now = 0
         self.machine = caller.CallerMachine(0, lambda target: 1 << 20)
-        self.owed: Arrival | None = None  # delivered, and neither answered nor told gone
+        self.owed: IncomingRequest | None = None  # delivered, and neither answered nor told gone
         self.long = False  # its long answer is on its way
         self.open_bodies: set[int] = set()
         self.over = False  # nothing may be said any more
@@ -50,10 +58,10 @@
         it = self.machine
         return (
             it.state,
-            len(it._rest),
-            it._full,
-            it._held_back,
-            it._reads,
+            len(it._unparsed),
+            it._write_buffer_full,
+            it._body_paused,
+            it._reading,
             self.owed is not None,
             self.long,
             self.over,
@@ -72,13 +80,13 @@
                 case caller.OpenBody(arrival, length):
                     arrival.stream = Body(ByteBudget(1), length, lambda: None)
                     self.open_bodies.add(id(arrival))
-                case caller.Feed(arrival, _):
+                case caller.FeedBody(arrival, _):
                     assert id(arrival) in self.open_bodies
-                case caller.EndBody(arrival) | caller.CutBody(arrival):
+                case caller.EndBody(arrival) | caller.TruncateBody(arrival):
                     self.open_bodies.discard(id(arrival))
-                    if isinstance(command, caller.CutBody) and self.owed is arrival:
+                    if isinstance(command, caller.TruncateBody) and self.owed is arrival:
                         self.owed, self.gone = None, self.gone + 1
-                case caller.Gone():
+                case caller.CallerGone():
                     assert self.owed is not None or self.long, "nobody holds a request"
                     self.gone += 1
                     self.owed, self.long = None, False
@@ -87,7 +95,7 @@
                 case caller.Close() | caller.EndSending():
                     assert not (isinstance(command, caller.EndSending) and self.over)
                     self.over = True
-                case caller.Again():
+                case caller.ContinueLater():
                     self.again = True
 
     def final(self, commands: list[caller.Command]) -> None:
@@ -101,27 +109,31 @@
 
     def moves(self) -> dict[str, Callable[[], None]]:
         it, found = self.machine, dict[str, Callable[[], None]]()
-        if it.state is not Caller.CLOSED and it._reads:
+        if it.state is not CallerState.CLOSED and it._reading:
             for name, data in PIECES.items():
                 found[name] = lambda data=data: self.take(it.received(data, self.now))  # type: ignore[misc]
         if self.again:
             found["again"] = self._again
         if self.owed is not None:
             found["answer"] = lambda: self.final(it.answer(self.now, 200, b"ok", draining=self.draining))
-            found["refuse"] = lambda: self.final(it.refuse(Bad(404, "path"), self.now, self.draining))
-            found["refuse and end"] = lambda: self.final(it.refuse(Bad(400, "", reason="twice"), self.now))
-            if it.state is Caller.HELD:
+            found["refuse"] = lambda: self.final(
+                it.refuse(RequestError(404, "path"), self.now, self.draining)
+            )
+            found["refuse and end"] = lambda: self.final(
+                it.refuse(RequestError(400, "", rule_slug="twice"), self.now)
+            )
+            if it.state is CallerState.AWAITING_ANSWER:
                 found["begin an answer"] = self._begin
         if self.long:
-            found["a piece"] = lambda: self.take(it.piece(b"x"))
+            found["a piece"] = lambda: self.take(it.answer_piece(b"x"))
             found["its end"] = lambda: self.final(it.end_answer(self.now))
             found["its break"] = lambda: self.final_cut()
-        if it.state in (Caller.BODY, Caller.OPEN) and self.open_bodies:
-            found["no room"] = lambda: self.take(it.hold_back(True, self.now))
-            found["room"] = lambda: self.take(it.hold_back(False, self.now))
-        if it.state is not Caller.CLOSED:
-            found["not taken"] = lambda: self.take(it.full(True, self.now))
-            found["taken"] = lambda: self.take(it.full(False, self.now))
+        if it.state in (CallerState.BODY, CallerState.STREAMING_BODY) and self.open_bodies:
+            found["no room"] = lambda: self.take(it.set_body_paused(True, self.now))
+            found["room"] = lambda: self.take(it.set_body_paused(False, self.now))
+        if it.state is not CallerState.CLOSED:
+            found["not taken"] = lambda: self.take(it.set_write_buffer_full(True, self.now))
+            found["taken"] = lambda: self.take(it.set_write_buffer_full(False, self.now))
             found["evicted"] = lambda: self.take(it.close(self.now, True))
             found["lost"] = self._lost
             found["a drain"] = lambda: setattr(self, "draining", not self.draining)
@@ -130,7 +142,7 @@
 
     def _again(self) -> None:
         self.again = False
-        self.take(self.machine.go_on(self.now))
+        self.take(self.machine.resume(self.now))
 
     def _begin(self) -> None:
         head = self.machine.begin_answer(self.now, None, b"", b"", self.draining)
@@ -139,11 +151,11 @@
         self.take(head)
 
     def final_cut(self) -> None:
-        self.take([c for c in self.machine.cut_answer(self.now) if not isinstance(c, caller.Gone)])
+        self.take([c for c in self.machine.abort_answer(self.now) if not isinstance(c, caller.CallerGone)])
         self.finals, self.long = self.finals + 1, False
 
     def _lost(self) -> None:
-        self.take(self.machine.lost())
+        self.take(self.machine.connection_closed())
         self.over = True
 
     def _wait(self) -> None:
@@ -152,10 +164,12 @@
 
     def check(self) -> None:
         assert self.delivered == self.finals + self.gone + (self.owed is not None) + self.long
-        if self.machine.state is Caller.CLOSED:
+        if self.machine.state is CallerState.CLOSED:
             assert self.owed is None and not self.long, "a request is left with whoever holds it"
             assert not self.open_bodies, "a body is left with whoever reads it"
-        assert self.machine.held() <= caller.AHEAD + WHOLE + 2 * max(map(len, PIECES.values()))
+        assert self.machine.buffered_bytes() <= caller.MAX_READ_AHEAD_BYTES + MAX_UNSTREAMED_BYTES + 2 * max(
+            map(len, PIECES.values())
+        )
 
     def settle(self) -> None:
         """Left alone, with everybody doing his part, it comes to rest: no request waits for ever."""
@@ -166,7 +180,7 @@
                     moves[name]()
             self.check()
         assert self.owed is None and not self.long
-        assert self.machine.state in (Caller.IDLE, Caller.CLOSED)
+        assert self.machine.state in (CallerState.IDLE, CallerState.CLOSED)
 
 
 def replay(history: tuple[str, ...]) -> World:
@@ -177,7 +191,7 @@
 
 
 def test_each_request_has_one_answer_in_every_history_and_none_on_a_connection_that_has_ended() -> None:
-    seen, todo, met = {World().key()}, deque[tuple[str, ...]]([()]), set[Caller]()
+    seen, todo, met = {World().key()}, deque[tuple[str, ...]]([()]), set[CallerState]()
     while todo:
         history = todo.popleft()
         for name in replay(history).moves():
@@ -190,14 +204,14 @@
                 replay((*history, name)).settle()
                 if len(history) + 1 < DEPTH:
                     todo.append((*history, name))
-    assert met == set(Caller)
+    assert met == set(CallerState)
     assert len(seen) > 500
 
 
 def test_every_state_is_reached_and_left_by_the_table_alone() -> None:
     for table, start, end in (
-        (CALLER, Caller.IDLE, Caller.CLOSED),
-        (UPSTREAM, Upstream.IDLE, Upstream.CLOSED),
+        (CALLER_STATES, CallerState.IDLE, CallerState.CLOSED),
+        (UPSTREAM_STATES, UpstreamState.IDLE, UpstreamState.CLOSED),
     ):
         reached, todo = {start}, [start]
         while todo:
@@ -211,10 +225,10 @@
 
 
 def test_a_move_that_the_table_has_not_is_our_own_fault_and_says_nothing() -> None:
-    with pytest.raises(LocalFault, match="IDLE"):
-        step(CALLER, Caller.IDLE, CallerMove.ANSWERED)
-    with pytest.raises(LocalFault, match="PASSING"):
-        step(UPSTREAM, Upstream.PASSING, UpstreamMove.ASKS)
+    with pytest.raises(InvalidTransition, match="IDLE"):
+        next_state(CALLER_STATES, CallerState.IDLE, CallerTransition.ANSWERED)
+    with pytest.raises(InvalidTransition, match="STREAMING"):
+        next_state(UPSTREAM_STATES, UpstreamState.STREAMING, UpstreamTransition.REQUEST_STARTED)
     machine = caller.CallerMachine(0, lambda target: 0)
     machine.received(GET, 0)
     assert machine.answer(0, 200, b"") and machine.answer(0, 200, b"") == []
@@ -236,12 +250,12 @@
         b"HTTP/1.1 200 OK\r\nX: ",
     ]
     moves = [*pieces, "written", "end", "break", "ask"]
-    met = set[Upstream]()
+    met = set[UpstreamState]()
     todo = deque[tuple[object, ...]]([()])
     while todo:
         history = todo.popleft()
         machine, ends, asked = upstream.UpstreamMachine(), 0, 1
-        machine.ask(0, None, upstream.Passing())
+        machine.start_request(0, None, upstream.StreamingPolicy())
         for move in history:
             before = machine.state
             events: list[upstream.Event] = []
@@ -250,23 +264,23 @@
             elif move in ("end", "break"):
                 events = machine.ended(move == "end")
             elif move == "ask":
-                if machine.state is not Upstream.IDLE:
-                    with pytest.raises(LocalFault):
-                        machine.ask(0)
+                if machine.state is not UpstreamState.IDLE:
+                    with pytest.raises(InvalidTransition):
+                        machine.start_request(0)
                     break
-                machine.ask(0, None, upstream.Passing())
+                machine.start_request(0, None, upstream.StreamingPolicy())
                 asked += 1
             else:
                 assert isinstance(move, bytes)
                 events = machine.received(move, 0)
-            ends += sum(isinstance(e, upstream.Answered | upstream.Spoilt) for e in events)
+            ends += sum(isinstance(e, upstream.UpstreamResponse | upstream.InvalidResponse) for e in events)
             assert ends <= asked, history
-            assert not (before is Upstream.CLOSED and events), history
-            if any(isinstance(e, upstream.Answered) and e.status == 200 for e in events):
-                assert machine.written or machine.state is Upstream.CLOSED
-            assert machine.kept <= upstream.MAX_ANSWER
+            assert not (before is UpstreamState.CLOSED and events), history
+            if any(isinstance(e, upstream.UpstreamResponse) and e.status == 200 for e in events):
+                assert machine.written or machine.state is UpstreamState.CLOSED
+            assert machine.buffered_bytes <= upstream.MAX_BUFFERED_RESPONSE_BYTES
             met.add(machine.state)
         else:
-            if len(history) < 4 and machine.state is not Upstream.CLOSED:
+            if len(history) < 4 and machine.state is not UpstreamState.CLOSED:
                 todo += [(*history, move) for move in moves]
-    assert met == set(Upstream)
+    assert met == set(UpstreamState)
--- a/tests/http/test_once.py
+++ b/tests/http/test_once.py
@@ -8,8 +8,8 @@
 
 import pytest
 
-from brackengate.http.message import Arrival, Bad
-from brackengate.http.rules import ALWAYS_ONCE
+from brackengate.http.message import IncomingRequest, RequestError
+from brackengate.http.rules import SINGLE_REQUEST_HEADERS
 from brackengate.installation.reading import load
 from brackengate.installation.settings import once
 from brackengate.interface import Request
@@ -19,13 +19,13 @@
 
 
 def test_the_file_adds_its_own_headers_and_takes_none_away() -> None:
-    assert once(load(EXAMPLES / "one-tier.toml")) >= ALWAYS_ONCE
+    assert once(load(EXAMPLES / "one-tier.toml")) >= SINGLE_REQUEST_HEADERS
     told = load(
         EXAMPLES / "graphql.toml", ["graphql.tenant_header=X-Member", "graphql.deadline_header=X-Left"]
     )
-    assert once(told) >= ALWAYS_ONCE | {b"x-member", b"x-left"}
+    assert once(told) >= SINGLE_REQUEST_HEADERS | {b"x-member", b"x-left"}
     queues = load(EXAMPLES / "queues.toml", ["queues.client=header", "queues.client_header=X-Who"])
-    assert once(queues) >= ALWAYS_ONCE | {b"x-who", queues.queues.place_header.lower().encode()}
+    assert once(queues) >= SINGLE_REQUEST_HEADERS | {b"x-who", queues.queues.place_header.lower().encode()}
     assert b"x-who" not in once(load(EXAMPLES / "queues.toml", ["queues.client=address"]))
     assert b"x-forwarded-for" not in once(queues)  # a list by its nature: our own front's word is the last
 
@@ -37,11 +37,11 @@
     choose = routing.route_of(load(EXAMPLES / "pools.toml"), cast(Any, pools))
     connection, request = cast(Any, SimpleNamespace(peer=lambda: "127.0.0.1")), Request("a", "read", 1)
 
-    def arrival(*values: bytes) -> Arrival:
-        return Arrival(b"GET", b"/api", [(b"X-Tier", value) for value in values], b"", True, 0)
+    def arrival(*values: bytes) -> IncomingRequest:
+        return IncomingRequest(b"GET", b"/api", [(b"X-Tier", value) for value in values], b"", True, 0)
 
     assert choose(arrival(b"gold"), connection, request, "", "") == "pool"
     assert seen == [{"x-tier": "gold"}]
-    with pytest.raises(Bad) as caught:
+    with pytest.raises(RequestError) as caught:
         choose(arrival(b"gold", b"tin"), connection, request, "", "")
-    assert (caught.value.status, caught.value.reason) == (400, "twice") and len(seen) == 1
+    assert (caught.value.status, caught.value.rule_slug) == (400, "twice") and len(seen) == 1
