--- a/tests/http/test_properties.py
+++ b/tests/http/test_properties.py
@@ -12,8 +12,8 @@
 from machines import answered, heard
 
 from brackengate.http import caller, upstream
-from brackengate.http.body import WHOLE
-from brackengate.http.message import MAX_HEAD
+from brackengate.http.body import MAX_UNSTREAMED_BYTES
+from brackengate.http.message import MAX_HEAD_BYTES
 
 ROOT = Path(__file__).parent.parent.parent
 PARTS = [
@@ -88,11 +88,11 @@
 @pytest.mark.parametrize(
     ("data", "most"),
     [
-        (b"GET /api HTTP/1.1\r\nX: " + b"x" * 100_000, MAX_HEAD),
-        (b"GET /" + b"x" * 100_000, MAX_HEAD),
-        (CHUNKED + b"1;" + b"x" * 100_000, MAX_HEAD),
-        (CHUNKED + b"0\r\nX: " + b"x" * 100_000, MAX_HEAD),
-        (CHUNKED + b"1;abcdefghijklmnop\r\na\r\n" * 9_000, WHOLE),
+        (b"GET /api HTTP/1.1\r\nX: " + b"x" * 100_000, MAX_HEAD_BYTES),
+        (b"GET /" + b"x" * 100_000, MAX_HEAD_BYTES),
+        (CHUNKED + b"1;" + b"x" * 100_000, MAX_HEAD_BYTES),
+        (CHUNKED + b"0\r\nX: " + b"x" * 100_000, MAX_HEAD_BYTES),
+        (CHUNKED + b"1;abcdefghijklmnop\r\na\r\n" * 9_000, MAX_UNSTREAMED_BYTES),
     ],
     ids=["header", "target", "chunk", "trailer", "framing"],
 )  # fmt: skip
@@ -126,7 +126,7 @@
     ):
         told = answered(split(data, [1000]))
         assert told.said == [("spoilt",)]
-        assert told.most_held <= upstream.MAX_ANSWER + MAX_HEAD
+        assert told.most_held <= upstream.MAX_BUFFERED_RESPONSE_BYTES + MAX_HEAD_BYTES
 
 
 def test_what_follows_a_held_request_is_not_read_beyond_its_bound_and_keeps_its_time() -> None:
@@ -135,12 +135,12 @@
     for number in range(1, 4):
         told.now = number * 10_000
         told.send(get % number)
-    told.send(b"GET /4 HTTP/1.1\r\nHost: a\r\nX: " + b"x" * (MAX_HEAD - 40))
-    assert not told.reads and told.machine.held() > caller.AHEAD
+    told.send(b"GET /4 HTTP/1.1\r\nHost: a\r\nX: " + b"x" * (MAX_HEAD_BYTES - 40))
+    assert not told.reads and told.machine.buffered_bytes() > caller.MAX_READ_AHEAD_BYTES
     told.now = 100_000
     for _ in range(3):
         told.do(told.machine.answer(told.now, 200, b""))
-    assert [(arrival.target, arrival.at) for arrival in told.delivered] == [
+    assert [(arrival.target, arrival.received_at) for arrival in told.delivered] == [
         (b"/0", 0), (b"/1", 10_000), (b"/2", 20_000), (b"/3", 30_000),
     ]  # fmt: skip
 
--- a/tests/http/test_smuggling.py
+++ b/tests/http/test_smuggling.py
@@ -7,8 +7,8 @@
 import pytest
 from machines import answered, cuts, heard
 
-from brackengate.http.rules import ALWAYS_ONCE, REQUEST, Rule
-from brackengate.http.table import Caller
+from brackengate.http.connection_states import CallerState
+from brackengate.http.rules import REQUEST_HEAD_PATTERN, SINGLE_REQUEST_HEADERS, Rule
 
 GET = b"GET /api HTTP/1.1\r\nHost: a\r\n\r\n"
 GOOD = b"GET /api?good HTTP/1.1\r\nHost: a\r\nX-Org: one\r\n\r\n"
@@ -170,7 +170,7 @@
         told = heard([before, *pieces, HIDDEN] if before else [*pieces, HIDDEN])
         assert [target for _, target, _, _ in told.requests] == ([b"/api?good"] if before else [])
         assert [status for status, _ in told.refused] == [400]
-        assert told.machine.state is Caller.LINGERING
+        assert told.machine.state is CallerState.LINGERING
         assert (
             len(re.findall(rb"HTTP/1\.1 \d", told.written)) == 1 + bool(before)
             and b"Connection: close" in told.written
@@ -224,12 +224,14 @@
 
 def test_headers_that_the_installation_names_stand_once_too() -> None:
     from brackengate.http.caller import CallerMachine as Machine
-    from brackengate.http.caller import Complain, Deliver
+    from brackengate.http.caller import Deliver, ReportBadRequest
 
     twice = get(b"X-Member: 1", b"X-Member: 2")
-    machine = Machine(0, lambda target: 0, ALWAYS_ONCE | {b"x-member"})
+    machine = Machine(0, lambda target: 0, SINGLE_REQUEST_HEADERS | {b"x-member"})
     assert [
-        command.bad.reason for command in machine.received(twice, 0) if isinstance(command, Complain)
+        command.error.rule_slug
+        for command in machine.received(twice, 0)
+        if isinstance(command, ReportBadRequest)
     ] == ["twice"]
     usual = Machine(0, lambda target: 0)
     assert any(isinstance(command, Deliver) for command in usual.received(twice, 0))
@@ -241,7 +243,7 @@
         reasons |= {reason for _, reason in heard([data]).refused}
     assert reasons >= {rule.slug for rule in Rule}
     assert all(rule.section.startswith("RFC 91") for rule in Rule)
-    assert REQUEST.fullmatch(GET)
+    assert REQUEST_HEAD_PATTERN.fullmatch(GET)
 
 
 OK = b"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok"
--- a/tests/http/test_strict_door.py
+++ b/tests/http/test_strict_door.py
@@ -117,17 +117,17 @@
         while len(upstream.requests) < 350:  # the slow readers' too
             await asyncio.sleep(0.01)
         assert bench.server.connections() >= 601
-        later = bench.clock.now() + 2 * caller_module.STALL
+        later = bench.clock.now() + 2 * caller_module.STALL_TIMEOUT_US
         for connection in list(bench.server._connections):
             if connection.machine.state.name != "IDLE":
                 connection.tick(later)
-        after = bench.clock.now() + 3 * caller_module.STALL
+        after = bench.clock.now() + 3 * caller_module.STALL_TIMEOUT_US
         for connection in list(bench.server._connections):
             connection.tick(after)  # those that were told 408 and do not go
         while bench.server.connections() > 1:
             await asyncio.sleep(0.01)
         assert (await true.ask("t99"))[0] == 200
-        assert bench.bytes.taken == 0
+        assert bench.bytes.in_use == 0
         for sock in crowd:
             sock.close()
 
@@ -135,9 +135,9 @@
 
 
 BOUNDS = {
-    "a head": (caller_module, "HEAD_TIME", request("a1")[:20]),
+    "a head": (caller_module, "HEAD_TIMEOUT_US", request("a1")[:20]),
     "a body": (caller_module, "too_slow", request("a1", "buy").replace(b"Length: 0", b"Length: 9")),
-    "silence": (server_module, "SILENT", b""),
+    "silence": (server_module, "FIRST_BYTE_TIMEOUT_US", b""),
 }
 
 
--- a/tests/lighthouse/test_commands_pending.py
+++ b/tests/lighthouse/test_commands_pending.py
@@ -9,7 +9,7 @@
 import pytest
 from test_order_timelines import Mesh
 
-from brackengate.http.message import Arrival
+from brackengate.http.message import IncomingRequest
 from brackengate.lighthouse.actions import Answer
 from brackengate.lighthouse.commands import (
     GIVE_UP_AFTER,
@@ -137,8 +137,8 @@
         self.gone = gone
 
 
-def arrival(call: str) -> Arrival:
-    return Arrival(b"POST", b"/v1/rpc?call=" + call.encode(), [], b"{}", True, 0)
+def arrival(call: str) -> IncomingRequest:
+    return IncomingRequest(b"POST", b"/v1/rpc?call=" + call.encode(), [], b"{}", True, 0)
 
 
 def test_an_order_whose_caller_goes_is_withdrawn() -> None:
--- a/tests/net/peers.py
+++ b/tests/net/peers.py
@@ -15,8 +15,8 @@
 from brackengate import interface as api
 from brackengate.brain import Balancer
 from brackengate.http.body import ByteBudget
-from brackengate.net.crowd import Crowd
-from brackengate.net.http import Door, Front
+from brackengate.net.connection_admission import ConnectionAdmission
+from brackengate.net.http import Frontend, RequestStage
 from brackengate.net.node import Clock, Node
 from brackengate.net.server import Server
 from brackengate.net.sockets import SocketBudget, bind
@@ -135,9 +135,9 @@
         connect_timeout_s: float = 0.3,
         idle_close_s: float = 60.0,
         room: int = 1000,
-        fronts: Callable[[Node], dict[bytes, Front]] = lambda node: {},
-        door: Callable[[Node], Door] | None = None,
-        crowd: Crowd | None = None,
+        fronts: Callable[[Node], dict[bytes, Frontend]] = lambda node: {},
+        door: Callable[[Node], RequestStage] | None = None,
+        crowd: ConnectionAdmission | None = None,
         bytes_: int = 16 << 20,
     ) -> None:
         loop = asyncio.get_running_loop()
@@ -156,13 +156,13 @@
             fronts(self.node),
             door(self.node) if door else None,
             crowd,
-            bytes_=self.bytes,
+            byte_budget=self.bytes,
         )
         self.port = self.server.start()[0]
 
     def list(self, *ports: int, kind: api.ListKind = api.ListKind.FULL, **fields: Any) -> None:
         rows = [(api.Endpoint(f"u{i}", **fields), ("127.0.0.1", port)) for i, port in enumerate(ports)]
-        self.node.listed(kind, rows)
+        self.node.update_upstreams(kind, rows)
 
     async def caller(self) -> Caller:
         return await Caller.to(self.port)
--- a/tests/net/test_attempts.py
+++ b/tests/net/test_attempts.py
@@ -25,7 +25,7 @@
 from brackengate import interface as api
 from brackengate.interface import Outcome
 from brackengate.net import upstream as upstream_module
-from brackengate.net.upstream import Result, load_report
+from brackengate.net.upstream import Result, parse_load_report
 
 CHUNKED = b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
 TURNED_AWAY = "X-Turned-Away: 1"
@@ -119,7 +119,7 @@
         bench.list(peer.port)
         assert (await (await bench.caller()).ask())[0] == 502
         assert (await module.next(api.AttemptEnded)).outcome is Outcome.CONNECT_FAILED
-        assert bench.budget.taken == 1  # the caller's
+        assert bench.budget.in_use == 1  # the caller's
 
     run(main())
 
@@ -212,7 +212,7 @@
         bench = Bench(module, settings=settings(max_attempts=3, cancel=False))
         bench.list(peer.port, peer.port)
         gone = (api.Endpoint("u1", state=api.Lifecycle.GONE), ("127.0.0.1", peer.port))
-        bench.node.listed(api.ListKind.CHANGES, [gone])
+        bench.node.update_upstreams(api.ListKind.CHANGES, [gone])
         assert (await (await bench.caller()).ask())[0] == 502
         outcomes = {}
         while len(outcomes) < 5:
@@ -386,13 +386,13 @@
         await peer.got.get()
         caller.writer.close()
         await peer.closed.get()
-        assert bench.node.held() == 0
+        assert bench.node.pending_count() == 0
 
     run(main())
 
 
 def test_connections_are_kept_and_one_carries_one_request_at_a_time(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(upstream_module, "SETTLE", 0)
+    monkeypatch.setattr(upstream_module, "SETTLE_US", 0)
 
     async def main() -> None:
         peer = await Peer(replies(answer())).start()
@@ -503,8 +503,8 @@
 
 def test_a_connection_lost_while_idle_is_no_failure_of_its_upstream(monkeypatch: pytest.MonkeyPatch) -> None:
     """Two failures would make it rest, and its calls wait in vain: it is the only one."""
-    monkeypatch.setattr(upstream_module, "SETTLE", 0)
-    monkeypatch.setattr(upstream_module, "TRUST_LEAST", 2**60)  # or no connection would be used again
+    monkeypatch.setattr(upstream_module, "SETTLE_US", 0)
+    monkeypatch.setattr(upstream_module, "MIN_TRUSTED_IDLE_US", 2**60)  # or no connection would be used again
 
     async def main() -> None:
         peer = await Peer(DeadAfterIdle()).start()
@@ -521,8 +521,8 @@
 def test_only_a_loss_at_once_on_a_kept_connection_is_stale(
     fresh: bool, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    monkeypatch.setattr(upstream_module, "SETTLE", 0)
-    monkeypatch.setattr(upstream_module, "STALE", 2**60 if fresh else 0)
+    monkeypatch.setattr(upstream_module, "SETTLE_US", 0)
+    monkeypatch.setattr(upstream_module, "STALE_LOSS_WITHIN_US", 2**60 if fresh else 0)
 
     async def main() -> None:
         peer = await Peer(DeadAfterIdle()).start()
@@ -598,7 +598,9 @@
     more: bytes, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     """Used again at once, the connection would bring it as the answer to the next request."""
-    monkeypatch.setattr(upstream_module, "SETTLE", 1_000_000)  # a busy machine may stand still for its 5 ms
+    monkeypatch.setattr(
+        upstream_module, "SETTLE_US", 1_000_000
+    )  # a busy machine may stand still for its 5 ms
 
     async def main() -> None:
         async def script(_: object, writer: asyncio.StreamWriter) -> None:
@@ -632,11 +634,11 @@
         caller = await bench.caller()
         caller.send("a1")
         await peer.got.get()
-        bench.node.listed(api.ListKind.FULL, [(api.Endpoint("u1"), ("127.0.0.1", peer.port))])
+        bench.node.update_upstreams(api.ListKind.FULL, [(api.Endpoint("u1"), ("127.0.0.1", peer.port))])
         hold.set()
         assert (await caller.read())[0] == 200
         await peer.closed.get()
-        assert bench.pool._idle == {} and bench.pool._oldest == {}
+        assert bench.pool._idle == {} and bench.pool._idle_by_age == {}
 
     run(main())
 
@@ -666,9 +668,9 @@
         assert bench.clock.now() - begun < 2_000_000
         await caller.ask("a2")
         module.act = lambda event: [api.Release("u0")] if isinstance(event, api.UpstreamList) else []
-        bench.node.listed(api.ListKind.CHANGES, [])
+        bench.node.update_upstreams(api.ListKind.CHANGES, [])
         await peer.closed.get()
-        assert bench.budget.taken == 1
+        assert bench.budget.in_use == 1
 
     run(main())
 
@@ -687,7 +689,7 @@
         caller = await bench.caller()
         for number in range(6):
             assert (await caller.ask(f"a{number}"))[0] == 200
-            assert bench.budget.taken <= 3
+            assert bench.budget.in_use <= 3
         for peer in peers[:4]:
             await peer.closed.get()
 
@@ -791,7 +793,7 @@
     ],
 )
 def test_an_unreadable_load_report_is_none(text: str) -> None:
-    assert load_report(text) is None
+    assert parse_load_report(text) is None
 
 
 @pytest.mark.parametrize(
--- a/tests/net/test_bodies.py
+++ b/tests/net/test_bodies.py
@@ -16,11 +16,11 @@
 from brackengate import interface as api
 from brackengate.http import caller as caller_module
 from brackengate.http import upstream as upstream_machine
-from brackengate.http.body import FLOOR, WHOLE
+from brackengate.http.body import MAX_UNSTREAMED_BYTES, MIN_SHARE_BYTES
 from brackengate.net import http as http_module
 from brackengate.net import upstream as upstream_module
-from brackengate.net.figures import Figures, Kind
-from brackengate.net.sockets import READ
+from brackengate.net.metrics import RequestMetrics, ResultKind
+from brackengate.net.sockets import READ_BYTES
 
 LONG = 32 << 20
 BLOCK = os.urandom(1 << 20)
@@ -152,7 +152,7 @@
             (LONG, digest, str(LONG))
         ]
         assert "expect" not in ran[0].headers
-        assert bench.bytes.taken == 0 and bench.bytes.most <= bench.bytes.limit
+        assert bench.bytes.in_use == 0 and bench.bytes.peak <= bench.bytes.limit
         assert (await caller.ask("a2"))[0] == 200  # the connection is still good
 
     run(main())
@@ -177,7 +177,7 @@
         (ran,) = upstream.ran
         assert (ran.size, ran.digest.digest()) == (size, digest.digest())
         assert ran.headers["transfer-encoding"] == "chunked" and "content-length" not in ran.headers
-        assert bench.bytes.taken == 0
+        assert bench.bytes.in_use == 0
 
     run(main())
 
@@ -217,8 +217,8 @@
         await reader.body()
         assert (reader.size, reader.digest.digest()) == (4 << 20, hashlib.sha256(BLOCK * 4).digest())
         assert len(upstream.ran) == 1
-        await until(lambda: bench.node.out() == 0)
-        assert bench.bytes.taken == 0
+        await until(lambda: bench.node.unfinished_count() == 0)
+        assert bench.bytes.in_use == 0
         assert (await caller.ask("a2", lane="none"))[0] == 400  # the connection is still good
 
     run(main())
@@ -237,8 +237,8 @@
             caller.send(f"a{number}")
             reader = Reader(caller.reader)
             await reader.head()
-            while bench.node.out():  # all of it lies between the balancer and us
-                if reader.size < (8 << 20) - http_module.OUT_AHEAD:  # the rest of it the kernel takes
+            while bench.node.unfinished_count():  # all of it lies between the balancer and us
+                if reader.size < (8 << 20) - http_module.MAX_UNSENT_BYTES:  # the rest of it the kernel takes
                     await reader._take(1 << 14)
                 else:
                     await asyncio.sleep(0.001)
@@ -308,7 +308,7 @@
             want = hashlib.sha256(BLOCK[:150_000] + BLOCK[:50_000])
             assert sound.ran[0].digest.digest() == want.digest()
         assert broken.ran == []
-        await until(lambda: bench.bytes.taken == 0 and bench.node.out() == 0)
+        await until(lambda: bench.bytes.in_use == 0 and bench.node.unfinished_count() == 0)
 
     run(main())
 
@@ -395,7 +395,7 @@
         with pytest.raises((asyncio.IncompleteReadError, ConnectionResetError, ValueError)):
             await received(caller)
         assert len(upstream.ran) == 1
-        await until(lambda: bench.bytes.taken == 0 and bench.node.out() == 0)
+        await until(lambda: bench.bytes.in_use == 0 and bench.node.unfinished_count() == 0)
 
     run(main())
 
@@ -423,7 +423,7 @@
         await received(down, 1 << 20)
         reset(down.writer)
         await upstream.ended.get()
-        await until(lambda: bench.bytes.taken == 0 and bench.node.out() == 0)
+        await until(lambda: bench.bytes.in_use == 0 and bench.node.unfinished_count() == 0)
 
     run(main())
 
@@ -431,7 +431,7 @@
 def test_a_caller_that_stops_reading_for_ever_is_ended_and_holds_little(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    monkeypatch.setattr(caller_module, "STALL", 300_000)
+    monkeypatch.setattr(caller_module, "STALL_TIMEOUT_US", 300_000)
 
     async def main() -> None:
         async def gives(upstream: Upstream, reader: Reader, writer: asyncio.StreamWriter) -> None:
@@ -445,16 +445,16 @@
         stuck.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4096)
         stuck.sendall(request("a1"))
         await upstream.ended.get()  # the balancer gave it up
-        assert bench.bytes.most <= http_module.OUT_AHEAD + 2 * READ
-        await until(lambda: bench.bytes.taken == 0 and bench.server.connections() == 0)
+        assert bench.bytes.peak <= http_module.MAX_UNSENT_BYTES + 2 * READ_BYTES
+        await until(lambda: bench.bytes.in_use == 0 and bench.server.connections() == 0)
         stuck.close()
 
     run(main())
 
 
 def test_an_upstream_that_stands_still_in_its_answer_is_given_up(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(upstream_machine, "STALL", 200_000)
-    monkeypatch.setattr(upstream_module, "SWEEP_S", 0.05)
+    monkeypatch.setattr(upstream_machine, "STALL_TIMEOUT_US", 200_000)
+    monkeypatch.setattr(upstream_module, "SWEEP_INTERVAL_S", 0.05)
 
     async def main() -> None:
         data = b"HTTP/1.1 200 OK\r\nContent-Length: 4000000\r\n\r\n" + BLOCK
@@ -475,7 +475,7 @@
         (head(100_000, extra=b"Transfer-Encoding: chunked\r\n"), 400),
         (head(100_000, extra=b"Content-Length: 100001\r\n"), 400),
         (head(100_000, extra=b"Content-Length: 100000\r\n"), 400),
-        (head(http_module.MAX_LONG_BODY + 1), 413),
+        (head(http_module.MAX_STREAMED_BODY_BYTES + 1), 413),
         (head(None) + chunk(b"x" * 100_000) + b"zz\r\n", 400),
         (head(None) + chunk(b"x" * 100_000) + b"5\r\nabcdefgh\r\n", 400),
         (head(None) + chunk(b"x" * 100_000) + b"0\r\nX: " + b"y" * 100_000, 431),
@@ -491,7 +491,7 @@
         got, headers, _ = await caller.read()
         assert (got, headers["connection"]) == (status, "close")
         assert upstream.ran == []
-        await until(lambda: bench.bytes.taken == 0 and bench.node.out() == 0)
+        await until(lambda: bench.bytes.in_use == 0 and bench.node.unfinished_count() == 0)
         assert (await (await bench.caller()).ask("a2"))[0] == 200
 
     run(main())
@@ -540,8 +540,13 @@
         sending = asyncio.create_task(send(caller.writer, 300_000))
         await upstream.seen.get()
         held = next(iter(bench.server._connections)).machine
-        await until(lambda: held.held() > caller_module.AHEAD)  # it lies unread, and reading has stopped
-        assert held.held() <= caller_module.AHEAD + READ and bench.bytes.taken == 0
+        await until(
+            lambda: held.buffered_bytes() > caller_module.MAX_READ_AHEAD_BYTES
+        )  # it lies unread, and reading has stopped
+        assert (
+            held.buffered_bytes() <= caller_module.MAX_READ_AHEAD_BYTES + READ_BYTES
+            and bench.bytes.in_use == 0
+        )
         go.set()
         assert (await caller.read())[0] == 200
         assert (await caller.read())[0] == 200
@@ -559,7 +564,10 @@
         go = asyncio.Event()
 
         async def act(upstream: Upstream, reader: Reader, writer: asyncio.StreamWriter) -> None:
-            if "content-length" in reader.headers and int(reader.headers["content-length"]) > WHOLE:
+            if (
+                "content-length" in reader.headers
+                and int(reader.headers["content-length"]) > MAX_UNSTREAMED_BYTES
+            ):
                 await go.wait()
             await whole(upstream, reader, writer)
 
@@ -580,8 +588,8 @@
         small = await bench.caller()
         for number in range(20):
             assert (await small.ask(f"small{number}"))[0] == 200
-        assert bench.bytes.most <= limit + 50 * (FLOOR + 2 * READ)
-        assert bench.bytes.taken <= limit + 50 * (FLOOR + 2 * READ)
+        assert bench.bytes.peak <= limit + 50 * (MIN_SHARE_BYTES + 2 * READ_BYTES)
+        assert bench.bytes.in_use <= limit + 50 * (MIN_SHARE_BYTES + 2 * READ_BYTES)
         for task, caller in zip(sending[3:], callers[3:], strict=True):
             task.cancel()
             reset(caller.writer)
@@ -589,7 +597,7 @@
         for task, caller in zip(sending[:3], callers[:3], strict=True):
             assert (await caller.read())[0] == 200
             await task
-        await until(lambda: bench.bytes.taken == 0 and bench.node.out() == 0)
+        await until(lambda: bench.bytes.in_use == 0 and bench.node.unfinished_count() == 0)
         assert sum(ran.size == LONG for ran in upstream.ran) == 3
 
     run(main())
@@ -653,7 +661,7 @@
 
         upstream = await Upstream(act).start()
         bench = Bench(bytes_=1)
-        figures = bench.node.observer = Figures()
+        figures = bench.node.observer = RequestMetrics()
         bench.list(upstream.port)
         good = await bench.caller()
         good.send("good")
@@ -675,12 +683,12 @@
         sending = asyncio.create_task(send(refused.writer, LONG))
         assert (await refused.read())[0] == 503
         sending.cancel()
-        await until(lambda: bench.node.out() == 0 and figures.inflight == 0)
-        told = figures.by_kind(["read", "buy"])
+        await until(lambda: bench.node.unfinished_count() == 0 and figures.inflight == 0)
+        told = figures.count_by_result(["read", "buy"])
         assert {key: count for key, count in told.items() if count} == {
-            (Kind.SERVED, "read"): 1,
-            (Kind.FAILED, "read"): 1,
-            (Kind.REFUSED, "buy"): 1,
+            (ResultKind.SERVED, "read"): 1,
+            (ResultKind.FAILED, "read"): 1,
+            (ResultKind.BUSY, "buy"): 1,
         }
         assert figures.attempts_written == 3  # what never was there whole is no attempt
 
--- a/tests/net/test_body_pure.py
+++ b/tests/net/test_body_pure.py
@@ -5,7 +5,15 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from brackengate.http.body import FLOOR, HEAD_START_S, LEAST_RATE, PART, Body, ByteBudget, too_slow
+from brackengate.http.body import (
+    MIN_BODY_BYTES_PER_S,
+    MIN_SHARE_BYTES,
+    RATE_GRACE_S,
+    SHARE_DIVISOR,
+    Body,
+    ByteBudget,
+    too_slow,
+)
 
 
 def body(limit: int = 1 << 20, length: int | None = None) -> tuple[Body, ByteBudget, list[str]]:
@@ -26,15 +34,15 @@
     made, budget, told = body()
     assert made.feed(b"one") and made.feed(b"two")
     assert made.open(lambda: None)
-    assert drain(made) == b"onetwo" and not made.over
+    assert drain(made) == b"onetwo" and not made.fully_taken
     made.end()
-    assert made.over and told == ["end"]
+    assert made.fully_taken and told == ["end"]
     made.close()
-    assert made.again and made.open(lambda: None)
+    assert made.replayable and made.open(lambda: None)
     assert drain(made) == b"onetwo"
-    assert budget.taken == 6
-    made.cut_off()
-    assert budget.taken == 0 and not made.again
+    assert budget.in_use == 6
+    made.truncate()
+    assert budget.in_use == 0 and not made.replayable
     assert told == ["end"]  # whole before it was let go
 
 
@@ -46,26 +54,26 @@
 
 
 def test_a_caller_waits_when_its_share_is_full_and_goes_on_when_there_is_room() -> None:
-    made, budget, told = body(limit=PART * 4 * FLOOR)
+    made, budget, told = body(limit=SHARE_DIVISOR * 4 * MIN_SHARE_BYTES)
     fed = 0
-    while made.feed(b"x" * FLOOR):
+    while made.feed(b"x" * MIN_SHARE_BYTES):
         fed += 1
         assert fed < 10
     assert made.open(lambda: None)
     assert told == []
     drain(made)
     assert told == ["resume"]
-    assert budget.most <= budget.limit
+    assert budget.peak <= budget.limit
 
 
 def test_what_was_sent_is_let_go_for_want_of_room_and_then_no_attempt_can_follow() -> None:
     made, budget, _ = body(limit=1)  # no room at all: each holds its floor
     made.open(lambda: None)
     for _ in range(20):
-        made.feed(b"x" * FLOOR)
+        made.feed(b"x" * MIN_SHARE_BYTES)
         assert made.take() is not None
-    assert not made.again
-    assert budget.taken <= 3 * FLOOR
+    assert not made.replayable
+    assert budget.in_use <= 3 * MIN_SHARE_BYTES
     made.close()
     assert not made.open(lambda: None)
 
@@ -73,7 +81,7 @@
 def test_a_reader_that_waits_is_woken_by_a_piece_and_by_the_end() -> None:
     made, _, _ = body()
     woken: list[bool] = []
-    made.open(lambda: woken.append(made.over))
+    made.open(lambda: woken.append(made.fully_taken))
     made.feed(b"x")
     drain(made)
     made.end()
@@ -82,19 +90,19 @@
 
 def test_one_that_is_cut_ends_once_frees_all_and_swallows_the_rest() -> None:
     made, budget, told = body(limit=1)
-    assert not made.feed(b"x" * FLOOR)
-    made.cut_off()
-    made.cut_off()
-    assert made.feed(b"more") and budget.taken == 0
-    assert made.take() is None and not made.over
+    assert not made.feed(b"x" * MIN_SHARE_BYTES)
+    made.truncate()
+    made.truncate()
+    assert made.feed(b"more") and budget.in_use == 0
+    assert made.take() is None and not made.fully_taken
     made.end()
     assert told == ["end", "resume"]
 
 
 def test_a_body_has_a_head_start_and_then_its_rate() -> None:
-    assert not too_slow(HEAD_START_S, 0) and too_slow(HEAD_START_S + 0.1, 0)
+    assert not too_slow(RATE_GRACE_S, 0) and too_slow(RATE_GRACE_S + 0.1, 0)
     assert not too_slow(60.0, 60 * 64_000)  # 64 kB a second is fast enough for ever
-    assert too_slow(60.0, 60 * LEAST_RATE // 2)
+    assert too_slow(60.0, 60 * MIN_BODY_BYTES_PER_S // 2)
 
 
 STEPS = st.one_of(
@@ -120,7 +128,7 @@
     for step, n, size in steps:
         made = bodies[n]
         match step:
-            case "feed" if n not in waits and not made.whole and not made.cut:
+            case "feed" if n not in waits and not made.complete and not made.truncated:
                 piece = bytes([len(fed[n]) % 251]) * size
                 largest = max(largest, size)
                 fed[n] += piece
@@ -131,22 +139,22 @@
             case "end":
                 made.end()
             case "cut":
-                made.cut_off()
+                made.truncate()
             case "again":
                 made.close()
                 if made.open(lambda: None):
                     taken[n] = b""
                 else:
-                    made.cut_off()
-        assert budget.taken == sum(one._held for one in bodies) >= 0
+                    made.truncate()
+        assert budget.in_use == sum(one._held_bytes for one in bodies) >= 0
         # What was taken last may be in a transport, so up to two pieces are over the bound for each.
-        assert budget.taken <= limit + 6 * (FLOOR + 2 * largest)
+        assert budget.in_use <= limit + 6 * (MIN_SHARE_BYTES + 2 * largest)
     for n, made in enumerate(bodies):
         assert fed[n].startswith(taken[n])
-        if not made.cut:
+        if not made.truncated:
             while (piece := made.take()) is not None:
                 taken[n] += piece
             assert taken[n] == fed[n]
             assert n not in waits
-        made.cut_off()
-    assert budget.taken == 0
+        made.truncate()
+    assert budget.in_use == 0
--- a/tests/net/test_callers.py
+++ b/tests/net/test_callers.py
@@ -12,7 +12,7 @@
 from brackengate.http import body as body_module
 from brackengate.http import caller as caller_module
 from brackengate.net import server as server_module
-from brackengate.net.crowd import Crowd
+from brackengate.net.connection_admission import ConnectionAdmission
 
 GOOD = request("a1", "read", 900)
 POST = b"POST /api HTTP/1.1\r\nHost: x\r\nX-Txn: a1\r\nX-Lane: buy\r\nX-Remaining-Ms: 900\r\n"
@@ -246,10 +246,10 @@
 @pytest.mark.parametrize("data", [b"", GOOD[:30], POST + b"Content-Length: 9\r\n\r\n12", b"\r\n"])
 def test_a_caller_that_says_nothing_or_drips_is_ended(data: bytes, monkeypatch: pytest.MonkeyPatch) -> None:
     """Its time counts from the first byte or from connecting: no later byte renews it."""
-    monkeypatch.setattr(caller_module, "HEAD_TIME", 300_000)
-    monkeypatch.setattr(body_module, "HEAD_START_S", 0.3)
-    monkeypatch.setattr(server_module, "SILENT", 300_000)
-    monkeypatch.setattr(server_module, "SWEEP_S", 0.05)
+    monkeypatch.setattr(caller_module, "HEAD_TIMEOUT_US", 300_000)
+    monkeypatch.setattr(body_module, "RATE_GRACE_S", 0.3)
+    monkeypatch.setattr(server_module, "FIRST_BYTE_TIMEOUT_US", 300_000)
+    monkeypatch.setattr(server_module, "SWEEP_INTERVAL_S", 0.05)
 
     async def main() -> None:
         bench = Bench(refuse_all())
@@ -310,7 +310,7 @@
         silent = [await bench.caller() for _ in range(40)]
         caller = await bench.caller()
         assert (await caller.ask("a1", ms=1000))[0] == 200
-        assert bench.budget.taken <= most
+        assert bench.budget.in_use <= most
         for one in silent:
             one.writer.close()
 
@@ -327,7 +327,7 @@
         flood.writer.write(bad * 2000)
         await asyncio.sleep(0)
         assert (await caller.ask("g1"))[0] == 503
-        seen = bench.server._complaints
+        seen = bench.server._bad_requests
         assert seen < 1500
         for _ in range(2000):
             assert (await flood.read())[0] == 400
@@ -354,7 +354,7 @@
 
 def test_a_caller_that_takes_no_answers_is_bounded(monkeypatch: pytest.MonkeyPatch) -> None:
     """Its requests are not read any more, and after a while it is cut off."""
-    monkeypatch.setattr(caller_module, "DRAIN_ANSWER", 200_000)
+    monkeypatch.setattr(caller_module, "UNREAD_RESPONSE_TIMEOUT_US", 200_000)
 
     async def main() -> None:
         peer = await Peer(replies(answer(200, b"x" * 65536))).start()
@@ -374,7 +374,7 @@
                     await asyncio.sleep(0.01)
         begun = sum(isinstance(event, api.Request) for event in module.events)
         assert 0 < begun < 1000
-        assert bench.node.held() == 0
+        assert bench.node.pending_count() == 0
 
     run(main())
 
@@ -409,7 +409,9 @@
         idle, busy = await bench.caller(), await bench.caller()
         busy.send("b1", ms=1500)
         await module.next(api.Request)
-        await asyncio.sleep(server_module.FRESH / 1e6 + 0.05)  # a fresh connection is left to send
+        await asyncio.sleep(
+            server_module.FRESH_CONNECTION_US / 1e6 + 0.05
+        )  # a fresh connection is left to send
         third = await Caller.to(bench.port)
         third.send("c1", ms=500)
         assert await idle.ended()
@@ -423,7 +425,7 @@
     """What it opens beyond that is closed as it comes; what it closes makes room again."""
 
     async def main() -> None:
-        crowd = Crowd(3, lambda address: address)
+        crowd = ConnectionAdmission(3, lambda address: address)
         bench, upstream = Bench(send_once(), crowd=crowd), await Peer(replies(answer())).start()
         bench.list(upstream.port)
         held = [await bench.caller() for _ in range(3)]
@@ -431,7 +433,7 @@
             assert (await caller.ask(f"a{number}"))[0] == 200
         over = await bench.caller()
         assert await over.ended()
-        assert crowd.turned == 1
+        assert crowd.rejected == 1
         other = Caller(*await asyncio.open_connection("127.0.0.1", bench.port, local_addr=("127.0.0.2", 0)))
         assert (await other.ask("b0"))[0] == 200
         held[0].writer.close()
@@ -447,8 +449,8 @@
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     """A crowd that begins requests and never ends them: a slow writer and a new caller both come through."""
-    monkeypatch.setattr(server_module, "STUCK", 200_000)
-    monkeypatch.setattr(caller_module, "HEAD_TIME", 15_000_000)  # it is not time that ends them
+    monkeypatch.setattr(server_module, "STUCK_HEAD_US", 200_000)
+    monkeypatch.setattr(caller_module, "HEAD_TIMEOUT_US", 15_000_000)  # it is not time that ends them
 
     async def main() -> None:
         upstream = await Peer(replies(answer())).start()
@@ -491,15 +493,15 @@
         assert (await idle.ask("a0"))[0] == 200
         raw.send(request("a1"))
         assert (await loop.sock_recv(raw, 1000)).startswith(b"HTTP/1.1 200")
-        bench.server.ask_to_go(True)
-        bench.server._asked_at -= 2 * server_module.NOTICE  # the front has had its time
+        bench.server.set_draining(True)
+        bench.server._draining_since -= 2 * server_module.DRAIN_NOTICE_US  # the front has had its time
         raw.send(request("b1"))  # it is with the balancer's kernel before the loop can read it
         bench.server._close_idle(0)
         told = await loop.sock_recv(raw, 1000)
         assert told.startswith(b"HTTP/1.1 200") and b"Connection: close" in told
         assert await idle.ended()
         raw.close()
-        bench.server.ask_to_go(False)
+        bench.server.set_draining(False)
         assert (await (await bench.caller()).ask("c1"))[1].get("connection") is None
 
     run(main())
--- a/tests/net/test_dial.py
+++ b/tests/net/test_dial.py
@@ -50,14 +50,14 @@
 def test_a_dial_that_is_given_up_as_its_connection_stands_leaves_none_behind() -> None:
     async def main() -> None:
         loop, budget, found = Loop(), SocketBudget(10), list[Result]()
-        pool = Pool(cast(Any, loop), budget, 1.0, 9.0, wire=cast(Any, Wire()))
+        pool = Pool(cast(Any, loop), budget, 1.0, 9.0, network=cast(Any, Wire()))
         job = pool.start("u", ("host", 1), b"x", found.append)
         await asyncio.sleep(0)  # it stands
         job.give_up(Outcome.TIMEOUT)
         for _ in range(3):
             await asyncio.sleep(0)
         assert ([one.outcome for one in found], loop.transport.aborted) == ([Outcome.TIMEOUT], True)
-        assert budget.taken == 0
+        assert budget.in_use == 0
         pool.close()
 
     asyncio.run(main())
--- a/tests/net/test_discovery.py
+++ b/tests/net/test_discovery.py
@@ -11,7 +11,7 @@
 
 from brackengate import interface as api
 from brackengate.net import discovery as discovery_module
-from brackengate.net.discovery import BadList, Discovery, read_list
+from brackengate.net.discovery import Discovery, InvalidEndpointList, parse_endpoint_list
 
 KNOWN = {"index": 41, "snapshot": True, "endpoints": [row("u0", 1), row("u1", 2, since_ms=5)]}
 
@@ -74,7 +74,7 @@
     end: str, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     """Whatever ends it, the process lives, the last list stays and no change is missed."""
-    monkeypatch.setattr(discovery_module, "SILENCE_S", 0.3)
+    monkeypatch.setattr(discovery_module, "WATCH_SILENCE_TIMEOUT_S", 0.3)
 
     async def main() -> None:
         async def script(_: object, writer: asyncio.StreamWriter) -> None:
@@ -152,7 +152,7 @@
         discovery.start(KNOWN)
         assert await asked(peer) == 41
         module.act = lambda event: [api.WatchList(False)]
-        discovery.take({"index": 42, "snapshot": False, "endpoints": []})
+        discovery.apply({"index": 42, "snapshot": False, "endpoints": []})
         await peer.closed.get()
 
     run(main())
@@ -170,8 +170,8 @@
     ],
 )
 def test_what_is_not_a_list_is_told_apart(listed: Any) -> None:
-    with pytest.raises(BadList):
-        read_list(listed)
+    with pytest.raises(InvalidEndpointList):
+        parse_endpoint_list(listed)
 
 
 @pytest.mark.parametrize(
@@ -187,6 +187,8 @@
 )
 def test_a_bad_row_stops_no_other_and_gets_nothing(bad: dict[str, Any]) -> None:
     """It would end the watch, which would meet it again; its upstream may be one that drains."""
-    _, _, rows = read_list({"index": 1, "snapshot": False, "endpoints": [1, None, bad, row("good", 1)]})
+    _, _, rows = parse_endpoint_list(
+        {"index": 1, "snapshot": False, "endpoints": [1, None, bad, row("good", 1)]}
+    )
     states = [(endpoint.upstream, endpoint.state) for endpoint, _ in rows]
     assert states == [("bad", api.Lifecycle.GONE), ("good", api.Lifecycle.SERVING)]
--- a/tests/pilot/mistakes.py
+++ b/tests/pilot/mistakes.py
@@ -8,11 +8,11 @@
 from typing import Any
 from unittest.mock import patch
 
-from brackengate.http.upstream import Answered, UpstreamMachine
+from brackengate.http.upstream import UpstreamMachine, UpstreamResponse
 from brackengate.interface import Idempotency, Outcome, RequestClass
 from brackengate.net import upstream
 from brackengate.net.http import CallerConnection
-from brackengate.net.node import FAILED, Reply
+from brackengate.net.node import STATUS_BAD_GATEWAY, Reply
 from brackengate.net.upstream import Result
 from brackengate.pilot import entry, keys, verdict, way
 from brackengate.pilot.gate import State
@@ -20,7 +20,7 @@
 from brackengate.policy import retries
 from brackengate.policy.state import Call
 
-Judge = Callable[[bytes, Answered], Result]
+Judge = Callable[[bytes, UpstreamResponse], Result]
 Patch = Callable[[], AbstractContextManager[Any]]
 
 
@@ -33,34 +33,38 @@
 def _no_id(judge: Judge) -> Judge:
     """Takes every answer for the call's own."""
 
-    def judged(payload: bytes, answer: Answered) -> Result:
+    def judged(payload: bytes, answer: UpstreamResponse) -> Result:
         asked = verdict.call_id(payload)
         fields = {**answer.fields, verdict._ID: asked or b""}
-        return judge(payload, Answered(answer.status, fields, answer.body, answer.reuse, answer.headers))
+        return judge(
+            payload, UpstreamResponse(answer.status, fields, answer.body, answer.reuse, answer.headers)
+        )
 
     return judged
 
 
-def _bare_refusal(payload: bytes, answer: Answered) -> Result:
+def _bare_refusal(payload: bytes, answer: UpstreamResponse) -> Result:
     """Passes a 429 or 503 on that does not say that nothing has run."""
     result = _own_judge(payload, answer)
     bare = answer.status in verdict.PROMISES and result.outcome is Outcome.ERROR
-    return Result(Outcome.OK, answer=answer) if bare else result
+    return Result(Outcome.OK, response=answer) if bare else result
 
 
-def _bare_refusal_back(payload: bytes, answer: Answered) -> Result:
+def _bare_refusal_back(payload: bytes, answer: UpstreamResponse) -> Result:
     result = _judge(payload, answer)
-    if answer.status in verdict.PROMISES and result.astray and answer.fields.get(verdict._SEAL):
-        return Result(Outcome.ERROR, answer=answer)
+    if answer.status in verdict.PROMISES and result.mismatched and answer.fields.get(verdict._SEAL):
+        return Result(Outcome.ERROR, response=answer)
     return result
 
 
 def _no_seal(judge: Judge) -> Judge:
     """Takes a success that nobody has put a seal to."""
 
-    def judged(payload: bytes, answer: Answered) -> Result:
+    def judged(payload: bytes, answer: UpstreamResponse) -> Result:
         fields = {verdict._SEAL: b"", **answer.fields}
-        return judge(payload, Answered(answer.status, fields, answer.body, answer.reuse, answer.headers))
+        return judge(
+            payload, UpstreamResponse(answer.status, fields, answer.body, answer.reuse, answer.headers)
+        )
 
     return judged
 
@@ -68,9 +72,9 @@
 def _sealed_502(self: way.MeshWords, status: int, retry_after: int, last: Result | None, ran: Any) -> Reply:
     """A failure of the proxy's own keeps what the upstream's answer bore."""
     reply = _unserved(self, status, retry_after, last, ran)
-    answer = last.answer if last is not None else None
-    if answer is not None and SEAL.lower() in answer.fields and status == FAILED:
-        return Reply(FAILED, extra=passed_on(answer).extra)
+    answer = last.response if last is not None else None
+    if answer is not None and SEAL.lower() in answer.fields and status == STATUS_BAD_GATEWAY:
+        return Reply(STATUS_BAD_GATEWAY, extra_headers=passed_on(answer).extra_headers)
     return reply
 
 
@@ -105,8 +109,8 @@
 
 def _ended(self: UpstreamMachine, clean: bool) -> list[Any]:
     """Takes what there is of an answer for all of it, once its connection has closed in order."""
-    if clean and self.written and self._status and not self._complete:
-        answer = Answered(self._status, self._fields, b"".join(self._body), False, self._headers)
+    if clean and self.written and self._status and not self._message_complete:
+        answer = UpstreamResponse(self._status, self._fields, b"".join(self._body), False, self._headers)
         self._close()
         return [answer]
     return _true_ended(self, clean)
@@ -123,12 +127,12 @@
     self.finish(Result(Outcome.CONNECT_FAILED, stale=stale))
 
 
-_own_judge, _judge, _unserved = verdict.own_judge, verdict.judge, way.MeshWords.unserved
+_own_judge, _judge, _unserved = verdict.own_judge, verdict.judge, way.MeshWords.failure
 _true_class_of, _true_ran, _true_ended = way._class_of, entry.Entry._ran, UpstreamMachine.ended
 _true_retry = retries.Retries._retry
 
 
-_always_wanted = property(lambda self: upstream.always, lambda self, wanted: None)
+_always_wanted = property(lambda self: upstream.always_true, lambda self, wanted: None)
 
 
 def _both(own: Judge, back: Judge) -> Patch:
@@ -158,7 +162,7 @@
     "no-seal": Mistake("a success without a seal goes back", _both(_no_seal(_own_judge), _no_seal(_judge))),
     "sealed-502": Mistake(
         "a failure of the proxy's own bears an upstream's seal",
-        lambda: patch.object(way.MeshWords, "unserved", _sealed_502),
+        lambda: patch.object(way.MeshWords, "failure", _sealed_502),
     ),
     "sent-again": Mistake(
         "what must run once is sent again after its connection broke",
@@ -171,7 +175,8 @@
         "the claim of what may have run is lifted", lambda: patch.object(entry.Entry, "_ran", _ran)
     ),
     "same-connection": Mistake(
-        "a call goes again on a connection that refused it", lambda: patch.object(upstream, "NOT_RUN", ())
+        "a call goes again on a connection that refused it",
+        lambda: patch.object(upstream, "NOT_EXECUTED", ()),
     ),
     "cut-short": Mistake(
         "what there is of an answer counts as all of it",
@@ -179,7 +184,7 @@
     ),
     "broken-is-unrun": Mistake(
         "a connection that breaks behind a call says that it has not run",
-        lambda: patch.object(upstream.Job, "broken", _broken),
+        lambda: patch.object(upstream.Job, "connection_broken", _broken),
     ),
     "free-resets": Mistake(
         "a try that was lost with its connection doesn't count toward MaxAttempts",
@@ -187,12 +192,12 @@
     ),
     "thawed": Mistake(
         "a proxy that stood still sends for callers who have left",
-        lambda: patch.object(CallerConnection, "abandoned", lambda self: False),
+        lambda: patch.object(CallerConnection, "closed_by_caller", lambda self: False),
     ),
     "late-dial": Mistake(
         "what waited for a connection is sent although its time is over",
         lambda: patch.object(
-            upstream.Job, "wanted", property(lambda self: lambda: True, lambda self, to: None)
+            upstream.Job, "still_wanted", property(lambda self: lambda: True, lambda self, to: None)
         ),
     ),
     "no-deadline": Mistake(
--- a/tests/pilot/pilots.py
+++ b/tests/pilot/pilots.py
@@ -102,8 +102,10 @@
         self.out, self.inside = ByteBudget(bytes_), ByteBudget(bytes_)
         self.gate = Gate("z", 60 * S, 2 * S)
         self.gate.heard(Beat("i-1", "p", "ready", 100, 0, 1), self.clock.now())
-        own = Pool(loop, sockets, 5.0, 9.0, self.inside, judge=own_judge, slow=False)
-        peers = Pool(loop, sockets, 5.0, 9.0, self.inside, judge=judge, settle=0, slow=False)
+        own = Pool(loop, sockets, 5.0, 9.0, self.inside, classify=own_judge, stream_slow_responses=False)
+        peers = Pool(
+            loop, sockets, 5.0, 9.0, self.inside, classify=judge, settle_us=0, stream_slow_responses=False
+        )
         self.holder: Mesh | None = None  # whose gate has all keys
         self.entry = Entry(
             loop,
--- a/tests/pilot/test_deciders.py
+++ b/tests/pilot/test_deciders.py
@@ -5,9 +5,9 @@
 from testtools import TestCase
 from testtools.matchers import Equals, LessThan
 
-from brackengate.http.upstream import Answered
+from brackengate.http.upstream import UpstreamResponse
 from brackengate.interface import Earlier, Endpoint, Outcome
-from brackengate.net.node import FAILED, OVERDUE, REFUSED
+from brackengate.net.node import STATUS_BAD_GATEWAY, STATUS_GATEWAY_TIMEOUT, STATUS_UNAVAILABLE
 from brackengate.net.upstream import Result
 from brackengate.pilot.follow import order
 from brackengate.pilot.gate import Beat, Gate, Operations, State
@@ -213,19 +213,27 @@
     def test_only_what_has_not_run_is_refused(self) -> None:
         def answer(said: Said, status: int = 503) -> Result:
             fields = {HOP.lower(): said.value}
-            return Result(Outcome.TIMEOUT, answer=Answered(status, fields, b"", True, [(HOP, said.value)]))
+            return Result(
+                Outcome.TIMEOUT, response=UpstreamResponse(status, fields, b"", True, [(HOP, said.value)])
+            )
 
         ran = Earlier(Endpoint("i-1"), 0)
         cases = (
-            ("all turned it away", REFUSED, answer(Said.FULL), (), 503),
-            ("it broke behind the request", REFUSED, answer(Said.BROKEN), (ran,), 502),
-            ("nothing came back at all", REFUSED, None, (ran,), 502),
-            ("turned away, after it broke elsewhere", REFUSED, answer(Said.FULL), (ran,), 502),
-            ("its operation is known to nobody", FAILED, answer(Said.UNKNOWN), (ran,), 503),
-            ("so is it, but another attempt of it broke", FAILED, answer(Said.UNKNOWN), (ran, ran), 502),
-            ("its operation is at work", FAILED, answer(Said.BUSY, 409), (ran,), 409),
-            ("the upstream's own error", REFUSED, answer(Said.RAN, 500), (ran,), 500),
-            ("its time is up", OVERDUE, None, (ran,), 504),
+            ("all turned it away", STATUS_UNAVAILABLE, answer(Said.FULL), (), 503),
+            ("it broke behind the request", STATUS_UNAVAILABLE, answer(Said.BROKEN), (ran,), 502),
+            ("nothing came back at all", STATUS_UNAVAILABLE, None, (ran,), 502),
+            ("turned away, after it broke elsewhere", STATUS_UNAVAILABLE, answer(Said.FULL), (ran,), 502),
+            ("its operation is known to nobody", STATUS_BAD_GATEWAY, answer(Said.UNKNOWN), (ran,), 503),
+            (
+                "so is it, but another attempt of it broke",
+                STATUS_BAD_GATEWAY,
+                answer(Said.UNKNOWN),
+                (ran, ran),
+                502,
+            ),
+            ("its operation is at work", STATUS_BAD_GATEWAY, answer(Said.BUSY, 409), (ran,), 409),
+            ("the upstream's own error", STATUS_UNAVAILABLE, answer(Said.RAN, 500), (ran,), 500),
+            ("its time is up", STATUS_GATEWAY_TIMEOUT, None, (ran,), 504),
         )
         for what, status, last, might, told in cases:
-            self.assertThat(MeshWords().unserved(status, 0, last, might).status, Equals(told), what)
+            self.assertThat(MeshWords().failure(status, 0, last, might).status, Equals(told), what)
--- a/tests/pilot/test_entry.py
+++ b/tests/pilot/test_entry.py
@@ -12,9 +12,9 @@
 from testtools import TestCase
 from testtools.matchers import Equals
 
-from brackengate.http.body import AnswerStream, Body, ByteBudget
-from brackengate.http.message import Arrival
-from brackengate.http.upstream import Answered
+from brackengate.http.body import Body, ByteBudget, ResponseStream
+from brackengate.http.message import IncomingRequest
+from brackengate.http.upstream import UpstreamResponse
 from brackengate.interface import Outcome
 from brackengate.net.node import Reply
 from brackengate.net.upstream import Result
@@ -69,7 +69,7 @@
 class Job:
     payload: bytes
     done: Callable[[Result], None]
-    begun: Any = None
+    on_streaming: Any = None
     written: bool = True
     given_up: Outcome | None = None
 
@@ -81,11 +81,11 @@
 
 class Pool:
     def __init__(self) -> None:
-        self.wanted: dict[str, Any] = {}
+        self.addresses: dict[str, Any] = {}
         self.jobs: list[Job] = []
 
-    def start(self, name: str, address: Any, payload: bytes, done: Any, begun: Any, **_: Any) -> Job:
-        self.jobs.append(Job(payload, done, begun))
+    def start(self, name: str, address: Any, payload: bytes, done: Any, on_streaming: Any, **_: Any) -> Job:
+        self.jobs.append(Job(payload, done, on_streaming))
         return self.jobs[-1]
 
 
@@ -96,10 +96,10 @@
     sink: Any = None  # of a long answer
     left: bool = False  # its caller has, and the loop has not met that
 
-    def abandoned(self) -> bool:
+    def closed_by_caller(self) -> bool:
         return self.left
 
-    def hold(self, gone: Callable[[], None]) -> None:
+    def expect_answer(self, gone: Callable[[], None]) -> None:
         self.gone = gone
 
     def answer(self, reply: Reply) -> None:
@@ -112,7 +112,7 @@
     def said(self) -> str:
         if self.reply is None:
             return "nothing"
-        lines = self.reply.extra.split(b"\r\n")
+        lines = self.reply.extra_headers.split(b"\r\n")
         return next(line.partition(b": ")[2].decode() for line in lines if line.startswith(HOP))
 
 
@@ -123,7 +123,7 @@
     def finish(self) -> None:
         self.ends.append("finish")
 
-    def cut(self) -> None:
+    def truncate(self) -> None:
         self.ends.append("cut")
 
 
@@ -173,7 +173,7 @@
         name, _, value = step.lines().strip().partition(b": ")
         headers.append((name, value))
         fields = {name.lower(): value for name, value in headers}
-        arrival = Arrival(method, b"/a/", headers, b"x", True, self.clock.at, stream, fields=fields)
+        arrival = IncomingRequest(method, b"/a/", headers, b"x", True, self.clock.at, stream, fields=fields)
         connection = Connection(left=left_already)
         self.entry.begin(arrival, connection)  # type: ignore[arg-type]
         return connection
@@ -187,8 +187,8 @@
     def upstream(self, status: int = 200, outcome: Outcome = Outcome.OK, body: bytes = b"done") -> None:
         headers = [(b"X-Brackengate-Server-Seal", b"seal"), (b"X-Brackengate-Attempt-Id", b"t1")]
         fields = {name.lower(): value for name, value in headers}
-        answer = Answered(status, fields, body, True, headers) if outcome is Outcome.OK else None
-        self.own.jobs.pop(0).done(Result(outcome, answer=answer))
+        answer = UpstreamResponse(status, fields, body, True, headers) if outcome is Outcome.OK else None
+        self.own.jobs.pop(0).done(Result(outcome, response=answer))
 
 
 OK = CommandDone()
@@ -207,7 +207,7 @@
         self.assertThat([c.said for c in (first, second, third)], Equals(["ran"] * 3))
         assert third.reply is not None
         self.assertThat(third.reply.body, Equals(b"done"))
-        self.assertThat(b"X-Brackengate-Attempt-Id: t3\r\n" in third.reply.extra, Equals(True))
+        self.assertThat(b"X-Brackengate-Attempt-Id: t3\r\n" in third.reply.extra_headers, Equals(True))
         self.assertThat([world.own.jobs, world.asked], Equals([[], []]))
 
     def test_a_claim_without_an_answer_is_not_taken_for_granted(self) -> None:
@@ -340,19 +340,19 @@
 class LongAnswers(TestCase):
     """One that has begun is not bound by the deadline, counts as held until its end, and is not kept."""
 
-    def begun(self) -> tuple[World, Connection, Sink]:
+    def streaming(self) -> tuple[World, Connection, Sink]:
         world = World()
         connection = world.comes("k")
         connection.sink = Sink()
         world.core(OK)
-        head = Answered(200, {SEAL: b"seal"}, b"first", False, [(SEAL, b"seal")])
-        sink = world.own.jobs[0].begun(head, AnswerStream(1 << 21, lambda on: None, lambda: None))
+        head = UpstreamResponse(200, {SEAL: b"seal"}, b"first", False, [(SEAL, b"seal")])
+        sink = world.own.jobs[0].on_streaming(head, ResponseStream(1 << 21, lambda on: None, lambda: None))
         assert sink is connection.sink
         return world, connection, sink
 
     def test_it_goes_on_past_the_deadline_and_its_end_is_passed_on(self) -> None:
         for outcome, ends in ((Outcome.OK, "finish"), (Outcome.RESET, "cut"), (Outcome.CANCELLED, "cut")):
-            world, connection, sink = self.begun()
+            world, connection, sink = self.streaming()
             repeat = world.comes("k", attempt="t2")
             world.loop.run(60.0)
             self.assertThat([connection.said, repeat.said, sink.ends], Equals(["ran", "unknown", []]))
@@ -363,16 +363,16 @@
     def test_what_tells_a_length_and_has_no_body_is_not_passed_on(self) -> None:
         world = World()
         world.comes(method=b"HEAD")
-        self.assertThat(world.own.jobs[0].begun, Equals(None))
+        self.assertThat(world.own.jobs[0].on_streaming, Equals(None))
 
     def test_one_that_nobody_awaits_any_more_is_not_taken(self) -> None:
         world = World()
         connection = world.comes("k")
         world.core(OK)
         connection.gone()
-        head = Answered(200, {SEAL: b"seal"}, b"first", False, [(SEAL, b"seal")])
-        stream = AnswerStream(1 << 21, lambda on: None, lambda: None)
-        self.assertThat(world.own.jobs[0].begun(head, stream), Equals(None))
+        head = UpstreamResponse(200, {SEAL: b"seal"}, b"first", False, [(SEAL, b"seal")])
+        stream = ResponseStream(1 << 21, lambda on: None, lambda: None)
+        self.assertThat(world.own.jobs[0].on_streaming(head, stream), Equals(None))
         world.own.jobs[0].done(Result(Outcome.ERROR))
         self.assertThat([world.comes("k").said, len(world.entry.visits)], Equals(["unknown", 0]))
 
@@ -418,7 +418,9 @@
             world, connection = self.relayed()
             headers = [(HOP, word.value)]
             fields = {HOP.lower(): word.value}
-            world.gates.jobs[0].done(Result(Outcome.OK, answer=Answered(200, fields, b"", True, headers)))
+            world.gates.jobs[0].done(
+                Result(Outcome.OK, response=UpstreamResponse(200, fields, b"", True, headers))
+            )
             self.assertThat(connection.said, Equals(said))
 
 
@@ -434,12 +436,12 @@
         world.gate.heard(Beat("i-2", "p", "ready", 2, 0, 1), 1)
         reply = world.comes(attempt="t7").reply
         assert reply is not None
-        self.assertThat(b"X-Brackengate-Attempt-Id: t7\r\n" in reply.extra, Equals(True))
+        self.assertThat(b"X-Brackengate-Attempt-Id: t7\r\n" in reply.extra_headers, Equals(True))
 
     def test_an_answer_cannot_name_its_own_seal_as_a_header_of_one_connection(self) -> None:
         headers = [(b"Connection", b"x-brackengate-server-seal, x-one"), (b"X-One", b"1"), (SEAL, b"seal")]
-        answer = Answered(200, {name.lower(): value for name, value in headers}, b"", True, headers)
-        self.assertThat(passed_on(answer).extra, Equals(SEAL + b": seal\r\n"))
+        answer = UpstreamResponse(200, {name.lower(): value for name, value in headers}, b"", True, headers)
+        self.assertThat(passed_on(answer).extra_headers, Equals(SEAL + b": seal\r\n"))
 
     def test_the_target_and_what_is_left_go_to_the_upstream_and_the_hop_does_not(self) -> None:
         world = World()
@@ -454,7 +456,7 @@
         seal, mine, other = (b"x-brackengate-server-seal", b"s"), (b"x-brackengate-attempt-id", b"t1"), b"t0"
 
         def outcome(status: int, *fields: tuple[bytes, bytes]) -> Outcome:
-            return own_judge(head, Answered(status, dict(fields), b"", True)).outcome
+            return own_judge(head, UpstreamResponse(status, dict(fields), b"", True)).outcome
 
         self.assertThat(outcome(200, seal, mine), Equals(Outcome.OK))
         self.assertThat(outcome(200, seal, (mine[0], other)), Equals(Outcome.RESET))
@@ -466,7 +468,9 @@
         self.assertThat(outcome(421, (mine[0], other)), Equals(Outcome.RESET))
         unrun = (b"x-brackengate-not-executed", b"1")
         twice = [(b"X-Brackengate-Attempt-Id", b"t0"), mine, seal]
-        told = Answered(200, dict([mine, seal]), b"", True, twice)  # two ids, of which the last is ours
+        told = UpstreamResponse(
+            200, dict([mine, seal]), b"", True, twice
+        )  # two ids, of which the last is ours
         self.assertThat(own_judge(head, told).outcome, Equals(Outcome.ERROR))
         self.assertThat(outcome(503, (mine[0], other), unrun), Equals(Outcome.RESET))
         self.assertThat(outcome(500, seal, (mine[0], other)), Equals(Outcome.RESET))
--- a/tests/pilot/test_pieces.py
+++ b/tests/pilot/test_pieces.py
@@ -36,7 +36,7 @@
 
 
 def settled(mesh: Mesh) -> Callable[[], bool]:
-    return lambda: not (mesh.held() or mesh.out.taken or mesh.inside.taken)
+    return lambda: not (mesh.held() or mesh.out.in_use or mesh.inside.in_use)
 
 
 @pytest.mark.parametrize("form", list(FORMS))
@@ -53,7 +53,7 @@
             assert got.headers["x-brackengate-server-seal"] == "seal"
             assert "x-brackengate-hop" not in got.headers
             await until(settled(mesh))
-            assert max(mesh.out.most, mesh.inside.most) <= 2 * MIB
+            assert max(mesh.out.peak, mesh.inside.peak) <= 2 * MIB
             caller.writer.write(ask("read", attempt="t2"))  # the connection is still good
             assert (await received(caller)).size == size
 
@@ -169,7 +169,7 @@
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     """Forty answers of 20 MiB, of which nothing is taken; then one of them is."""
-    monkeypatch.setattr(http_module, "SEND_BUFFER", 16 * KIB)
+    monkeypatch.setattr(http_module, "SEND_BUFFER_BYTES", 16 * KIB)
 
     async def main() -> None:
         written = 0
@@ -202,7 +202,7 @@
                 await asyncio.sleep(0)
                 await asyncio.to_thread(os.sched_yield)
         assert mesh.held() == 80 and written < 40 * LONG // 2
-        assert mesh.out.most <= 40 * 96 * KIB + 4 * MIB and mesh.inside.most <= 40 * 96 * KIB + 4 * MIB
+        assert mesh.out.peak <= 40 * 96 * KIB + 4 * MIB and mesh.inside.peak <= 40 * 96 * KIB + 4 * MIB
         assert len(await callers[0].reader.readexactly(LONG)) == LONG
         for caller in callers[1:]:
             reset(caller.writer)
@@ -269,7 +269,10 @@
 
 def test_a_keyed_answer_is_kept_for_repeats_up_to_a_bound() -> None:
     async def main() -> None:
-        for size, statuses in ((machine.MAX_ANSWER, [200, 200]), (machine.MAX_ANSWER + 1, [200, 503])):
+        for size, statuses in (
+            (machine.MAX_BUFFERED_RESPONSE_BYTES, [200, 200]),
+            (machine.MAX_BUFFERED_RESPONSE_BYTES + 1, [200, 503]),
+        ):
             upstream = await Upstream(answers(size)).start()
             mesh = Mesh(upstream)
             for number, status in enumerate(statuses):
@@ -328,7 +331,7 @@
             upstream.ran.append(reader)
             writer.write(head(reader, FORMS["chunks"](0)) + chunk(b"one"))
             at = mesh.clock.now()
-            await until(lambda: mesh.clock.now() - at > machine.FIRST + 20_000)
+            await until(lambda: mesh.clock.now() - at > machine.SLOW_RESPONSE_US + 20_000)
             writer.write(chunk(b"two"))
             if len(upstream.ran) == 1:
                 await writer.drain()
--- a/tests/platform/test_siblings.py
+++ b/tests/platform/test_siblings.py
@@ -91,13 +91,13 @@
     """What the other holds leaves less here; what is idle here makes room first."""
     elsewhere = 6
     budget = SocketBudget(10, lambda: elsewhere)
-    assert all(budget.claim() for _ in range(4))
-    assert not budget.claim()
+    assert all(budget.acquire() for _ in range(4))
+    assert not budget.acquire()
     idle = [1]
-    budget.on_short(lambda: bool(idle) and (idle.pop(), budget.free()) is not None)
-    assert budget.claim() and not budget.claim()
+    budget.add_evictor(lambda: bool(idle) and (idle.pop(), budget.release()) is not None)
+    assert budget.acquire() and not budget.acquire()
     elsewhere = 0
-    assert all(budget.claim() for _ in range(6)) and not budget.claim()
+    assert all(budget.acquire() for _ in range(6)) and not budget.acquire()
 
 
 def test_the_look_is_cheap_enough_to_be_taken_in_the_loop(tmp_path: Path) -> None:
--- a/tests/queues/test_queues_door.py
+++ b/tests/queues/test_queues_door.py
@@ -14,10 +14,10 @@
 
 from brackengate import interface as api
 from brackengate.graphql.front import GraphqlFront, Options
-from brackengate.http.message import Arrival
-from brackengate.net.api import API, Api
+from brackengate.http.message import IncomingRequest
+from brackengate.net.api import API_PATH, ApiFrontend
 from brackengate.net.http import CallerConnection
-from brackengate.net.node import Clock, Message, Node, Origin, Reply
+from brackengate.net.node import ClientInfo, Clock, Message, Node, Reply
 from brackengate.queues.admission import Admission, Bounds, ClassTerms
 from brackengate.queues.door import QueuesDoor, short
 from brackengate.queues.limit import LimitBounds
@@ -34,10 +34,10 @@
 )
 
 
-def origin(arrival: Arrival, connection: CallerConnection) -> Origin:
+def origin(arrival: IncomingRequest, connection: CallerConnection) -> ClientInfo:
     headers = {name.lower(): value.decode() for name, value in arrival.headers}
     who = headers.get(b"x-client", "")
-    return Origin(
+    return ClientInfo(
         who,
         headers.get(b"x-address", f"10.{zlib.crc32(who.encode()) % 200}.0.1"),
         headers.get(b"x-place", "").encode(),
@@ -71,7 +71,9 @@
         self.bench = Bench(
             module,
             settings,
-            fronts=lambda node: {API: Api(node, (lambda a, c: "same") if repeats else None, origin)},
+            fronts=lambda node: {
+                API_PATH: ApiFrontend(node, (lambda a, c: "same") if repeats else None, origin)
+            },
             door=door,
         )
 
@@ -245,7 +247,7 @@
 
             def send(self) -> None:
                 request = api.Request(f"c{self.refused}", "read", deadline)
-                message = Message(b"GET /api HTTP/1.1\r\n", b"", origin=Origin("ana", "10.0.0.1"))
+                message = Message(b"GET /api HTTP/1.1\r\n", b"", client_info=ClientInfo("ana", "10.0.0.1"))
                 door.told.submit(request, message, self)
 
         chain = Chain()
@@ -508,5 +510,5 @@
     def submit(self, *args: Any) -> None:
         self._made[0].submit(*args)
 
-    def gone(self, *args: Any) -> None:
-        self._made[0].gone(*args)
+    def client_disconnected(self, *args: Any) -> None:
+        self._made[0].client_disconnected(*args)
--- a/tests/queues/test_queues_process.py
+++ b/tests/queues/test_queues_process.py
@@ -13,9 +13,9 @@
 from fleetkit import ROOT, fleet, installation, run, static
 
 from brackengate.cli import main
-from brackengate.http.message import Arrival
+from brackengate.http.message import IncomingRequest
 from brackengate.installation.reading import BadFile, load
-from brackengate.net.node import Origin
+from brackengate.net.node import ClientInfo
 from brackengate.queues import setup
 from standins import http
 from standins.upstream import Shape, Upstream
@@ -157,5 +157,5 @@
 ) -> None:
     read = setup.origin_of(load(str(ROOT / "examples" / "queues.toml"), settings))
     assert read is not None
-    arrival = Arrival(b"GET", b"/api", [*headers, (b"X-Place", b" token ")], b"", True, 0)
-    assert read(arrival, _Peer()) == Origin(client, address, b"token")  # type: ignore[arg-type]
+    arrival = IncomingRequest(b"GET", b"/api", [*headers, (b"X-Place", b" token ")], b"", True, 0)
+    assert read(arrival, _Peer()) == ClientInfo(client, address, b"token")  # type: ignore[arg-type]
--- a/tests/repeats/test_door.py
+++ b/tests/repeats/test_door.py
@@ -15,9 +15,9 @@
 from brackengate.graphql.classify import Classifier, FieldRule
 from brackengate.graphql.classify import Table as Graph
 from brackengate.graphql.front import GraphqlFront, Options
-from brackengate.http.message import Arrival
-from brackengate.net.api import API, Api
-from brackengate.net.http import CallerConnection, Door, Front
+from brackengate.http.message import IncomingRequest
+from brackengate.net.api import API_PATH, ApiFrontend
+from brackengate.net.http import CallerConnection, Frontend, RequestStage
 from brackengate.net.node import Message, Node, Reply
 from brackengate.repeats.door import RepeatsDoor
 from brackengate.repeats.table import Bounds, Table
@@ -31,7 +31,7 @@
 SETTINGS = api.Settings(classes=(SAFE, ONCE, ZONED), max_attempts=4, max_retry_after=2 * S)
 
 
-def by_header(arrival: Arrival, _connection: CallerConnection) -> str | None:
+def by_header(arrival: IncomingRequest, _connection: CallerConnection) -> str | None:
     return next((value.decode() for name, value in arrival.headers if name.lower() == b"x-client"), None)
 
 
@@ -42,12 +42,12 @@
         self.table = Table(bounds or Bounds(), b"s" * 32, ("drava", "ptuj"))
         self.stage: RepeatsDoor
 
-        def door(node: Node) -> Door:
+        def door(node: Node) -> RequestStage:
             self.stage = RepeatsDoor(node, self.table, asyncio.get_running_loop())
             return self.stage
 
-        def fronts(node: Node) -> dict[bytes, Front]:
-            return {API: Api(node, by_header)}
+        def fronts(node: Node) -> dict[bytes, Frontend]:
+            return {API_PATH: ApiFrontend(node, by_header)}
 
         super().__init__(module, SETTINGS, fronts=fronts, door=door)
 
@@ -93,7 +93,7 @@
         assert (await callers[0].ask("a9", **bid()))[::2] == (200, b"a0")
         assert len(peer.requests) == 1
         assert bench.table.counters["joined"] == 3 and bench.table.counters["replayed"] == 1
-        assert bench.stage.waiting() == 0 and bench.node.held() == 0
+        assert bench.stage.waiting() == 0 and bench.node.pending_count() == 0
 
     run(main())
 
@@ -196,10 +196,10 @@
         await until(lambda: bench.stage.waiting() == 1)
         callers[0].writer.close()
         await until(lambda: len(bench.stage._by_request) == 1)
-        assert bench.node.held() == 1  # the other still waits
+        assert bench.node.pending_count() == 1  # the other still waits
         callers[1].writer.close()
         assert (await module.next(api.ClientGone)).request == "a0"
-        assert bench.node.held() == 0 and len(bench.table) == 0
+        assert bench.node.pending_count() == 0 and len(bench.table) == 0
 
     run(main())
 
@@ -238,7 +238,7 @@
         await peer.got.get()
         status, _, _ = await second.ask("a1", **bid(ms=100))
         assert status == 504
-        assert bench.node.held() == 1  # the first goes on
+        assert bench.node.pending_count() == 1  # the first goes on
 
     run(main())
 
@@ -256,7 +256,7 @@
             (api.Endpoint(up.name, zone="ab"[i % 2], cell=i % 2), ("127.0.0.1", up.port))
             for i, up in enumerate(ups)
         ]
-        bench.node.listed(api.ListKind.FULL, rows)
+        bench.node.update_upstreams(api.ListKind.FULL, rows)
         first = await bench.caller()
         first.send("a0", **bid())
         await until(lambda: any(up.executions for up in ups))
@@ -299,7 +299,7 @@
             (api.Endpoint(up.name, zone="ab"[i % 2], cell=i % 2), ("127.0.0.1", up.port))
             for i, up in enumerate(ups)
         ]
-        bench.node.listed(api.ListKind.FULL, rows)
+        bench.node.update_upstreams(api.ListKind.FULL, rows)
         callers = [await bench.caller() for _ in range(16)]
         count = 0
 
@@ -354,7 +354,7 @@
         told = Classifier(Graph(classes, "read", "buy", {}, rules), Limits())
         stages: list[RepeatsDoor] = []
 
-        def fronts(node: Node) -> dict[bytes, Front]:
+        def fronts(node: Node) -> dict[bytes, Frontend]:
             stage = RepeatsDoor(node, table, asyncio.get_running_loop())
             stages.append(stage)
             return {b"/graphql": GraphqlFront(node, stage, told, None, Options(), by_header)}
--- a/tests/routing/test_feed.py
+++ b/tests/routing/test_feed.py
@@ -42,7 +42,7 @@
         configured.start(file)
         old, young = Endpoint("old", started_at=0), Endpoint("young", started_at=Clock().now())
         rows = [(old, ("127.0.0.1", 9)), (young, ("127.0.0.1", 10))]
-        configured.feed.listed(ListKind.FULL, rows)
+        configured.feed.update_upstreams(ListKind.FULL, rows)
         (module,) = [run.module for run in configured.pools.runs.values()]
         warmth = {name: module._warmth(up) for name, up in module.upstreams.items()}
         joins = {name: up.joins for name, up in module.upstreams.items()}
--- a/tests/routing/test_pools.py
+++ b/tests/routing/test_pools.py
@@ -14,8 +14,8 @@
 from brackengate import interface as api
 from brackengate.installation.schema import HeaderMatch, Pool, Route, Upstream, Versions
 from brackengate.interface import Request
-from brackengate.net.api import API, Api
-from brackengate.net.http import ANY
+from brackengate.net.api import API_PATH, ApiFrontend
+from brackengate.net.http import ANY_PATH
 from brackengate.net.node import Clock, Message
 from brackengate.net.server import Server
 from brackengate.net.sockets import SocketBudget, bind
@@ -48,10 +48,16 @@
         self.budget = SocketBudget(200)
         self.statuses: list[int] = []
         self.pools = Pools(settings, Clock(), self.budget, None, self.statuses.append)
-        front = Api(self.pools, None, None, setup.route_of(_File(), self.pools))
+        front = ApiFrontend(self.pools, None, None, setup.route_of(_File(), self.pools))
         stage = door(self.pools) if door else None
         self.server = Server(
-            loop, self.pools, self.budget, [bind(("127.0.0.1", 0))], 100, {API: front, ANY: front}, stage
+            loop,
+            self.pools,
+            self.budget,
+            [bind(("127.0.0.1", 0))],
+            100,
+            {API_PATH: front, ANY_PATH: front},
+            stage,
         )
         self.port = self.server.start()[0]
         self.versions = 0
@@ -164,7 +170,7 @@
         bench.apply(to("p", p=pool(1, state="draining"), q=pool(new.port)))
         caller = await bench.caller()
         caller.send("a1", "buy", ms=MS)
-        await bench.until(lambda: bench.pools.held() == 1)
+        await bench.until(lambda: bench.pools.pending_count() == 1)
         bench.apply(to("q", q=pool(new.port)))
         status, headers, _ = await caller.read()
         assert status == 503 and headers["retry-after"] == "2.000" and new.requests == []
@@ -182,8 +188,8 @@
     def submit(self, request: Request, message: Message, caller: Any) -> None:
         self.held.append((request, message, caller))
 
-    def gone(self, request: str, caller: Any) -> None:
-        self.pools.gone(request, caller)
+    def client_disconnected(self, request: str, caller: Any) -> None:
+        self.pools.client_disconnected(request, caller)
 
     def let_go(self) -> None:
         for one in self.held:
@@ -251,15 +257,19 @@
         done = asyncio.Event()
         one.script = replies(answer(500))
         lost = await bid("a1")
-        assert lost.status == 502 and lost.ran
+        assert lost.status == 502 and lost.possible_executions
         tries = len(one.requests)
         one.script = replies(answer(200, b"one"))
         bench.apply(to("q", **pools))  # no route goes to p any more, but it is there
-        assert (await bid("a2", tuple(lost.ran))).body == b"one"
+        assert (await bid("a2", tuple(lost.possible_executions))).body == b"one"
         assert len(one.requests) == tries + 1 and other.requests == []
         bench.apply(to("q", q=pools["q"]))
-        gone = await bid("a3", tuple(lost.ran))
-        assert gone.status == 502 and list(gone.ran) == list(lost.ran) and other.requests == []
+        gone = await bid("a3", tuple(lost.possible_executions))
+        assert (
+            gone.status == 502
+            and list(gone.possible_executions) == list(lost.possible_executions)
+            and other.requests == []
+        )
         assert (await bid("a4")).body == b"two"
 
     run(work())
@@ -330,7 +340,7 @@
         assert (await first.read())[0] == 200
         slow.script = replies(answer(200, b"again"))
         assert (await second.ask("a3", ms=MS))[2] == b"again"  # no rest, no demotion: at the first try
-        assert bench.pools.runs["p"].budget.taken == 1
+        assert bench.pools.runs["p"].budget.in_use == 1
         module = bench.pools.runs["p"].node._module
         assert not module.upstreams[f"u{slow.port}"].demoted
 
@@ -420,15 +430,15 @@
         many = tuple(Upstream(name=f"x{n}", address=f"127.0.1.1:{n + 1}") for n in range(3000))
         bench.apply(to("p", p=Pool(upstream=(*many, *pool(one.port).upstream))))
         run_of_p = bench.pools.runs["p"]
-        assert run_of_p.node.serving() < 100 and run_of_p.telling.known() == 3001
+        assert run_of_p.node.serving_count() < 100 and run_of_p.telling.known() == 3001
         # The list is taken back before it is all told: nothing of it is left.
         await asyncio.sleep(0)
         bench.apply(to("p", p=pool(one.port)))
-        assert run_of_p.node.serving() == 1 and run_of_p.telling.done()
+        assert run_of_p.node.serving_count() == 1 and run_of_p.telling.done()
         assert (await caller.ask("a1", ms=MS))[2] == b"one"
         bench.apply(to("p", p=Pool(upstream=(*many, *pool(one.port).upstream))))
         await bench.until(run_of_p.telling.done)
-        assert run_of_p.node.serving() == 3001
+        assert run_of_p.node.serving_count() == 3001
 
     run(work())
 
@@ -463,7 +473,9 @@
         caller.send("a1", ms=MS)
         await peer.got.get()
         caller.writer.close()
-        await bench.until(lambda: bench.pools.held() == 0 and bench.pools.runs["p"].node.out() == 0)
+        await bench.until(
+            lambda: bench.pools.pending_count() == 0 and bench.pools.runs["p"].node.unfinished_count() == 0
+        )
         assert bench.pools.runs["p"].bulkhead.held == 0
 
     run(work())
--- a/tests/signals/test_signals_door.py
+++ b/tests/signals/test_signals_door.py
@@ -3,7 +3,7 @@
 from __future__ import annotations
 
 from brackengate.http.body import Body, ByteBudget
-from brackengate.http.message import Arrival
+from brackengate.http.message import IncomingRequest
 from brackengate.signals.door import collect
 
 
@@ -11,8 +11,8 @@
     budget, got = ByteBudget(1 << 20), list[bytes]()
     stream = Body(budget, None, lambda: None)
     stream.feed(b"a" * 70_000)
-    collect(Arrival(b"POST", b"/", [], b"", True, 0, stream), got.append)
+    collect(IncomingRequest(b"POST", b"/", [], b"", True, 0, stream), got.append)
     stream.feed(b"b")
-    assert got == [] and budget.taken > 0
+    assert got == [] and budget.in_use > 0
     stream.end()
-    assert got == [b"a" * 70_000 + b"b"] and budget.taken == 0
+    assert got == [b"a" * 70_000 + b"b"] and budget.in_use == 0
--- a/tests/xds/test_stream.py
+++ b/tests/xds/test_stream.py
@@ -16,8 +16,8 @@
 from brackengate.fleet.counters import Counters
 from brackengate.installation.reading import loads
 from brackengate.installation.schema import File
-from brackengate.net.api import API, Api
-from brackengate.net.http import ANY
+from brackengate.net.api import API_PATH, ApiFrontend
+from brackengate.net.http import ANY_PATH
 from brackengate.net.node import Clock
 from brackengate.net.server import Server
 from brackengate.net.sockets import SocketBudget, bind
@@ -97,8 +97,10 @@
         counters = Counters(lambda now: self.serving.set() if now else self.serving.clear())
         self.configured = Configured(told, slot, self.clock, budget, counters)
         pools = self.pools = self.configured.pools
-        front = Api(pools, None, None, self.configured.route_of)
-        self.server = Server(loop, pools, budget, [bind(("127.0.0.1", 0))], 100, {API: front, ANY: front})
+        front = ApiFrontend(pools, None, None, self.configured.route_of)
+        self.server = Server(
+            loop, pools, budget, [bind(("127.0.0.1", 0))], 100, {API_PATH: front, ANY_PATH: front}
+        )
         self.port = self.server.start()[0]
         self.store = self.configured.versions.store
         self.configured.start(told)
@@ -436,7 +438,7 @@
                 route("more", "p", path="/x"),
             )
         )
-        await bench.until(lambda: bench.pools.serving() == 1)
+        await bench.until(lambda: bench.pools.serving_count() == 1)
         assert [route.name for route in bench.store.active.routes] == ["rest"]
         assert [v.state for v in bench.store.history] == [State.IN_USE, State.WAITING]
         caller = await bench.caller()
@@ -496,7 +498,7 @@
         await bench.until(lambda: bench.store.in_use is not None and "10" in bench.store.in_use.label)
         # Down to a few: all of the others have left.
         await service.push(Set.of("11", {"p": rows(11, 5)}, route("rest", "p")))
-        await bench.until(lambda: bench.pools.serving() == 6 and bench.pools.runs["p"].telling.done())
+        await bench.until(lambda: bench.pools.serving_count() == 6 and bench.pools.runs["p"].telling.done())
         assert len(bench.pools.runs["p"].node._module.upstreams) == 6
         caller = await bench.caller()
         await bench.close()
@@ -601,7 +603,7 @@
         )
         bench = Bench(listed)
         assert bench.store.active.pools["p"].upstream == ()
-        bench.configured.feed.listed(
+        bench.configured.feed.update_upstreams(
             api.ListKind.FULL,
             [
                 (api.Endpoint("u1", "a", "m1", 3, api.Lifecycle.SERVING, 2.0, 77_000), ("127.0.0.1", 1001)),
@@ -610,8 +612,8 @@
             5,
         )
         assert digests(bench.store.active) == by_xds
-        bench.configured.feed.listed(api.ListKind.BROKEN, [])
-        bench.configured.feed.listed(
+        bench.configured.feed.update_upstreams(api.ListKind.BROKEN, [])
+        bench.configured.feed.update_upstreams(
             api.ListKind.CHANGES, [(api.Endpoint("u2", state=api.Lifecycle.GONE), ("", 0))], 6
         )
         assert [r.name for r in bench.store.active.pools["p"].upstream] == ["u1"]
