--- a/brackengate/admin/__init__.py
+++ b/brackengate/admin/__init__.py
@@ -1,1 +1,1 @@
-"""Where operators call: a line a connection, apart from the callers."""
+"""The admin interface for operators: one command line per connection, separate from callers' traffic."""
--- a/brackengate/admin/listener.py
+++ b/brackengate/admin/listener.py
@@ -1,4 +1,4 @@
-"""The operators' listener: small, bounded, and apart from the callers' limits.  Decides nothing."""
+"""The admin listener: bounded, and independent of the limits on callers.  It makes no decisions itself."""
 
 from __future__ import annotations
 
@@ -9,50 +9,56 @@
 
 from brackengate.admin.protocol import AdminCommand, CommandReader, InvalidCommand, encode_no
 
-MAX_CONNECTIONS = 16  # connections; one more pushes out the one that has waited longest
-REQUEST_TIMEOUT_S = 6.0  # for a line
-RESPONSE_TIMEOUT_S = 2.0  # for the answer to be read
+MAX_CONNECTIONS = 16  # one more evicts the oldest
+REQUEST_TIMEOUT_S = 6.0  # for a complete command line
+RESPONSE_TIMEOUT_S = 2.0  # for the response to be read
 LISTEN_BACKLOG = 64
 
 CommandHandler = Callable[[AdminCommand], bytes]
 
 
 class AdminListener:
-    """Answers one call a connection.  Whoever sends its line is answered in the turn in which it is read."""
+    """Answers one command per connection, as soon as its line is read."""
 
     def __init__(self, answer: CommandHandler) -> None:
         self._answer = answer
-        self._connections: dict[_Connection, None] = {}  # in the order in which they came
+        self._connections: dict[_Connection, None] = {}  # the oldest first
         self._server: asyncio.Server | None = None
         self.evicted_count = 0
 
     async def start(self, sock: socket.socket) -> None:
-        """`sock`: bound, and this listener's from here on."""
+        """Listen on `sock`, a bound socket that the listener owns from here on."""
         loop = asyncio.get_running_loop()
         self._server = await loop.create_server(
             lambda: _Connection(self, loop), sock=sock, backlog=LISTEN_BACKLOG
         )
 
     def close(self) -> None:
+        """Stop listening and close all connections."""
         if self._server is not None:
             self._server.close()
         for connection in list(self._connections):
             connection.abort()
 
     def connection_opened(self, connection: _Connection) -> None:
+        """Add a connection; closes the oldest ones over the limit."""
         self._connections[connection] = None
         while len(self._connections) > MAX_CONNECTIONS:
             self.evicted_count += 1
             next(iter(self._connections)).abort()
 
     def connection_closed(self, connection: _Connection) -> None:
+        """Remove a connection."""
         self._connections.pop(connection, None)
 
-    def answer(self, told: AdminCommand | InvalidCommand) -> bytes:
-        return encode_no(told.reason) if isinstance(told, InvalidCommand) else self._answer(told)
+    def answer(self, command: AdminCommand | InvalidCommand) -> bytes:
+        """The response to a command line."""
+        return encode_no(command.reason) if isinstance(command, InvalidCommand) else self._answer(command)
 
 
 class _Connection(asyncio.Protocol):
+    """One operator's connection."""
+
     def __init__(self, listener: AdminListener, loop: asyncio.AbstractEventLoop) -> None:
         self._listener, self._loop = listener, loop
         self._reader = CommandReader()
@@ -65,15 +71,15 @@
         self._listener.connection_opened(self)
 
     def data_received(self, data: bytes) -> None:
-        told = self._reader.feed(data)
-        if told is None or self._transport is None:
+        command = self._reader.feed(data)
+        if command is None or self._transport is None:
             return
-        self._transport.write(self._listener.answer(told))
+        self._transport.write(self._listener.answer(command))
         self._restart_timeout(RESPONSE_TIMEOUT_S)
         self._transport.close()
 
     def eof_received(self) -> bool:
-        """A line without an end, and then the end: nothing was asked."""
+        """The operator closed its sending side before the line was complete: there is no command."""
         return False
 
     def connection_lost(self, exc: Exception | None) -> None:
@@ -82,11 +88,12 @@
         self._listener.connection_closed(self)
 
     def abort(self) -> None:
+        """Close the connection at once."""
         self._listener.connection_closed(self)
         if self._transport is not None:
             self._transport.abort()
 
-    def _restart_timeout(self, for_s: float) -> None:
+    def _restart_timeout(self, timeout_s: float) -> None:
         if self._timer is not None:
             self._timer.cancel()
-        self._timer = self._loop.call_later(for_s, self.abort)
+        self._timer = self._loop.call_later(timeout_s, self.abort)
--- a/brackengate/http/chunks.py
+++ b/brackengate/http/chunks.py
@@ -1,6 +1,6 @@
-"""Where the lines and the end of a chunked body are (RFC 9112, section 7.1).
+"""Finds the end of a chunked body and limits its framing (RFC 9112, section 7.1).
 
-The library decodes; it tells neither where a message ends nor how long what stands between the data is.
+The httptools library decodes the data, but reports neither where a message ends nor how much framing it has.
 """
 
 from __future__ import annotations
@@ -11,56 +11,55 @@
 from brackengate.http.rules import TOKEN_PATTERN, VALUE_PATTERN, Rule
 
 MAX_CHUNK_LINE_BYTES = 4 << 10  # a chunk's size with its extensions
-MAX_FRAMING_PER_DATA_BYTE = (
-    16  # bytes of framing for each byte of data, beside MAX_HEAD: one of 1 byte a chunk has 5
-)
+MAX_FRAMING_PER_DATA_BYTE = 16  # beside MAX_HEAD_BYTES; chunks of 1 byte have 5
 CHUNK_SIZE_PATTERN = re.compile(rb"([0-9A-Fa-f]{1,16})(?:[ \t]*;[\t -~\x80-\xff]*)?\r\n")
 TRAILER_PATTERN = re.compile(TOKEN_PATTERN + rb":" + VALUE_PATTERN + rb"\r\n")
 
 
 def invalid_chunks() -> RequestError:
+    """The error for a body with invalid chunk framing."""
     return RequestError(400, Rule.CHUNKS.description, rule_slug=Rule.CHUNKS.slug)
 
 
 class ChunkedBodyScanner:
-    """Follows one body through its pieces, however they are cut."""
+    """Scans one chunked body, in pieces of any size.  `fault` is set if its framing is invalid."""
 
     __slots__ = ("_data_bytes", "_data_left", "_framing_bytes", "_in_trailers", "_line", "done", "fault")
 
     def __init__(self) -> None:
         self.done = False
         self.fault: RequestError | None = None
-        self._line = b""  # a part of a size's or trailer's line
-        self._data_left = 0  # of a chunk's data, with the CRLF behind it
+        self._line = b""  # the start of an incomplete chunk size or trailer line
+        self._data_left = 0  # of a chunk's data, with the CRLF after it
         self._data_bytes = self._framing_bytes = 0
         self._in_trailers = False
 
     def scan(self, data: bytes) -> int:
         """How many bytes of `data` belong to the body, up to a `fault` if there is one.
 
-        Those before a fault are for the library first: where it finds one itself, that came before.
+        The bytes before a fault are to be parsed by the library first: an error that it finds came earlier.
         """
-        at, size = 0, len(data)
-        while at < size and not self.done and self.fault is None:
+        position, size = 0, len(data)
+        while position < size and not self.done and self.fault is None:
             if self._data_left:
-                step = min(self._data_left, size - at)
+                step = min(self._data_left, size - position)
                 self._data_left -= step
-                at += step
+                position += step
                 continue
-            end = data.find(b"\n", at) + 1 or size
-            most = (MAX_HEAD_BYTES if self._in_trailers else MAX_CHUNK_LINE_BYTES) - len(self._line)
-            if end - at > most:
-                at += most
+            end = data.find(b"\n", position) + 1 or size
+            max_bytes = (MAX_HEAD_BYTES if self._in_trailers else MAX_CHUNK_LINE_BYTES) - len(self._line)
+            if end - position > max_bytes:
+                position += max_bytes
                 self.fault = RequestError(
                     431, "a chunk's size, or a trailer, without end", rule_slug=Rule.CHUNKS.slug
                 )
                 break
-            self._line += data[at:end]
-            at = end
+            self._line += data[position:end]
+            position = end
             if self._line.endswith(b"\n"):
                 self._line_complete(self._line)
                 self._line = b""
-        return at
+        return position
 
     def _line_complete(self, line: bytes) -> None:
         self._framing_bytes += len(line)
@@ -73,11 +72,11 @@
             elif not TRAILER_PATTERN.fullmatch(line):
                 self.fault = invalid_chunks()
             return
-        told = CHUNK_SIZE_PATTERN.fullmatch(line)
-        if told is None:
+        size_line = CHUNK_SIZE_PATTERN.fullmatch(line)
+        if size_line is None:
             self.fault = invalid_chunks()
             return
-        length = int(told[1], 16)
+        length = int(size_line[1], 16)
         self._in_trailers = length == 0
         self._data_left = length + 2 if length else 0
         self._data_bytes += length
--- a/brackengate/http/connection_states.py
+++ b/brackengate/http/connection_states.py
@@ -1,7 +1,7 @@
-"""The states of both kinds of connection, and every move that there is, in one place.
+"""The states of callers' and upstreams' connections, and all valid transitions between them.
 
-A move that is not in its table is a fault of this program (`InvalidTransition`): nothing was said or done by
-it.
+A transition that is not in its table is a bug in this program: it raises
+`InvalidTransition` and has no effect.
 """
 
 from __future__ import annotations
@@ -16,31 +16,33 @@
 
 
 class CallerState(IntEnum):
-    """A caller's connection.  What follows a request that is held lies unread until that has its answer."""
+    """State of a caller's connection.  Bytes after a request stay unparsed until that request is answered."""
 
     IDLE = auto()
-    HEAD = auto()  # a part of a request's head is there
-    BODY = auto()  # its head is, and its body is coming; nobody has been told yet
-    STREAMING_BODY = auto()  # handed on, with its body still coming
-    AWAITING_ANSWER = auto()  # it is whole and handed on: an answer is owed
-    ANSWERING = auto()  # a long answer has begun
-    LINGERING = auto()  # the last answer was given; what still comes is read and let go for a while
-    CLOSED = auto()  # nothing is read or said any more
+    HEAD = auto()  # part of a request's head was received
+    BODY = auto()  # the head is complete, the body is being received; the request is not delivered yet
+    STREAMING_BODY = auto()  # the request was delivered and its body is still being received
+    AWAITING_ANSWER = auto()  # the request is complete and delivered
+    ANSWERING = auto()  # a streamed answer has started
+    LINGERING = auto()  # the last answer was sent; further input is read and discarded for a while
+    CLOSED = auto()  # nothing is read or written any more
 
 
 class CallerTransition(IntEnum):
-    REQUEST_STARTED = auto()  # the first byte of a request
-    HEAD_COMPLETE = auto()  # its head is whole, and a body follows
-    HANDED_ON = auto()  # its body is long, and there is no room for more of it
-    REQUEST_COMPLETE = auto()  # its last byte
-    REFUSED = auto()  # what came is answered with an error, and nothing more is read
-    ANSWERED = auto()  # the whole answer
-    ANSWERED_LAST = auto()  # the same, and the connection ends
-    ANSWERED_EARLY = auto()  # the last answer, with more of its request on the way
-    ANSWER_STARTED = auto()
-    ANSWER_ENDED = auto()  # a long answer's last byte
-    LAST_ANSWER_ENDED = auto()
-    CLOSE = auto()  # ended from here, or by the other side
+    """What changes the state of a caller's connection."""
+
+    REQUEST_STARTED = auto()  # first byte of a request
+    HEAD_COMPLETE = auto()  # the head is complete and a body follows
+    HANDED_ON = auto()  # the body is long and there is no room for more: deliver the request
+    REQUEST_COMPLETE = auto()  # last byte of a request
+    REFUSED = auto()  # the input is answered with an error, and nothing more is parsed
+    ANSWERED = auto()  # a complete answer
+    ANSWERED_LAST = auto()  # a complete answer, after which the connection is closed
+    ANSWERED_EARLY = auto()  # the last answer, sent before the request is complete
+    ANSWER_STARTED = auto()  # start of a streamed answer
+    ANSWER_ENDED = auto()  # last byte of a streamed answer
+    LAST_ANSWER_ENDED = auto()  # the same, after which the connection is closed
+    CLOSE = auto()  # closed from here or by the caller
 
 
 _C, _CM = CallerState, CallerTransition
@@ -66,22 +68,24 @@
 
 
 class UpstreamState(IntEnum):
-    """A connection to an upstream, as far as answers go; whether the request is written is apart."""
+    """State of a connection to an upstream, for the response only; writing the request is tracked apart."""
 
     IDLE = auto()
-    AWAITING = auto()  # a request was begun; nothing has come
-    HEAD = auto()  # a part of an answer's head, or an interim answer
-    BODY = auto()  # its head is there; the body is kept until it is whole
-    STREAMING = auto()  # the body is passed on as it comes
+    AWAITING = auto()  # a request was started and nothing was received
+    HEAD = auto()  # part of the response's head, or an interim response, was received
+    BODY = auto()  # the head is complete; the body is buffered until it is complete
+    STREAMING = auto()  # the body is passed on as it arrives
     CLOSED = auto()
 
 
 class UpstreamTransition(IntEnum):
-    REQUEST_STARTED = auto()  # a request begins
-    RESPONSE_STARTED = auto()  # the first byte of an answer
-    HEAD_COMPLETE = auto()  # the final answer's head is whole
-    STREAMING_STARTED = auto()  # it is long, or slow: its first bytes go on
-    RESPONSE_COMPLETE = auto()  # its last byte, and the connection may be used again
+    """What changes the state of a connection to an upstream."""
+
+    REQUEST_STARTED = auto()
+    RESPONSE_STARTED = auto()  # first byte of a response
+    HEAD_COMPLETE = auto()  # the final response's head is complete
+    STREAMING_STARTED = auto()  # the response is long or slow: its first bytes are passed on
+    RESPONSE_COMPLETE = auto()  # last byte, and the connection may be used again
     CLOSE = auto()
 
 
@@ -97,9 +101,9 @@
 }
 
 
-def next_state(table: dict[tuple[S, M], S], state: S, move: M) -> S:
-    """Where a move leads; LocalFault where there is none from here."""
-    found = table.get((state, move))
+def next_state(table: dict[tuple[S, M], S], state: S, transition: M) -> S:
+    """The state after a transition; raises `InvalidTransition` if it is not valid in this state."""
+    found = table.get((state, transition))
     if found is None:
-        raise InvalidTransition(f"a connection that is {state!r} has no move {move!r}")
+        raise InvalidTransition(f"a connection in state {state!r} has no transition {transition!r}")
     return found
--- a/brackengate/http/message.py
+++ b/brackengate/http/message.py
@@ -1,4 +1,4 @@
-"""What the machines hand out and take: a whole request, what is wrong with one, and an answer's bytes."""
+"""The parsed request, the error for an invalid one, and the encoding of answers."""
 
 from __future__ import annotations
 
@@ -6,7 +6,7 @@
 
 from brackengate.http.body import Body
 
-MAX_HEAD_BYTES = 16 << 10  # of a request, and of an answer with the interim ones before it
+MAX_HEAD_BYTES = 16 << 10  # of a request, and of a response with its interim responses
 REASON_PHRASES = {
     200: b"OK",
     400: b"Bad Request",
@@ -30,9 +30,10 @@
 
 
 class RequestError(Exception):
-    """A request that gets an answer of the server's own: the caller's fault, or a front's refusal.
+    """A request that the server itself answers with an error: it is invalid, or a frontend rejects it.
 
-    `reason`: the row of `rules` that it breaks, under which it is counted; then its connection ends too.
+    `detail` is the body of the answer.  `rule_slug`: the rule of `http.rules` that the request violates,
+    under which it is counted; its connection is then closed, too.
     """
 
     def __init__(self, status: int, detail: str, extra_headers: bytes = b"", rule_slug: str = "") -> None:
@@ -46,27 +47,25 @@
 
 
 class InvalidTransition(Exception):
-    """A machine was asked for what its state does not allow: a fault of this program, never of a peer."""
+    """A state machine was called in a state that does not allow it: a bug in this program, not in a peer."""
 
 
 @dataclass(slots=True)
 class IncomingRequest:
-    """A whole request, as it was parsed."""
+    """A parsed request."""
 
     method: bytes
     target: bytes
     headers: list[tuple[bytes, bytes]]
     body: bytes
     keep_alive: bool
-    received_at: (
-        int  # microseconds: when its last byte came, or where the body is still coming, when it was handed on
-    )
-    stream: Body | None = None  # in place of `body`: it is still coming
+    received_at: int  # microseconds: time of its last byte, or of its delivery if it is not complete yet
+    stream: Body | None = None  # replaces `body` if that is streamed
     version: str = "1.1"
-    fields: dict[bytes, bytes] = field(default_factory=dict)  # by name in lower case, the last of each
+    fields: dict[bytes, bytes] = field(default_factory=dict)  # by lower-case name, the last one of each
 
     def framing(self) -> list[bytes]:
-        """The header that tells the body's end to whoever it goes on to; none where it has no body."""
+        """The framing header for forwarding the request: length or chunked; empty if it has no body."""
         if self.stream is not None and self.stream.length is None:
             return [b"Transfer-Encoding: chunked"]
         if self.stream is not None:
@@ -77,6 +76,7 @@
 
 
 def status_line(status: int) -> bytes:
+    """The first line of an answer."""
     return b"HTTP/1.1 %d %s\r\n" % (status, REASON_PHRASES.get(status, b"Status"))
 
 
--- a/brackengate/http/rules.py
+++ b/brackengate/http/rules.py
@@ -1,8 +1,9 @@
-"""What is refused though the library parses it: each row with the section that it rests on.
+"""Rules for messages that are rejected although the library parses them, each with its RFC section.
 
-The library (llhttp) is strict about most forms.  What it still lets through, and what needs the whole head,
-is judged here, so that no message goes on whose meaning two parties could read differently.  A head is judged
-whole, from its first byte to the empty line: how it was cut on its way changes nothing.
+The library (llhttp) is strict about most syntax.  This module checks what it accepts nevertheless and what
+needs the complete head, so that no ambiguous message is forwarded, which two parties could read differently.
+A head is checked as a whole, from its first byte to the empty line, so that the way it was split into packets
+makes no difference.
 """
 
 from __future__ import annotations
@@ -38,7 +39,7 @@
 
 
 class Rule(Enum):
-    """Name in the figures, section, and what is wrong in words for the caller."""
+    """A rule that a message violates: its name in metrics, RFC section and description for the caller."""
 
     MALFORMED = "malformed", "RFC 9112, 2.2 and 6.3", "the message cannot be read"
     LINE_ENDS = "line-ends", "RFC 9112, 2.2", "a bare CR or LF, or a control character"
@@ -57,46 +58,49 @@
 
     @property
     def slug(self) -> str:
+        """The name in metrics."""
         return self.value[0]
 
     @property
     def section(self) -> str:
+        """The RFC and its section."""
         return self.value[1]
 
     @property
     def description(self) -> str:
+        """What is wrong, as sent to the caller."""
         return self.value[2]
 
 
 def has_stray_byte(head: bytes, start: int = 0) -> bool:
-    """Whether what has come of a head can be no good one's beginning.  `start`: looked at from there on."""
+    """Whether an incomplete head contains a control character or a bare CR or LF, from `start` on."""
     return STRAY_BYTE_PATTERN.search(head, start) is not None
 
 
 def head_syntax_fault(head: bytes, request: bool) -> Rule | None:
-    """What is wrong with the bytes of a whole head, from its first line to the empty one."""
+    """The rule that the syntax of a complete head violates, from its first line to the empty one, if any."""
     if (REQUEST_HEAD_PATTERN if request else RESPONSE_HEAD_PATTERN).fullmatch(head):
         return None
     if STRAY_BYTE_PATTERN.search(head):
         return Rule.LINE_ENDS
-    first = head[: head.index(b"\r\n") + 2]
+    first_line = head[: head.index(b"\r\n") + 2]
     grammar = REQUEST_HEAD_PATTERN if request else RESPONSE_HEAD_PATTERN
-    if grammar.fullmatch(first + b"\r\n"):
+    if grammar.fullmatch(first_line + b"\r\n"):
         return Rule.FIELD_LINE
-    found = VERSION_PATTERN.search(first) if request else None
-    return Rule.VERSION if found and found[0][1:-2] not in (b"HTTP/1.0", b"HTTP/1.1") else Rule.FIRST_LINE
+    match = VERSION_PATTERN.search(first_line) if request else None
+    return Rule.VERSION if match and match[0][1:-2] not in (b"HTTP/1.0", b"HTTP/1.1") else Rule.FIRST_LINE
 
 
 def origin_form(target: bytes, method: bytes, host: bytes) -> bytes | None:
-    """The target as a path; None where it is none, or names another host than `Host` does."""
+    """The target as a path; None if it has no valid form or names another host than the Host header."""
     if target.startswith(b"/"):
         return None if b"#" in target else target
     if target == b"*":
         return target if method == b"OPTIONS" else None
-    told = ABSOLUTE_TARGET_PATTERN.fullmatch(target)
-    if told is None or told[1].lower() != host.lower() or not host:
+    match = ABSOLUTE_TARGET_PATTERN.fullmatch(target)
+    if match is None or match[1].lower() != host.lower() or not host:
         return None
-    return told[2] if told[2].startswith(b"/") else b"/" + told[2]
+    return match[2] if match[2].startswith(b"/") else b"/" + match[2]
 
 
 def request_fault(
@@ -106,44 +110,47 @@
     fields: dict[bytes, bytes],
     single_headers: Collection[bytes] = SINGLE_REQUEST_HEADERS,
 ) -> Rule | None:
-    """What is wrong with a request's head that has the right form.
+    """The rule that a syntactically valid request head violates, if any.
 
-    `fields`: the headers by name in lower case.  `single_headers`: names that decide something here or
-    upstream.
+    `fields`: the headers by lower-case name.  `single_headers`: headers that may occur only once, because
+    they affect decisions here or upstream.
     """
     if len(fields) != len(headers) or any(b"_" in name for name in fields):
-        found = _repeated_header(headers, single_headers)
-        if found is not None:
-            return found
+        rule = _repeated_header(headers, single_headers)
+        if rule is not None:
+            return rule
     host = fields.get(b"host")
     if (host is None and version != "1.0") or (host is not None and not HOST_PATTERN.fullmatch(host)):
         return Rule.HOST
-    found = _framing_fault(version, fields)
-    if found is not None:
-        return found
+    rule = _framing_fault(version, fields)
+    if rule is not None:
+        return rule
     if method in METHODS_WITHOUT_BODY:
         has_length = int(fields.get(b"content-length", b"0")) > 0
         if has_length or b"transfer-encoding" in fields:
             return Rule.CONTENT
-    named = fields.get(b"connection")
-    if named is not None:
-        tokens = {token.strip().lower() for token in named.split(b",")}
+    connection_header = fields.get(b"connection")
+    if connection_header is not None:
+        tokens = {token.strip().lower() for token in connection_header.split(b",")}
         if not tokens.isdisjoint(single_headers):
             return Rule.UNNAMED
     return None
 
 
 def response_fault(status: int, version: str, headers: Headers, fields: dict[bytes, bytes]) -> Rule | None:
-    """What is wrong with an answer's head that has the right form."""
+    """The rule that a syntactically valid response head violates, if any."""
     if len(fields) != len(headers):
-        found = _repeated_header(headers, SINGLE_RESPONSE_HEADERS)
-        if found is not None:
-            return found
+        rule = _repeated_header(headers, SINGLE_RESPONSE_HEADERS)
+        if rule is not None:
+            return rule
     return _framing_fault(version, fields)
 
 
 def _framing_fault(version: str, fields: dict[bytes, bytes]) -> Rule | None:
-    """What the library leaves of this: lengths that are none, two, or beside a coding it refuses itself."""
+    """Check the transfer coding.
+
+    The library itself rejects invalid or conflicting lengths, and a length beside a transfer coding.
+    """
     coding = fields.get(b"transfer-encoding")
     return None if coding is None or (coding.lower() == b"chunked" and version != "1.0") else Rule.CODING
 
--- a/brackengate/http/upstream.py
+++ b/brackengate/http/upstream.py
@@ -1,12 +1,12 @@
-"""One connection to an upstream as a machine: what is written, and what comes back for it.
+"""State machine of one connection to an upstream: the request to write and the response to it; no I/O.
 
-One exchange at a time.  An answer of up to `body.WHOLE` is kept until it is whole; a longer or slower one is
-passed on as it comes, where whoever asked allows it.  The states stand in `table.UPSTREAM`; whether the
-request is written whole is apart from them, since an upstream may answer before it has read all.
+It handles one exchange at a time.  A response of up to `body.MAX_UNSTREAMED_BYTES` is buffered until it is
+complete; a longer or slower one is streamed if the sender of the request allows it.  The states are in
+`connection_states.UPSTREAM_STATES`; whether the request is completely written is tracked separately, since an
+upstream may respond before it has read all.
 
-An answer that can be read in two ways, or that can't be one, is `InvalidResponse`: it ends its exchange, and
-the
-connection is not used again.
+An ambiguous or impossible response is an `InvalidResponse`: it ends its exchange, and the connection is not
+used again.
 """
 
 from __future__ import annotations
@@ -22,22 +22,18 @@
 from brackengate.http.message import MAX_HEAD_BYTES, RequestError
 from brackengate.http.rules import has_stray_byte, head_syntax_fault, response_fault
 
-MAX_BUFFERED_RESPONSE_BYTES = 1 << 20  # of an answer that somebody must have whole
-MAX_STREAMED_RESPONSE_BYTES = 64 << 20  # of one that is passed on in pieces; they are said to hold 32 MB
-SLOW_RESPONSE_US = (
-    100_000  # an answer that comes slowly is passed on from here on, however short it is so far
-)
-STALL_TIMEOUT_US = (
-    10_000_000  # an upstream that neither reads nor writes for this long, in the middle of a body
-)
+MAX_BUFFERED_RESPONSE_BYTES = 1 << 20  # of a response that must be complete before it is used
+MAX_STREAMED_RESPONSE_BYTES = 64 << 20  # responses are specified as up to 32 MB
+SLOW_RESPONSE_US = 100_000  # a response that takes longer is streamed, however short it is so far
+STALL_TIMEOUT_US = 10_000_000  # for an upstream that neither reads nor writes in the middle of a body
 
 
-# --- what the carrier does
+# --- events for the connection
 
 
 @dataclass(slots=True)
 class ResponseStarted:
-    """The head and the first bytes of a long answer; the rest comes in `BodyPiece`s."""
+    """The head and first bytes of a streamed response; the rest follows in `BodyPiece` events."""
 
     head: UpstreamResponse
     length: int | None
@@ -45,14 +41,16 @@
 
 @dataclass(slots=True)
 class BodyPiece:
+    """A further piece of a streamed response."""
+
     data: bytes
 
 
 @dataclass(slots=True)
 class UpstreamResponse:
-    """A whole answer.  `body` is empty where it was passed on.  `reuse`: the connection may serve another.
+    """A complete response.  `body` is empty if it was streamed.  `reuse`: the connection may be used again.
 
-    Of one that begins (`ResponseStarted`) it has the head, and what there is of the body.
+    In `ResponseStarted` it has the head and the first bytes of the body.
     """
 
     status: int
@@ -64,12 +62,14 @@
 
 @dataclass(slots=True)
 class InvalidResponse:
+    """The response violates the protocol; the connection is closed."""
+
     reason: str
 
 
 @dataclass(slots=True)
 class UnsolicitedData:
-    """Bytes, and nobody had asked."""
+    """Bytes were received without a request; the connection is closed."""
 
 
 Event = ResponseStarted | BodyPiece | UpstreamResponse | InvalidResponse | UnsolicitedData
@@ -77,63 +77,62 @@
 
 @dataclass(frozen=True, slots=True)
 class StreamingPolicy:
-    """Which answers are passed on as they come."""
+    """Which responses are streamed."""
 
-    is_streamable: Callable[[UpstreamResponse], bool] = (
-        lambda head: head.status == 200
-    )  # as the head says; a pure function
-    unstreamed_bytes: int = MAX_UNSTREAMED_BYTES  # up to here a body is kept until it is whole
-    stream_slow_responses: bool = True  # also a shorter one, where it comes slowly
+    # Decided by the head; a pure function.
+    is_streamable: Callable[[UpstreamResponse], bool] = lambda head: head.status == 200
+    unstreamed_bytes: int = MAX_UNSTREAMED_BYTES  # a body up to this size is buffered
+    stream_slow_responses: bool = True  # also stream a shorter one that is slow
 
 
 class UpstreamMachine:
-    """All times are whole microseconds of one clock that never goes back."""
+    """The state of one connection to an upstream.  All times are whole microseconds of a monotonic clock."""
 
     def __init__(self) -> None:
         self.state = UpstreamState.IDLE
-        self.written = False  # the request's last byte is with the kernel: only then may it have run
-        self.response_started = False  # whether anything has come for this request
-        self.paused = False  # the caller can't take more of the answer now
-        self.request_started_at = self.progress_at = (
-            0  # when a piece of either body last moved, while one is under way
-        )
+        self.written = False  # the kernel has the request's last byte: only then may it have been executed
+        self.response_started = False  # whether any byte of the response was received
+        self.paused = False  # the caller cannot take more of the response now
+        self.request_started_at = self.progress_at = 0  # last progress of either body
         self._parser = httptools.HttpResponseParser(self)
-        self._streaming_policy: StreamingPolicy | None = None  # None: somebody must have it whole
+        self._streaming_policy: StreamingPolicy | None = None  # None: buffer the response
         self._request: Body | None = None
-        self._body_sent = False  # of a request's body
+        self._body_sent = False  # the request's body
         self._clear()
 
     def _clear(self) -> None:
         self._unparsed = b""
-        self._head_bytes = 0  # bytes of interim answers
+        self._head_bytes = 0  # including interim responses
         self._searched_bytes = 0
         self._headers: list[tuple[bytes, bytes]] = []
         self._fields: dict[bytes, bytes] = {}
         self._status = 0
         self._pieces: list[bytes] = []
         self._body: list[bytes] = []
-        self.buffered_bytes = 0  # bytes of a body that is kept until it is whole
+        self.buffered_bytes = 0  # of the body, until it is complete or streamed
         self._body_bytes = 0
         self._length: int | None = None
         self._chunks: ChunkedBodyScanner | None = None
-        self._ends_at_close = False  # only the connection's end ends the answer
+        self._ends_at_close = False  # only the connection's end ends the response
         self._message_complete = self._keep_alive = False
         self._head_at = 0
 
     # --- the request
 
     def start_request(
-        self, now: int, body: Body | None = None, passing: StreamingPolicy | None = None
+        self, now: int, body: Body | None = None, policy: StreamingPolicy | None = None
     ) -> None:
-        """An exchange begins: the carrier writes its head.  `passing`: a long answer may be passed on."""
+        """Start an exchange; the connection writes the head.  `policy`: which responses may be streamed."""
         self._transition(UpstreamTransition.REQUEST_STARTED)
         self.written = self.response_started = self._body_sent = False
         self.request_started_at = self.progress_at = now
-        self._request, self._streaming_policy = body, passing
+        self._request, self._streaming_policy = body, policy
 
     def next_piece(self, now: int) -> bytes | None:
-        """What to write next, once all before it is with the kernel.  Empty: that was all, and it is written.
-        None: there is nothing yet."""
+        """The next bytes to write, once the kernel has taken all before them.
+
+        Empty if the request is completely written; None if there are no bytes yet.
+        """
         body = self._request
         if body is not None and not self._body_sent:
             self.progress_at = now
@@ -149,9 +148,10 @@
         self.written = True
         return b""
 
-    # --- the answer
+    # --- the response
 
     def received(self, data: bytes, now: int) -> list[Event]:
+        """Bytes were received; returns what they contain."""
         if self.state is UpstreamState.CLOSED:
             return []
         if self.state is UpstreamState.IDLE:
@@ -160,7 +160,7 @@
         self.response_started = True
         if self.state is UpstreamState.AWAITING:
             self._transition(UpstreamTransition.RESPONSE_STARTED)
-        out: list[Event] = []
+        events: list[Event] = []
         try:
             if self.state is UpstreamState.HEAD:
                 self._unparsed = self._unparsed + data if self._unparsed else data
@@ -170,28 +170,31 @@
                     (b"", self._unparsed) if self.state is UpstreamState.HEAD else (self._unparsed, b"")
                 )
             if self.state is not UpstreamState.HEAD:
-                self._read_body(data, now, out)
+                self._read_body(data, now, events)
         except (RequestError, httptools.HttpParserError, httptools.HttpParserUpgrade) as error:
             self._close()
-            out.append(InvalidResponse(str(error) or type(error).__name__))
-        return out
+            events.append(InvalidResponse(str(error) or type(error).__name__))
+        return events
 
     def ended(self, clean: bool) -> list[Event]:
-        """The connection has ended.  An answer that only this ends is whole, where it ended in order."""
-        out: list[Event] = []
+        """The connection was closed; `clean`: without an error.
+
+        This completes a response without a length.
+        """
+        events: list[Event] = []
         if self._ends_at_close and clean and self.written:
-            out.append(
+            events.append(
                 UpstreamResponse(self._status, self._fields, b"".join(self._body), False, self._headers)
             )
         self._close()
-        return out
+        return events
 
     def set_paused(self, on: bool, now: int) -> None:
-        """The caller can take no more of a long answer, or can again."""
+        """The caller cannot take more of a streamed response, or can again."""
         self.paused, self.progress_at = on, now
 
     def stalled(self, now: int, unsent: bool) -> bool:
-        """Whether a body that is under way stands still, and it is not the caller who holds it up."""
+        """Whether a body in transfer has stalled for a reason other than the caller."""
         if now - self.progress_at < STALL_TIMEOUT_US:
             return False
         if self.state is UpstreamState.STREAMING:
@@ -199,34 +202,35 @@
         return self._request is not None and not self.written and unsent
 
     def close(self) -> None:
+        """The connection is closed from this side."""
         self._close()
 
-    # --- reading
+    # --- parsing
 
     def _read_head(self, now: int) -> bool:
-        """One head, the final or an interim one; whether there was a whole one."""
-        rest = self._unparsed
-        end = rest.find(b"\r\n\r\n", max(0, self._searched_bytes - 3)) + 4
+        """Parse one head, final or interim; whether there was a complete one."""
+        unparsed = self._unparsed
+        end = unparsed.find(b"\r\n\r\n", max(0, self._searched_bytes - 3)) + 4
         if end < 4:
-            if has_stray_byte(rest, max(0, self._searched_bytes - 1)):
+            if has_stray_byte(unparsed, max(0, self._searched_bytes - 1)):
                 raise RequestError(502, "a bare CR or LF, or a control character, in an answer's head")
-            if self._head_bytes + len(rest) > MAX_HEAD_BYTES:
+            if self._head_bytes + len(unparsed) > MAX_HEAD_BYTES:
                 raise RequestError(502, "headers too large")
-            self._searched_bytes = len(rest)
+            self._searched_bytes = len(unparsed)
             return False
-        head, self._unparsed, self._searched_bytes = rest[:end], rest[end:], 0
+        head, self._unparsed, self._searched_bytes = unparsed[:end], unparsed[end:], 0
         self._head_bytes += end
         if self._head_bytes > MAX_HEAD_BYTES:
             raise RequestError(502, "headers too large")
-        found = head_syntax_fault(head, request=False)
-        if found is None:
+        rule = head_syntax_fault(head, request=False)
+        if rule is None:
             self._headers = []
             self._parser.feed_data(head)
             status, version = self._parser.get_status_code(), self._parser.get_http_version()
             fields = self._fields = {name.lower(): value for name, value in self._headers}
-            found = response_fault(status, version, self._headers, fields)
-        if found is not None:
-            raise RequestError(502, found.description)
+            rule = response_fault(status, version, self._headers, fields)
+        if rule is not None:
+            raise RequestError(502, rule.description)
         self._status = status
         if status < 200:
             self._message_complete = False
@@ -235,14 +239,14 @@
         return True
 
     def _handle_final_head(self, status: int, fields: dict[bytes, bytes], now: int) -> None:
-        """Judge an answer by its head.
+        """Check the final head.
 
-        Guards against waiting for, or reading, what can't be an answer: one of 3 GB, and one without a
-        length, whose end nothing would tell from a break.  An upstream that says that it closes may end an
-        answer so: a break shows as a reset.
+        Rejects what cannot be a valid response before reading it: one of 3 GB, or one without a length, whose
+        regular end looks like a broken connection.  An upstream that announces `Connection: close` may end a
+        response that way, as a broken connection then shows as a reset.
         """
-        told = fields.get(b"content-length")
-        length = self._length = int(told) if told is not None else None
+        content_length = fields.get(b"content-length")
+        length = self._length = int(content_length) if content_length is not None else None
         if (
             length is not None
             and self._streaming_policy is not None
@@ -253,7 +257,7 @@
             raise RequestError(502, f"answer too large: {length}")
         if b"transfer-encoding" in fields:
             self._chunks = ChunkedBodyScanner()
-        elif told is None and not self._message_complete:
+        elif content_length is None and not self._message_complete:
             closes = fields.get(b"connection", b"").strip().lower() == b"close"
             if status < 300 and not (closes and self.written):
                 raise RequestError(502, "an answer without a length")
@@ -261,7 +265,7 @@
         self._head_at = now
         self._transition(UpstreamTransition.HEAD_COMPLETE)
 
-    def _read_body(self, data: bytes, now: int, out: list[Event]) -> None:
+    def _read_body(self, data: bytes, now: int, events: list[Event]) -> None:
         count = 0
         if self._message_complete:
             ends = True
@@ -278,29 +282,29 @@
         if self._chunks is not None and self._chunks.fault is not None:
             raise self._chunks.fault
         if ends is not self._message_complete:
-            raise RequestError(502, "two readers of one answer that do not agree on its end")
+            raise RequestError(502, "the parsers do not agree on the end of a response")
         pieces, self._pieces = self._pieces, []
         for piece in pieces:
             self._body_bytes += len(piece)
-            begins = (
+            starts_streaming = (
                 self.state is not UpstreamState.STREAMING and self._should_stream(now) and self._may_stream()
             )
             if self._body_bytes > self._max_response_bytes():
                 raise RequestError(502, "answer too large")
             if self.state is UpstreamState.STREAMING:
                 self.progress_at = now
-                out.append(BodyPiece(piece))
+                events.append(BodyPiece(piece))
                 continue
             self._body.append(piece)
             self.buffered_bytes += len(piece)
-            if begins:
-                self._start_streaming(now, out)
+            if starts_streaming:
+                self._start_streaming(now, events)
         if ends:
-            # More than the answer: what it belongs to nobody can tell, so the connection is not used again.
+            # Bytes after the response cannot be attributed to a request, so the connection is not used again.
             reuse = self.written and self._keep_alive and count == len(data)
             if self._status == 200 and not self.written:
                 raise RequestError(502, "an answer to a request that is not all there")
-            out.append(
+            events.append(
                 UpstreamResponse(self._status, self._fields, b"".join(self._body), reuse, self._headers)
             )
             if reuse:
@@ -313,18 +317,21 @@
         return MAX_BUFFERED_RESPONSE_BYTES if self._streaming_policy is None else MAX_STREAMED_RESPONSE_BYTES
 
     def _should_stream(self, now: int) -> bool:
-        """Whether an answer is passed on as it comes: it is long, or comes slowly."""
-        passing = self._streaming_policy
-        if passing is None:
+        """Whether the response is to be streamed because it is long or slow."""
+        policy = self._streaming_policy
+        if policy is None:
             return False
         if self._length is not None:
-            return self._length > passing.unstreamed_bytes
-        return self._body_bytes > passing.unstreamed_bytes or (
-            passing.stream_slow_responses and now - self._head_at > SLOW_RESPONSE_US
+            return self._length > policy.unstreamed_bytes
+        return self._body_bytes > policy.unstreamed_bytes or (
+            policy.stream_slow_responses and now - self._head_at > SLOW_RESPONSE_US
         )
 
     def _may_stream(self) -> bool:
-        """Judge a long answer by its head.  A failure that comes before the request is all there is kept."""
+        """Whether the response may be streamed, by its head.
+
+        An error response that arrives before the request is completely written is buffered.
+        """
         if self._streaming_policy is not None and (
             not self._streaming_policy.is_streamable(self._response_head())
             or (self._status >= 300 and not self.written)
@@ -335,11 +342,11 @@
     def _response_head(self, body: bytes = b"") -> UpstreamResponse:
         return UpstreamResponse(self._status, self._fields, body, False, self._headers)
 
-    def _start_streaming(self, now: int, out: list[Event]) -> None:
+    def _start_streaming(self, now: int, events: list[Event]) -> None:
         if not self.written:
             raise RequestError(502, "an answer to a request that is not all there")
         self._transition(UpstreamTransition.STREAMING_STARTED)
-        out.append(ResponseStarted(self._response_head(b"".join(self._body)), self._length))
+        events.append(ResponseStarted(self._response_head(b"".join(self._body)), self._length))
         self._body, self.buffered_bytes = [], 0
         self.progress_at = now
 
@@ -347,15 +354,15 @@
         self._transition(UpstreamTransition.CLOSE)
         self._clear()
 
-    def _transition(self, move: UpstreamTransition) -> None:
-        self.state = next_state(UPSTREAM_STATES, self.state, move)
+    def _transition(self, transition: UpstreamTransition) -> None:
+        self.state = next_state(UPSTREAM_STATES, self.state, transition)
 
     # --- httptools
 
     def on_header(self, name: bytes, value: bytes) -> None:
-        """A trailer must not say that a request was turned away whose answer has begun."""
+        """Keep a header, but no trailer: it must not claim that a request was rejected."""
         if self.state is UpstreamState.HEAD:
-            self._headers.append((name, value.strip(b" \t")))  # the library leaves what is behind it
+            self._headers.append((name, value.strip(b" \t")))  # the library keeps trailing whitespace
 
     def on_body(self, data: bytes) -> None:
         self._pieces.append(data)
--- a/brackengate/net/__init__.py
+++ b/brackengate/net/__init__.py
@@ -1,1 +1,1 @@
-"""The decision module's host on real sockets."""
+"""The network host: sockets, connections and timers around the balancer's decision module."""
--- a/brackengate/net/alarms.py
+++ b/brackengate/net/alarms.py
@@ -1,4 +1,4 @@
-"""All timers of a process on one of the loop's own."""
+"""A timer queue that runs all timers of a process on a single event-loop timer."""
 
 from __future__ import annotations
 
@@ -10,41 +10,46 @@
 
 log = logging.getLogger(__name__)
 
-TIMER_RESOLUTION_US = 1_000  # the loop's timers have whole milliseconds
-LATE_TIMER_US = 4_000  # an alarm later than this tells of a stall
-MIN_CANCELLED_TO_COMPACT = 64  # cancelled alarms that may lie about in any case
+TIMER_RESOLUTION_US = 1_000  # the event loop's timers have whole milliseconds
+LATE_TIMER_US = 4_000  # a timer later than this indicates that the process stalled
+MIN_CANCELLED_TO_COMPACT = 64  # cancelled timers that may stay in the heap in any case
 
 
 class MicrosecondClock(Protocol):
+    """A clock whose `now` returns whole microseconds."""
+
     def now(self) -> int: ...
 
 
 class Timer:
-    """One timer; `callback` is None once it has rung or was cancelled."""
+    """One scheduled callback; `callback` is None once it has run or was cancelled."""
 
     __slots__ = ("_queue", "callback", "deferred", "due")
 
-    def __init__(self, alarms: TimerQueue, due: int, callback: Callable[[], None]) -> None:
-        self._queue, self.due = alarms, due
+    def __init__(self, queue: TimerQueue, due: int, callback: Callable[[], None]) -> None:
+        self._queue, self.due = queue, due
         self.callback: Callable[[], None] | None = callback
         self.deferred = False
 
     def cancel(self) -> None:
+        """Keep the callback from running; no effect after it has run."""
         if self.callback is not None:
             self.callback = None
             self._queue.timer_cancelled()
 
 
 class TimerQueue:
-    """Timers that are never early.
+    """Runs timers in the order of their due times, never early.
+
+    Event-loop timers count whole milliseconds from the start of the loop's iteration and may fire early.  A
+    decision module that is called before its timer is due finds nothing to do, and would not be called again.
 
-    Guards against the loop's timers, which count whole milliseconds from the start of its turn: a module
-    that is woken before its time finds nothing due, and would not be woken again.  And against stalls of
-    the process: the loop runs late timers before it reads, so an answer that came in time, and lies unread,
-    would be given up.  A late alarm lets the loop read first.
+    After a stall of the process, the loop runs late timers before it reads sockets, so a request would time
+    out although its answer arrived in time and is still unread.  A late timer is therefore deferred once, so
+    that the loop reads first.
 
-    Most are cancelled long before they are due: they leave the heap when they are met, or once they are more
-    than half of it.
+    Most timers are cancelled long before they are due.  Cancelled timers are removed from the heap when they
+    reach its top, or all at once when they make up more than half of it.
     """
 
     def __init__(self, loop: asyncio.AbstractEventLoop, clock: MicrosecondClock) -> None:
@@ -58,24 +63,24 @@
         return len(self._heap)
 
     def schedule(self, due: int, callback: Callable[[], None], now: int) -> Timer:
-        """Ring at `due`, in microseconds of the clock that says `now`."""
-        alarm = Timer(self, due, callback)
-        self._push(due, alarm)
+        """Run `callback` at `due`, in microseconds of the clock; `now` is the clock's present time."""
+        timer = Timer(self, due, callback)
+        self._push(due, timer)
         if self._handle is None or due < self._armed_for:
             self._arm(due, now)
-        return alarm
+        return timer
 
     def timer_cancelled(self) -> None:
-        """One in the heap was cancelled."""
+        """Count a cancelled timer; compacts the heap when more than half of it is cancelled."""
         self._cancelled += 1
         if self._cancelled > MIN_CANCELLED_TO_COMPACT and self._cancelled * 2 > len(self._heap):
             self._heap = [entry for entry in self._heap if entry[2].callback is not None]
             heapq.heapify(self._heap)
             self._cancelled = 0
 
-    def _push(self, due: int, alarm: Timer) -> None:
+    def _push(self, due: int, timer: Timer) -> None:
         self._sequence += 1
-        heapq.heappush(self._heap, (due, self._sequence, alarm))
+        heapq.heappush(self._heap, (due, self._sequence, timer))
 
     def _arm(self, due: int, now: int) -> None:
         if self._handle is not None:
@@ -85,21 +90,21 @@
 
     def _run_due(self) -> None:
         self._handle = None
-        now, last = self._clock.now(), self._sequence  # those that are set meanwhile wait for the next time
+        now, last = self._clock.now(), self._sequence  # timers that callbacks add wait for the next run
         while self._heap and self._heap[0][0] <= now and self._heap[0][1] <= last:
-            alarm = heapq.heappop(self._heap)[2]
-            callback = alarm.callback
+            timer = heapq.heappop(self._heap)[2]
+            callback = timer.callback
             if callback is None:
                 self._cancelled -= 1
-            elif now - alarm.due > LATE_TIMER_US and not alarm.deferred:
-                alarm.deferred = True
-                self._push(now + 1, alarm)
+            elif now - timer.due > LATE_TIMER_US and not timer.deferred:
+                timer.deferred = True
+                self._push(now + 1, timer)
             else:
-                alarm.callback = None
+                timer.callback = None
                 try:
                     callback()
                 except Exception:
-                    log.exception("an alarm's callback failed")
+                    log.exception("a timer's callback failed")
         if self._heap:
             due = max(self._heap[0][0], now + TIMER_RESOLUTION_US)
             if self._handle is None or due < self._armed_for:
--- a/brackengate/net/connection_admission.py
+++ b/brackengate/net/connection_admission.py
@@ -1,4 +1,4 @@
-"""A bound on the connections that one network holds.  Pure."""
+"""Limits the connections that one client network holds.  No I/O."""
 
 from __future__ import annotations
 
@@ -6,7 +6,10 @@
 
 
 class ConnectionAdmission:
-    """How many connections one network may hold.  `turned`: those that were closed as they came."""
+    """Counts open connections by network; `rejected` counts those closed on arrival.
+
+    `network_of` returns the network of a client address.
+    """
 
     def __init__(self, max_connections: int, network_of: Callable[[str], str]) -> None:
         self.max_connections, self.network_of = max_connections, network_of
@@ -14,17 +17,18 @@
         self._open_by_network: dict[str, int] = {}
 
     def try_admit(self, network: str) -> bool:
-        """Count one more, if it has room."""
-        held = self._open_by_network.get(network, 0)
-        if held >= self.max_connections:
+        """Count one more connection of the network; False if it is at its limit."""
+        open_connections = self._open_by_network.get(network, 0)
+        if open_connections >= self.max_connections:
             self.rejected += 1
             return False
-        self._open_by_network[network] = held + 1
+        self._open_by_network[network] = open_connections + 1
         return True
 
     def release(self, network: str) -> None:
-        held = self._open_by_network.get(network, 0) - 1
-        if held > 0:
-            self._open_by_network[network] = held
+        """A connection of the network was closed."""
+        open_connections = self._open_by_network.get(network, 0) - 1
+        if open_connections > 0:
+            self._open_by_network[network] = open_connections
         else:
             self._open_by_network.pop(network, None)
--- a/brackengate/net/discovery.py
+++ b/brackengate/net/discovery.py
@@ -1,4 +1,4 @@
-"""The watch on the list of upstreams: its snapshot, its changes, its silence, and coming back to it."""
+"""Watches discovery's list of upstreams: reads its snapshot and changes, detects silence, reconnects."""
 
 from __future__ import annotations
 
@@ -18,12 +18,11 @@
 
 log = logging.getLogger(__name__)
 
-WATCH_SILENCE_TIMEOUT_S = (
-    3.0  # an empty line comes every 2 s; what it has to tell counts as told after 6 s, come what may
-)
+# Discovery sends an empty line every 2 s, and counts a change as delivered after 6 s in any case.
+WATCH_SILENCE_TIMEOUT_S = 3.0
 CONNECT_TIMEOUT_S = 1.0
-FIRST_LINE_TIMEOUT_S = 6.0  # where calls are worked through in turn, the answer may wait
-STABLE_WATCH_S = 1.0  # a watch that lasted this long worked: a new one is begun at once
+FIRST_LINE_TIMEOUT_S = 6.0  # a discovery that handles requests one by one may answer late
+STABLE_WATCH_S = 1.0  # after a watch that lasted this long, the next is started at once
 MIN_BACKOFF_S, MAX_BACKOFF_S = 0.05, 2.0
 MAX_HEAD_BYTES = 16 << 10
 MAX_LINE_BYTES = 2 << 20  # some thousands of upstreams need under 1 MiB
@@ -33,38 +32,39 @@
 
 
 class InvalidEndpointList(ValueError):
-    """A list that does not have discovery's form."""
+    """The message is not a valid list of upstreams."""
 
 
 PARSE_ERRORS = (KeyError, TypeError, ValueError, AttributeError, OverflowError)
 
 
-def parse_endpoint_list(listed: Any) -> tuple[int, bool, EndpointRows]:
-    """Version, whether it is the whole list, and its rows, out of discovery's JSON.
+def parse_endpoint_list(message: Any) -> tuple[int, bool, EndpointRows]:
+    """The version, whether the list is complete, and its rows, from discovery's JSON.
 
-    An upstream whose row cannot be read counts as gone until one can.  Guards against one bad row that would
-    keep all others from being told, again and again, as the watch would meet it each time that it is begun.
+    An upstream whose row is invalid counts as gone until a valid row arrives.  If an invalid row failed the
+    watch, no other row would be delivered, as each new watch would receive it again.  Raises
+    `InvalidEndpointList` if the list as a whole is invalid.
     """
     try:
-        index, whole, rows = int(listed["index"]), bool(listed["snapshot"]), []
-        for row in listed["endpoints"]:
+        version, complete, rows = int(message["index"]), bool(message["snapshot"]), []
+        for row in message["endpoints"]:
             try:
                 rows.append(_parse_row(row))
             except PARSE_ERRORS as error:
-                log.warning("discovery: a row that cannot be read: %.200r: %r", row, error)
+                log.warning("discovery: invalid row: %.200r: %r", row, error)
                 if isinstance(row, dict) and isinstance(row.get("name"), str):
                     rows.append((Endpoint(row["name"], state=Lifecycle.GONE), ("", 0)))
-        return index, whole, rows
+        return version, complete, rows
     except PARSE_ERRORS as error:
         raise InvalidEndpointList(f"not a list of upstreams: {error!r}") from None
 
 
 def _parse_row(row: dict[str, Any]) -> tuple[Endpoint, Address]:
-    # A status this host does not know is not one to send to.
+    # An upstream with an unknown status gets no requests.
     state = LIFECYCLE_BY_STATUS.get(str(row["status"]), Lifecycle.DRAINING)
     cell = row.get("group")
     weight = 1.0 if row.get("weight") is None else float(row["weight"])
-    if not math.isfinite(weight):  # JSON as Python reads it has NaN; it would upset the module's order
+    if not math.isfinite(weight):  # JSON as Python parses it includes NaN, which breaks sorting
         raise ValueError(f"weight {weight}")
     endpoint = Endpoint(
         upstream=str(row["name"]),
@@ -80,7 +80,7 @@
 
 
 class _WatchStream(asyncio.Protocol):
-    """One watch.  `over` is done when it has ended, for whatever reason."""
+    """The connection of one watch.  The future `ended` is done when it has ended, for whatever reason."""
 
     def __init__(self, discovery: Discovery, request: bytes) -> None:
         self._discovery, self._request = discovery, request
@@ -89,7 +89,7 @@
         self._transport: asyncio.Transport | None = None
         self.last_received_at = asyncio.get_running_loop().time()
         self.lines = 0
-        self._head_bytes: int | None = 0  # bytes of it so far
+        self._head_bytes: int | None = 0  # received so far; None after the head
         self.end_reason = "ended"
         self.ended: asyncio.Future[None] = asyncio.get_running_loop().create_future()
 
@@ -108,15 +108,16 @@
                 if self._head_bytes > MAX_HEAD_BYTES:
                     self.end("a head without end")
         except (httptools.HttpParserError, httptools.HttpParserUpgrade) as error:
-            # An exception in a callback comes wrapped; it says more than the wrapping.
+            # The parser wraps an exception of a callback, which says more than the wrapper.
             self.end(str(error.__context__ or error))
 
     def connection_lost(self, exc: Exception | None) -> None:
         self.end("ended")
 
-    def end(self, why: str) -> None:
+    def end(self, reason: str) -> None:
+        """End the watch and close its connection; the first reason given is kept."""
         if not self.ended.done():
-            self.end_reason = why
+            self.end_reason = reason
             self.ended.set_result(None)
         if self._transport is not None:
             self._transport.abort()
@@ -147,20 +148,21 @@
 
 
 class UpstreamListSink(Protocol):
-    """Whoever takes a list: a node, or what keeps the lists of several."""
+    """Receives the list of upstreams: a node, or a registry that serves several nodes."""
 
     clock: Clock
 
     def update_upstreams(
         self, kind: ListKind, rows: Iterable[tuple[Endpoint, Address]], version: int = 0
-    ) -> None: ...
+    ) -> None:
+        """Apply a complete list or changes; `version` is discovery's version of the list."""
 
 
 class Discovery:
-    """Keeps the watch.
+    """Keeps a watch on the list of upstreams.
 
-    Where lists are pushed it holds one from `start` on, and comes back to it by itself; the last list stays
-    in force meanwhile.  Where discovery is asked, the module says when, and hears of each failure.
+    If lists are pushed, it watches from `start` on and reconnects by itself; meanwhile the last list stays in
+    force.  If lists are fetched on request, the decision module starts each watch and is notified of its end.
     """
 
     def __init__(
@@ -168,22 +170,22 @@
     ) -> None:
         self._node, self._address, self._on_request, self._rng = node, address, on_request, rng
         self._version = 0
-        self._watching = False  # also between two watches, while the next is awaited
+        self._watching = False  # also while waiting to reconnect
         self._task: asyncio.Task[None] | None = None
         self._stream: _WatchStream | None = None
 
     def start(self, known: Any) -> None:
-        """Begin with the list as last held."""
+        """Start from the last list received, `known`; raises `InvalidEndpointList` if it is invalid."""
         self._version, _, rows = parse_endpoint_list(known)
         self._node.update_upstreams(ListKind.CACHED, rows, self._version)
         if not self._on_request:
             self.watch(True)
 
     def change_address(self, address: Address) -> None:
-        """Go on with another discovery.  The list and what was sent by it stay as they are.
+        """Continue with another discovery server; the present list stays in force.
 
-        Guards against versions that the new one counts anew, so that `after` would skip changes or wait
-        for a number that never comes: it is asked for the whole list.
+        The new server may count versions from the start, so that `after` would skip changes or wait for a
+        version that never comes.  It is therefore asked for the complete list.
         """
         if address == self._address:
             return
@@ -192,12 +194,14 @@
             self.watch(True)
 
     def watch(self, on: bool) -> None:
+        """Start a new watch, or end the present one."""
         self.close()
         self._watching = on
         if on:
             self._task = asyncio.get_running_loop().create_task(self._keep_watching())
 
     def close(self) -> None:
+        """End the watch."""
         self._watching = False
         if self._task is not None:
             self._task.cancel()
@@ -207,39 +211,40 @@
             self._stream = None
 
     def unreadable_line(self) -> None:
-        """A line could not be read: what it had to tell comes with the whole list, asked for next."""
+        """A line was invalid: the next watch asks for the complete list, which includes its changes."""
         self._version = 0
 
-    def apply(self, listed: Any) -> None:
-        index, whole, rows = parse_endpoint_list(listed)
-        self._version = index
-        self._node.update_upstreams(ListKind.FULL if whole else ListKind.CHANGES, rows, index)
+    def apply(self, message: Any) -> None:
+        """Pass on a list; raises `InvalidEndpointList` if it is invalid."""
+        version, complete, rows = parse_endpoint_list(message)
+        self._version = version
+        self._node.update_upstreams(ListKind.FULL if complete else ListKind.CHANGES, rows, version)
 
     async def _keep_watching(self) -> None:
         failures = 0
         while True:
-            begun = asyncio.get_running_loop().time()
-            why = await self._run_watch()
+            started_at = asyncio.get_running_loop().time()
+            reason = await self._run_watch()
             if self._on_request:
                 self._task, self._watching = None, False
-                log.info("discovery: %s; the module is told", why)
+                log.info("discovery: %s; the decision module is notified", reason)
                 self._node.update_upstreams(ListKind.BROKEN, ())
                 return
-            # At once after a watch that worked, so that no change waits; else later and later, and at
-            # random, so that not all balancers come back to a discovery that is just up again together.
-            lasted = asyncio.get_running_loop().time() - begun
-            failures = 0 if lasted >= STABLE_WATCH_S else failures + 1
-            wait = 0.0
+            # Reconnect at once after a watch that worked, so that no change is delayed; otherwise back off
+            # with jitter, so that not all balancers reconnect together to a discovery that has restarted.
+            duration_s = asyncio.get_running_loop().time() - started_at
+            failures = 0 if duration_s >= STABLE_WATCH_S else failures + 1
+            delay_s = 0.0
             if failures:
-                wait = min(MAX_BACKOFF_S, MIN_BACKOFF_S * 2.0 ** min(failures, 10)) * self._rng.uniform(
+                delay_s = min(MAX_BACKOFF_S, MIN_BACKOFF_S * 2.0 ** min(failures, 10)) * self._rng.uniform(
                     0.5, 1.0
                 )
             level = logging.WARNING if failures <= 1 else logging.INFO
-            log.log(level, "discovery: %s; again in %.2f s", why, wait)
-            await asyncio.sleep(wait)
+            log.log(level, "discovery: %s; reconnecting in %.2f s", reason, delay_s)
+            await asyncio.sleep(delay_s)
 
     async def _run_watch(self) -> str:
-        """One watch to its end; why it ended."""
+        """Run one watch to its end; returns the reason why it ended."""
         loop = asyncio.get_running_loop()
         host, port = self._address
         request = b"GET /v1/endpoints?watch=1&after=%d HTTP/1.1\r\nHost: %s:%d\r\n\r\n" % (
@@ -254,12 +259,14 @@
             return f"no connection: {error!r}"
         self._stream = stream
         while not stream.ended.done():
-            # Guards against a machine that is cut off: its connection stays open and says nothing.
-            limit = FIRST_LINE_TIMEOUT_S if self._on_request and not stream.lines else WATCH_SILENCE_TIMEOUT_S
-            left = stream.last_received_at + limit - loop.time()
-            if left <= 0:
+            # The connection to a partitioned machine stays open without sending anything.
+            silence_timeout_s = (
+                FIRST_LINE_TIMEOUT_S if self._on_request and not stream.lines else WATCH_SILENCE_TIMEOUT_S
+            )
+            remaining_s = stream.last_received_at + silence_timeout_s - loop.time()
+            if remaining_s <= 0:
                 stream.end("silent")
                 break
-            await asyncio.wait([stream.ended], timeout=left)
+            await asyncio.wait([stream.ended], timeout=remaining_s)
         self._stream = None
         return stream.end_reason
--- a/brackengate/net/environment.py
+++ b/brackengate/net/environment.py
@@ -1,4 +1,4 @@
-"""What an instance stands on: the machine that it runs on, or one that is emulated."""
+"""The runtime environment of an instance: event loop, clocks, sockets and random source, real or emulated."""
 
 from __future__ import annotations
 
@@ -17,29 +17,32 @@
 
 
 def monotonic_clock_us() -> int:
-    """Microseconds of the machine's clock that never steps."""
+    """Microseconds of the machine's monotonic clock."""
     return time.monotonic_ns() // 1000
 
 
 class NetworkBackend(Protocol):
-    """What connections to upstreams stand on, where that is not the machine itself."""
+    """Clock and sockets for connections to upstreams, in place of the machine's own."""
 
     def now(self) -> int:
-        """Microseconds of a clock that does not step."""
+        """Microseconds of a monotonic clock."""
 
     def socket(self, address: Address) -> socket.socket:
-        """One to connect to this address; OSError where none is to be had."""
+        """A new socket to connect to this address; raises OSError if none is available."""
 
 
 @dataclass(frozen=True, slots=True)
 class Environment:
+    """Event loop, random source, network and clocks of one instance."""
+
     loop: asyncio.AbstractEventLoop
-    rng: random.Random  # whence secrets and all other seeds are drawn
+    rng: random.Random  # source of secrets and of all other seeds
     network: NetworkBackend | None = None  # None: the machine's clock and sockets
-    clock: Clock | None = None  # of requests and deadlines; None: the machine's own
-    monotonic: Callable[[], int] = monotonic_clock_us  # microseconds; the same through all lives of a process
-    bind: Callable[[Address], socket.socket] = bind  # OSError where an address cannot be had
+    clock: Clock | None = None  # for requests and deadlines; None: the machine's own
+    monotonic: Callable[[], int] = monotonic_clock_us  # microseconds; continues across restarts
+    bind: Callable[[Address], socket.socket] = bind  # raises OSError if the address is not available
 
     @classmethod
     def for_this_machine(cls) -> Environment:
+        """The running event loop, the system's random source, and the machine's clocks and sockets."""
         return cls(asyncio.get_running_loop(), random.SystemRandom())
--- a/brackengate/net/http.py
+++ b/brackengate/net/http.py
@@ -1,4 +1,4 @@
-"""One caller's connection on a socket: carries out what its machine says."""
+"""One caller's connection on a socket, and the protocols between server, frontends and pipeline stages."""
 
 from __future__ import annotations
 
@@ -17,57 +17,58 @@
 from brackengate.net.observer import FlowCounter, FlowWatch
 from brackengate.net.sockets import READ_BUFFER
 
-MAX_BUFFERED_BODY_BYTES = MAX_UNSTREAMED_BYTES  # where a front takes bodies whole
-MAX_STREAMED_BODY_BYTES = 64 << 20  # where it takes them in pieces; they are said to hold 32 MB
-SEND_BUFFER_BYTES = (
-    128 << 10
-)  # the kernel's, for a long answer: else seconds pass before a slow reader is seen to read
-MAX_UNSENT_BYTES = 32 << 10  # of a long answer, what may wait here for its caller
-LINGER_RESET = struct.pack("ii", 1, 0)
-ANY_PATH = b"*"  # the front of every path that has none of its own
+MAX_BUFFERED_BODY_BYTES = MAX_UNSTREAMED_BYTES  # for frontends that need complete bodies
+MAX_STREAMED_BODY_BYTES = 64 << 20  # for frontends that stream them; bodies are specified as up to 32 MB
+# The kernel's send buffer for a streamed answer: with a larger one, seconds pass before a slow reader shows.
+SEND_BUFFER_BYTES = 128 << 10
+MAX_UNSENT_BYTES = 32 << 10  # of a streamed answer, in the transport's buffer
+LINGER_RESET = struct.pack("ii", 1, 0)  # SO_LINGER value that makes a close send a reset
+ANY_PATH = b"*"  # key of the frontend for paths without their own
 
 
 class Frontend(Protocol):
-    """What one path means: makes of a request one that the door takes, or answers it."""
+    """Handles the requests of one path: submits them to the pipeline or answers them."""
 
     max_body_bytes: int
-    """The longest body in bytes.  One of over MAX_BODY comes in pieces: then `IncomingRequest.stream` is
-    set."""
+    """The longest accepted body.  Bodies over MAX_BUFFERED_BODY_BYTES are streamed: `IncomingRequest.stream`
+    is set."""
 
     def begin(self, arrival: IncomingRequest, connection: CallerConnection) -> None:
         """Call `connection.submit` or `connection.respond` once, or raise `RequestError`."""
 
 
 class RequestStage(Protocol):
-    """Where fronts hand requests in: the node, or a stage before it."""
+    """A stage of the request pipeline, to which frontends submit requests: the node, or a stage before it."""
 
-    def submit(self, request: Request, message: Message, caller: Caller) -> None: ...
+    def submit(self, request: Request, message: Message, caller: Caller) -> None:
+        """Process a request; `caller` gets exactly one answer unless it disconnects."""
 
-    def client_disconnected(self, request: str, caller: Caller) -> None: ...
+    def client_disconnected(self, request: str, caller: Caller) -> None:
+        """The caller needs no answer to this request any more."""
 
 
 class InnerStage(RequestStage, Protocol):
-    """The node, or a stage before it, as the next stage out needs it."""
+    """A pipeline stage as seen by the stage in front of it."""
 
     classes: dict[str, RequestClass]
     clock: Clock
 
     def started(self, request: str) -> bool:
-        """Whether an attempt of it has been sent."""
+        """Whether an attempt of the request was sent."""
 
 
 class TerminalStage(InnerStage, Protocol):
-    """What stands behind all stages: one node, or one for each pool."""
+    """The last pipeline stage: one node, or one node for each pool."""
 
     def can_serve(self) -> bool:
-        """Whether an upstream is known that serves."""
+        """Whether at least one upstream serves."""
 
     def known(self, request: str) -> bool:
-        """Whether the id is in flight, or was of late."""
+        """Whether the id is in flight or was used recently."""
 
 
 class ConnectionServer(Protocol):
-    """The server, as its connections see it."""
+    """The server as its connections see it."""
 
     loop: asyncio.AbstractEventLoop
     node: TerminalStage
@@ -78,30 +79,32 @@
     flows: FlowWatch | None
     byte_budget: ByteBudget
 
-    def connection_closed(self, connection: CallerConnection) -> None: ...
+    def connection_closed(self, connection: CallerConnection) -> None:
+        """Called once the connection has ended."""
 
-    def recently_paused(self) -> bool: ...
+    def recently_paused(self) -> bool:
+        """Whether the process was paused a moment ago."""
 
-    def report_bad_request(self, bad: RequestError) -> None: ...
+    def report_bad_request(self, error: RequestError) -> None:
+        """Count and log a bad request."""
 
 
 class CallerConnection(asyncio.BufferedProtocol):
-    """One caller's connection.  Requests are served one at a time, in the order in which they came."""
+    """One caller's connection.  Executes the commands of its state machine.
+
+    Requests are served one at a time, in the order in which they arrive.
+    """
 
     def __init__(self, server: ConnectionServer) -> None:
         self._server, self._clock = server, server.node.clock
         self._loop = server.loop
         self.machine = machine.CallerMachine(self._clock.now(), self._max_body_bytes, server.single_headers)
         self._transport: asyncio.Transport | None = None
-        self.sock: socket.socket | None = None  # the transport's own gives no look at what is unread
-        self._on_caller_gone: Callable[[], None] | None = (
-            None  # while a request is held: whom to tell that it goes
-        )
-        self._streamed: _StreamedResponse | None = None  # the long answer that is being passed on
-        self._flow: FlowCounter | None = None  # where somebody looks on
-        self._flow_request: tuple[str, str, int] | None = (
-            None  # the same: class, tenant and time of what is held
-        )
+        self.sock: socket.socket | None = None  # the transport's socket object does not allow MSG_PEEK
+        self._on_caller_gone: Callable[[], None] | None = None  # set while an answer is owed
+        self._streamed: _StreamedResponse | None = None  # the answer that is being streamed
+        self._flow: FlowCounter | None = None  # if flows are observed
+        self._flow_request: tuple[str, str, int] | None = None  # class, tenant and start of its request
         self._peer = self.network = ""
         self._queued_commands: list[machine.Command] = []
         self._busy = False
@@ -109,19 +112,19 @@
     # --- for the server
 
     def has_unread_bytes(self) -> bool:
-        """Whether bytes lie in the kernel that the loop has not met yet."""
+        """Whether the kernel holds bytes that the event loop has not read yet."""
         if self.sock is None:
             return False
         try:
             return bool(self.sock.recv(1, socket.MSG_PEEK | socket.MSG_DONTWAIT))
-        except OSError:  # nothing there, or it has gone
+        except OSError:  # no bytes, or the connection has ended
             return False
 
     def closed_by_caller(self) -> bool:
-        """Whether the caller has left and the loop has not met that yet.
+        """Whether the caller has closed the connection and the event loop has not seen that yet.
 
-        Guards against a process that thaws and sends on what was given up while it was frozen.  Only then is
-        the kernel asked: a call of the system for each request has its price.
+        A process that resumes after a pause must not forward requests that were abandoned meanwhile.  Only
+        then is the kernel queried, to save a system call for each request.
         """
         if self.sock is None or not self._server.recently_paused():
             return False
@@ -133,9 +136,11 @@
             return True
 
     def close(self, at_once: bool = False) -> None:
+        """Close the connection; `at_once`: without sending buffered bytes."""
         self._execute_all(self.machine.close(self._clock.now(), at_once))
 
     def tick(self, now: int) -> None:
+        """Check the connection's timeouts; to be called a few times a second."""
         self._execute_all(self.machine.tick(now))
 
     # --- asyncio.Protocol
@@ -157,7 +162,7 @@
         self._execute_all(self.machine.received(bytes(READ_BUFFER[:nbytes]), self._clock.now()))
 
     def eof_received(self) -> bool:
-        return False  # a caller that ends its sending has gone away
+        return False  # a caller that closes its sending side has left
 
     def connection_lost(self, exc: Exception | None) -> None:
         if self._flow is not None and self._server.flows is not None:
@@ -177,10 +182,10 @@
             self._streamed.stream.set_paused(False)
         self._execute_all(self.machine.set_write_buffer_full(False, self._clock.now()))
 
-    # --- carrying out
+    # --- commands of the state machine
 
     def _execute_all(self, commands: list[machine.Command]) -> None:
-        """In order; what comes of one is done after those that were said with it."""
+        """Execute in order; commands caused by one of them run after the rest of this list."""
         if self._busy:
             self._queued_commands += commands
             return
@@ -216,18 +221,18 @@
             if command.arrival.stream is not None:
                 command.arrival.stream.truncate()
         elif isinstance(command, machine.CallerGone):
-            gone, self._on_caller_gone = self._on_caller_gone, None
-            out, self._streamed = self._streamed, None
-            if gone is not None:
-                gone()
-            if out is not None:
-                out.caller_gone()
+            on_gone, self._on_caller_gone = self._on_caller_gone, None
+            streamed, self._streamed = self._streamed, None
+            if on_gone is not None:
+                on_gone()
+            if streamed is not None:
+                streamed.caller_gone()
         elif isinstance(command, machine.ReportBadRequest):
             self._server.report_bad_request(command.error)
         elif isinstance(command, machine.ContinueLater):
             self._loop.call_soon(self._resume_parsing)
         elif transport is None:
-            return  # what is left is for a connection that has been made
+            return  # the remaining commands need an established connection
         elif isinstance(command, machine.Close):
             if command.reset and self.sock is not None:
                 self.sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, LINGER_RESET)
@@ -242,55 +247,60 @@
         self._execute_all(self.machine.resume(self._clock.now()))
 
     def _body_has_room(self) -> None:
-        """The body's reader has room again."""
+        """The reader of the request's body has room again."""
         self._execute_all(self.machine.set_body_paused(False, self._clock.now()))
 
     # --- requests
 
     def _dispatch(self, arrival: IncomingRequest) -> None:
         try:
-            front = self._frontend_for(arrival.target)
-            if front is None:
+            frontend = self._frontend_for(arrival.target)
+            if frontend is None:
                 raise RequestError(404, "path")
-            front.begin(arrival, self)
-        except RequestError as bad:
-            self._execute_all(self.machine.refuse(bad, self._clock.now(), self._server.draining))
+            frontend.begin(arrival, self)
+        except RequestError as error:
+            self._execute_all(self.machine.refuse(error, self._clock.now(), self._server.draining))
 
     def _frontend_for(self, target: bytes) -> Frontend | None:
-        fronts = self._server.frontends
-        return fronts.get(target.partition(b"?")[0]) or fronts.get(ANY_PATH)
+        frontends = self._server.frontends
+        return frontends.get(target.partition(b"?")[0]) or frontends.get(ANY_PATH)
 
     def _max_body_bytes(self, target: bytes) -> int:
-        front = self._frontend_for(target)
-        return front.max_body_bytes if front is not None else MAX_BUFFERED_BODY_BYTES
+        frontend = self._frontend_for(target)
+        return frontend.max_body_bytes if frontend is not None else MAX_BUFFERED_BODY_BYTES
 
     def peer(self) -> str:
-        """The caller's address, without its port; empty once it has gone."""
+        """The caller's address without the port; may be empty after it has disconnected."""
         if not self._peer and self._transport is not None:
-            name = self._transport.get_extra_info("peername")  # a call of the system, each time
-            self._peer = str(name[0]) if name else ""
+            address = self._transport.get_extra_info("peername")  # a system call each time
+            self._peer = str(address[0]) if address else ""
         return self._peer
 
     def submit(self, request: Request, message: Message, caller: Caller | None = None) -> None:
-        """A front's way on: `caller`, or this connection, gets the one answer."""
-        awaits = caller or self
+        """Submit a request to the pipeline; `caller`, or else this connection, gets the answer."""
+        recipient = caller or self
         if self._flow is not None:
             self._flow_request = (request.class_name, request.tenant, self._clock.now())
-        self._on_caller_gone = partial(self._server.stage.client_disconnected, request.request, awaits)
-        self._server.stage.submit(request, message, awaits)
+        self._on_caller_gone = partial(self._server.stage.client_disconnected, request.request, recipient)
+        self._server.stage.submit(request, message, recipient)
 
-    def expect_answer(self, gone: Callable[[], None]) -> None:
-        """A front that hands in by itself: `answer` is owed once, and `gone` is called if the caller goes."""
-        self._on_caller_gone = gone
+    def expect_answer(self, on_gone: Callable[[], None]) -> None:
+        """For frontends that process requests themselves: `answer` is to be called once.
+
+        `on_gone` is called instead if the caller disconnects first.
+        """
+        self._on_caller_gone = on_gone
 
     # --- answers
 
     def answer(self, reply: Reply) -> None:
-        """The one answer to the request that is held for this connection."""
+        """Send the answer to the present request of this connection."""
         self._on_caller_gone = None
         if self._flow_request is not None and self._flow is not None and self._server.flows is not None:
-            (name, tenant, at), self._flow_request = self._flow_request, None
-            self._server.flows.request(self._flow, name, tenant, reply.status, self._clock.now() - at)
+            (class_name, tenant, started_at), self._flow_request = self._flow_request, None
+            self._server.flows.request(
+                self._flow, class_name, tenant, reply.status, self._clock.now() - started_at
+            )
         if reply.stream is not None:
             self._start_streaming(reply, reply.stream)
         else:
@@ -306,7 +316,7 @@
         retry_after_us: int = 0,
         extra_headers: bytes = b"",
     ) -> None:
-        """Answer the request that is being served.  `extra_headers`: whole header lines."""
+        """Send a complete answer to the present request.  `extra_headers`: complete header lines."""
         draining = self._server.draining
         self._execute_all(
             self.machine.answer(
@@ -315,41 +325,43 @@
         )
 
     def _start_streaming(self, reply: Reply, stream: ResponseStream) -> None:
-        """Begin an answer whose rest comes in pieces."""
+        """Send the start of a streamed answer."""
         transport, now = self._transport, self._clock.now()
         draining = self._server.draining
-        head = self.machine.begin_answer(
+        commands = self.machine.begin_answer(
             now, stream.length, reply.content_type, reply.extra_headers, draining, reply.status
         )
-        if not head or transport is None or transport.is_closing():
+        if not commands or transport is None or transport.is_closing():
             return
         if self.sock is not None:
             self.sock.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, SEND_BUFFER_BYTES)
         transport.set_write_buffer_limits(high=MAX_UNSENT_BYTES)
         self._streamed = stream.sink = _StreamedResponse(self, stream, self._server.byte_budget)
-        self._execute_all(head)
+        self._execute_all(commands)
         self._streamed.write(reply.body)
 
     def send_piece(self, data: bytes) -> int:
-        """Write; how much of what was written waits here."""
+        """Write a piece of a streamed answer; returns the number of bytes in the transport's buffer."""
         if self._transport is None or self._transport.is_closing():
             return 0
         self._execute_all(self.machine.answer_piece(data))
         return self._transport.get_write_buffer_size()
 
     def finish_answer(self) -> None:
+        """End a streamed answer after its last piece."""
         self._streamed = None
         if self._transport is not None and not self._transport.is_closing():
             self._transport.set_write_buffer_limits()
         self._execute_all(self.machine.end_answer(self._clock.now()))
 
     def cut_answer(self) -> None:
+        """End a streamed answer that will not be complete, by closing the connection."""
         self._streamed = None
         self._execute_all(self.machine.abort_answer(self._clock.now()))
 
 
 class _StreamedResponse:
-    """A long answer on its way to its caller, and what it holds of the process's bound."""
+    """A streamed answer on its way to the caller; its unsent bytes count in the byte budget."""
 
     def __init__(self, connection: CallerConnection, stream: ResponseStream, budget: ByteBudget) -> None:
         self._connection, self.stream, self._budget = connection, stream, budget
@@ -359,9 +371,7 @@
         self._set_held_bytes(self._connection.send_piece(data))
 
     def finish(self) -> None:
-        self._set_held_bytes(
-            0
-        )  # what still waits is no stream's any more, and bounded by OUT_AHEAD and a piece
+        self._set_held_bytes(0)  # bytes still unsent are bounded by MAX_UNSENT_BYTES and one piece
         self._connection.finish_answer()
 
     def truncate(self) -> None:
@@ -369,10 +379,11 @@
         self._connection.cut_answer()
 
     def drained(self) -> None:
-        """Its caller has taken what waited, or nearly."""
+        """The caller has read all buffered bytes, or nearly all."""
         self._set_held_bytes(0)
 
     def caller_gone(self) -> None:
+        """The caller has disconnected: stop reading the response."""
         self._set_held_bytes(0)
         self.stream.abandon()
 
--- a/brackengate/net/metrics.py
+++ b/brackengate/net/metrics.py
@@ -1,4 +1,4 @@
-"""The figures of one process, by an observer: what every page that shows figures reads."""
+"""Request metrics of one process, collected by an observer and read by every status page."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 
 class ResultKind(Enum):
-    """How a request ended, as far as its caller is concerned."""
+    """How a request ended from its caller's point of view."""
 
     SERVED = "success"
     BUSY = "busy"
@@ -18,7 +18,7 @@
 
 
 def result_kind(status: int) -> ResultKind | None:
-    """The one place that says what counts as what; None: nobody was there to have an answer."""
+    """The result that a status counts as; None for status 0, when the caller had disconnected."""
     if status == 0:
         return None
     if status == 200:
@@ -27,21 +27,21 @@
 
 
 class RequestMetrics:
-    """Counts from the start of the process.  Bounded by classes and statuses."""
+    """Counters since the start of the process.  Their number is bounded by classes and statuses."""
 
     def __init__(self) -> None:
         self.started_total = 0
         self.ended_total = 0
-        self.attempts_written = 0  # whole, to upstreams; probes are none
+        self.attempts_written = 0  # completely written to upstreams; without probes
         self.requests_by_status: Counter[tuple[str, int]] = Counter()
 
     @property
     def inflight(self) -> int:
-        """Requests taken and not ended."""
+        """Requests that were accepted and have not ended."""
         return self.started_total - self.ended_total
 
     def count_by_result(self, classes: Iterable[str]) -> dict[tuple[ResultKind, str], int]:
-        """By kind and class, with a zero for what has not happened."""
+        """Requests by result and class, with zeros for combinations that have not occurred."""
         counts = {(kind, name): 0 for kind in ResultKind for name in classes}
         for (name, status), count in self.requests_by_status.items():
             kind = result_kind(status)
--- a/brackengate/net/node.py
+++ b/brackengate/net/node.py
@@ -1,4 +1,4 @@
-"""One balancer: feeds events to the decision module and carries out its actions.  Decides nothing."""
+"""The node: passes events to the decision module and executes its actions.  It makes no decisions itself."""
 
 from __future__ import annotations
 
@@ -47,127 +47,140 @@
 log = logging.getLogger(__name__)
 
 PROBE_REQUEST = b"GET /status/load HTTP/1.1\r\nHost: %s\r\n\r\n"
-PROBE_TIMEOUT_FRACTION = 0.25  # of the connect time-out: word that takes longer says nothing of the present
-MAX_RECENT_IDS = 1024  # ids
+PROBE_TIMEOUT_FRACTION = 0.25  # of the connect timeout; a later load report would be out of date
+MAX_RECENT_IDS = 1024
 
 NOT_EXECUTED = (Outcome.REJECTED, Outcome.CONNECT_FAILED, Outcome.NOT_SENT)
 STATUS_UNAVAILABLE, STATUS_BAD_GATEWAY, STATUS_GATEWAY_TIMEOUT, STATUS_INTERNAL_ERROR = 503, 502, 504, 500
 
 
 class Clock:
-    """Whole microseconds of Unix time, as at the start, carried on by the monotonic clock.
+    """Unix time in whole microseconds, read once at the start and advanced by the monotonic clock.
 
-    Guards against steps of the wall clock: deadlines must not move, and an upstream's `since_ms` must give
-    the same start from row to row, or each row would look like a restart.
+    It is not affected by steps of the wall clock: deadlines must not move, and an upstream's `since_ms` must
+    give the same start time in each row, or each row would look like a restart.
     """
 
     def __init__(self) -> None:
         self._offset = time.time_ns() // 1000 - time.monotonic_ns() // 1000
 
     def now(self) -> int:
+        """Microseconds since the Unix epoch."""
         return self._offset + time.monotonic_ns() // 1000
 
 
 @dataclass(slots=True)
 class Reply:
-    """The one answer to a request, on its way to whoever asked."""
+    """The answer to a request, on its way to the caller."""
 
     status: int
     body: bytes = b""
     content_type: bytes = b""
-    retry_after_us: int = 0  # microseconds; 0: nothing is said
-    possible_executions: Sequence[
-        Earlier
-    ] = ()  # of one that was not served: where an upstream may have executed it
+    retry_after_us: int = 0  # 0: no Retry-After header
+    possible_executions: Sequence[Earlier] = ()  # attempts of a failed request that may have been executed
     extra_headers: bytes = b""  # whole header lines
-    stream: ResponseStream | None = None  # what follows `body`, for a caller that sets its `sink`
+    stream: ResponseStream | None = None  # the rest of the body, for a caller that sets the stream's `sink`
 
 
 class Caller(Protocol):
-    """The callers' side of a request: takes one answer."""
+    """The sender of a request, which receives one answer."""
 
-    def answer(self, reply: Reply) -> None: ...
+    def answer(self, reply: Reply) -> None:
+        """Take the answer."""
 
 
 class DecisionModule(Protocol):
     """`brackengate.brain.Balancer`, or a script in its place in tests of the host."""
 
-    def handle(self, now: int, event: Event) -> list[Action]: ...
+    def handle(self, now: int, event: Event) -> list[Action]:
+        """Process one event at clock time `now` in microseconds; returns the actions to execute."""
 
 
 class DiscoveryWatch(Protocol):
-    """Discovery's side: starts or ends the watch."""
+    """Starts and ends the watch on discovery's list."""
 
-    def watch(self, on: bool) -> None: ...
+    def watch(self, on: bool) -> None:
+        """Start the watch, or end it."""
 
 
 @dataclass(slots=True)
 class ClientInfo:
-    """Whence a request came, where a stage at the door asks."""
+    """Who sent a request, for the pipeline stages that need it."""
 
     client: str
-    address: str  # without its port
-    queue_token: bytes = b""  # the token of a place that it comes to
+    address: str  # without the port
+    queue_token: bytes = b""  # of a queue place that the request claims
 
 
 @dataclass(slots=True)
 class Message:
-    """What goes on to an upstream: the head up to its last header, and the body."""
+    """The HTTP message to send to an upstream: the head up to its last header, and the body."""
 
     head: bytes
     body: bytes
     key: bytes = b""  # its Idempotency-Key
-    client: str | None = None  # who sent it, where that is declared
+    client: str | None = None  # the sender's name, if known
     client_info: ClientInfo | None = None
-    operation_count: int = 1  # operations in it
-    route: object = None  # what its front's router chose, where there is one
-    stream: Body | None = None  # in place of `body`: it is still coming
-    stream_response: bool = False  # whether its answer may be passed on as it comes
-    call_id: bytes = b""  # the id that answers to it bear
-    still_wanted: Callable[[], bool] = (
-        always_true  # False: its caller has left, though nobody has said so yet
-    )
+    operation_count: int = 1
+    route: object = None  # chosen by the frontend's router, if there is one
+    stream: Body | None = None  # replaces `body` while the body is still being received
+    stream_response: bool = False  # whether the response may be streamed to the caller
+    call_id: bytes = b""  # the id that responses to it carry
+    still_wanted: Callable[[], bool] = always_true  # False: the caller has left without being noticed yet
 
     def payload(self, remaining_ms: int, upstream: str, number: int) -> bytes:
-        """What is written for an attempt, up to a body that is still coming."""
+        """The bytes to write for an attempt, without a body that is still being received."""
         return b"%sX-Remaining-Ms: %d\r\n\r\n%s" % (self.head, remaining_ms, self.body)
 
 
 class ReplyFormat(Protocol):
-    """What a node says to its callers: by default the platform's words."""
+    """Builds the answers of a node to its callers."""
 
-    def success(self, result: Result) -> Reply: ...
+    def success(self, result: Result) -> Reply:
+        """The answer for a complete successful response."""
 
     def streaming(self, head: UpstreamResponse) -> Reply:
-        """Of a long answer, with the first bytes of its body."""
+        """The start of a streamed answer, with the first bytes of its body."""
+
+    def failure(
+        self, status: int, retry_after_us: int, last: Result | None, possible_executions: Sequence[Earlier]
+    ) -> Reply:
+        """The answer for a failed request.
 
-    def failure(self, status: int, retry_after: int, last: Result | None, ran: Sequence[Earlier]) -> Reply:
-        """`last`: the last whole answer that was no success, where there was one."""
+        `retry_after_us` in microseconds; `last`: the last complete response that was not successful, if any;
+        `possible_executions`: the attempts that may have been executed.
+        """
 
 
 class PlainReplyFormat:
+    """The platform's answers: a failure has a status and no body."""
+
     def success(self, result: Result) -> Reply:
         return Reply(200, result.body, result.content_type)
 
     def streaming(self, head: UpstreamResponse) -> Reply:
         return Reply(200, head.body, head.fields.get(b"content-type", b""))
 
-    def failure(self, status: int, retry_after: int, last: Result | None, ran: Sequence[Earlier]) -> Reply:
-        return Reply(status, retry_after_us=retry_after, possible_executions=ran)
+    def failure(
+        self, status: int, retry_after_us: int, last: Result | None, possible_executions: Sequence[Earlier]
+    ) -> Reply:
+        return Reply(status, retry_after_us=retry_after_us, possible_executions=possible_executions)
 
 
 @dataclass(slots=True, eq=False)
 class Attempt:
+    """One try of a request, or a probe, at one upstream."""
+
     endpoint: Endpoint
     sent_at: int
     job: Job | None = None
     timer: Timer | None = None
-    outcome: Outcome | None = None  # None: still out
+    outcome: Outcome | None = None  # None: still in flight
 
 
 @dataclass(slots=True, eq=False)
 class Exchange:
-    """One request, from its last byte until its answer and the last outcome of its attempts."""
+    """One request, from its arrival until it is answered and all its attempts have ended."""
 
     id: str
     request: Request
@@ -178,25 +191,27 @@
     deadline_timer: Timer | None = None
     attempts: list[Attempt] = field(default_factory=list)
     in_flight: int = 0
-    answered: bool = False  # it has had its answer, or the beginning of it
-    streaming_attempt: Attempt | None = None  # whose answer is being passed on
+    answered: bool = False  # completely or in part
+    streaming_attempt: Attempt | None = None  # the attempt whose response is being streamed
     sink: ResponseSink | None = None
-    start_reported: bool = False  # the observer has heard that it was taken
-    last_failure: Result | None = None  # with the last answer that was no success
+    start_reported: bool = False  # the observer was notified of its start
+    last_failure: Result | None = None  # with the last response that was not successful
 
     @property
     def body_incomplete(self) -> bool:
-        """Whether its body is still coming."""
+        """Whether its body is still being received."""
         stream = self.message.stream
         return stream is not None and not stream.complete
 
     def possible_executions(self) -> list[Earlier]:
-        """Where it may have run, with what its request said of earlier ones."""
-        mine = [Earlier(a.endpoint, a.sent_at) for a in self.attempts if a.outcome not in NOT_EXECUTED]
-        return [*self.request.earlier, *mine]
+        """Attempts that may have been executed, including the earlier ones that the request reported."""
+        here = [Earlier(a.endpoint, a.sent_at) for a in self.attempts if a.outcome not in NOT_EXECUTED]
+        return [*self.request.earlier, *here]
 
 
 class Node:
+    """Connects callers, upstreams, discovery and timers to one decision module."""
+
     def __init__(
         self,
         loop: asyncio.AbstractEventLoop,
@@ -232,43 +247,50 @@
             WatchList: self._watch_list,
         }
 
-    # --- what comes in
+    # --- state and input
 
     def can_serve(self) -> bool:
+        """Whether at least one upstream serves."""
         return bool(self._serving)
 
     def serving_count(self) -> int:
-        """Upstreams that the list says serve."""
+        """The number of upstreams that serve according to the list."""
         return len(self._serving)
 
     def upstream_count(self) -> int:
-        """Upstreams in the list, those that drain too."""
+        """The number of upstreams in the list, including draining ones."""
         return len(self._rows)
 
     def pending_count(self) -> int:
-        """Requests that still await their answer."""
+        """The number of requests that are not completely answered."""
         return sum(
-            1 for one in self._exchanges.values() if not one.answered or one.streaming_attempt is not None
+            1
+            for exchange in self._exchanges.values()
+            if not exchange.answered or exchange.streaming_attempt is not None
         )
 
     def unfinished_count(self) -> int:
-        """Requests that still have something of them here: an answer to come, or an attempt that runs."""
+        """The number of requests that are not answered or have attempts in flight."""
         return len(self._exchanges)
 
     def in_flight(self, request: str) -> bool:
+        """Whether the request is not answered or has attempts in flight."""
         return request in self._exchanges
 
     def started(self, request: str) -> bool:
-        """Whether an attempt of it has been sent, by its request's own word or here."""
+        """Whether an attempt of the request was sent, here or earlier by the caller's own report."""
         exchange = self._exchanges.get(request)
         return exchange is not None and bool(exchange.attempts or exchange.request.earlier)
 
     def known(self, request: str) -> bool:
-        """Whether the id is in flight, or was of late."""
+        """Whether the id is in flight or was used recently."""
         return request in self._exchanges or request in self._recent_ids
 
     def submit(self, request: Request, message: Message, caller: Caller) -> None:
-        """Take a request; `caller` gets exactly one answer, by the deadline, unless `gone` is called."""
+        """Accept a request.
+
+        `caller` gets exactly one answer, by the deadline, unless `client_disconnected` is called.
+        """
         now = self.clock.now()
         exchange = Exchange(request.request, request, caller, message, request.deadline, now)
         self._exchanges[request.request] = exchange
@@ -282,7 +304,7 @@
         self._post(request, now)
 
     def _request_complete(self, exchange: Exchange, now: int) -> None:
-        """Its last byte has come: it counts, and its time begins."""
+        """The request's last byte was received: it is counted, and its deadline timer starts."""
         self._report_started(exchange)
         exchange.deadline_timer = self._timers.schedule(
             exchange.deadline, partial(self._overdue, exchange), now
@@ -294,7 +316,7 @@
             self.observer.taken(exchange.request, exchange.began_at)
 
     def _body_ended(self, exchange: Exchange) -> None:
-        """The body of an open request is whole, or cut."""
+        """The body of a request that was submitted early is complete or was truncated."""
         stream = exchange.message.stream
         if exchange.answered or stream is None:
             return
@@ -311,7 +333,7 @@
         self._post(RequestWhole(exchange.id, exchange.deadline))
 
     def client_disconnected(self, request: str, caller: Caller) -> None:
-        """The caller has closed its connection: nobody awaits the answer any more."""
+        """The caller has closed its connection: the request needs no answer any more."""
         exchange = self._exchanges.get(request)
         if exchange is not None and exchange.caller is caller and not exchange.answered:
             self._close(exchange, 0)
@@ -320,11 +342,11 @@
     def update_upstreams(
         self, kind: ListKind, rows: Iterable[tuple[Endpoint, Address]], version: int = 0
     ) -> None:
-        """Take discovery's word on the list of upstreams."""
-        rows, served = list(rows), bool(self._serving)
+        """Apply a complete list of upstreams or changes to it, and notify the decision module."""
+        rows, was_serving = list(rows), bool(self._serving)
         if kind in (ListKind.FULL, ListKind.CACHED):
-            named = {row.upstream for row, _ in rows}
-            for name in [name for name in self._addresses if name not in named]:
+            listed = {row.upstream for row, _ in rows}
+            for name in [name for name in self._addresses if name not in listed]:
                 self._remove_upstream(name)
         for row, address in rows:
             name = row.upstream
@@ -340,17 +362,17 @@
             else:
                 self._serving.discard(name)
         self._post(UpstreamList(kind, tuple(row for row, _ in rows), version))
-        if self.observer is not None and bool(self._serving) is not served:
-            self.observer.serving(not served)
+        if self.observer is not None and bool(self._serving) is not was_serving:
+            self.observer.serving(not was_serving)
 
     def post_event(self, event: Event) -> None:
-        """Word for the module that is neither of requests nor of the list."""
+        """Pass the decision module an event that concerns neither a request nor the list."""
         self._post(event)
 
     def retire(self) -> None:
-        """No upstream any more, and none to come.
+        """Remove all upstreams for good.
 
-        What waits gets its answer now, what is out when its attempt ends; the module says which.
+        The decision module answers waiting requests now, and those in flight when their attempts end.
         """
         for name in list(self._addresses):
             self._remove_upstream(name)
@@ -362,14 +384,14 @@
         self._serving.discard(name)
         self._pool.close_idle(name)
 
-    # --- the module
+    # --- the decision module
 
     def _post(self, event: Event, now: int = 0) -> None:
-        """Hand an event to the module, after those before it.
+        """Pass an event to the decision module, after those queued before it.
 
-        Guards against recursion: an outcome found while an action is carried out waits until all actions
-        of the present event are done, as the module would be entered a second time otherwise.  `now`: where
-        the clock has just been read.
+        An outcome that occurs while an action is executed is queued until all actions of the present event
+        are done: the decision module must not be entered recursively.  `now`: the clock time, if it was just
+        read.
         """
         if self._handling:
             self._events.append(event)
@@ -403,7 +425,7 @@
     def _send(self, action: Send) -> None:
         exchange = self._exchanges.get(action.request)
         if exchange is None:
-            log.error("the module sent a request that is not held: %s", action.request)
+            log.error("the decision module sent an unknown request: %s", action.request)
             self._post(AttemptEnded(action.request, 0, action.upstream, Outcome.NOT_SENT, 0, True))
             return
         now = self.clock.now()
@@ -413,22 +435,22 @@
         exchange.in_flight += 1
         if self.observer is not None:
             self.observer.attempt_began(exchange.request, number, action.upstream, now)
-        message, opened = exchange.message, exchange.body_incomplete
+        message, body_incomplete = exchange.message, exchange.body_incomplete
         until = min(action.until, exchange.deadline) if action.until > 0 else exchange.deadline
         address = self._addresses.get(action.upstream)
         finish = partial(self._attempt_ended, exchange, number, attempt)
-        late = until <= now and not opened
-        again = message.stream is None or message.stream.replayable
-        stopped = exchange.answered or late or not again or number >= self._settings.max_attempts
-        if stopped or address is None or not message.still_wanted():
+        overdue = until <= now and not body_incomplete
+        replayable = message.stream is None or message.stream.replayable
+        not_sendable = exchange.answered or overdue or not replayable or number >= self._settings.max_attempts
+        if not_sendable or address is None or not message.still_wanted():
             finish(Result(Outcome.NOT_SENT))
             return
-        remaining = exchange.deadline - exchange.began_at if opened else until - now
+        remaining = exchange.deadline - exchange.began_at if body_incomplete else until - now
         payload = message.payload(max(1, remaining // 1000), action.upstream, number)
-        wrote = None
+        on_written = None
         if self.observer is not None:
-            wrote = partial(self.observer.attempt_written, exchange.request, number, action.upstream)
-        begun = (
+            on_written = partial(self.observer.attempt_written, exchange.request, number, action.upstream)
+        on_streaming = (
             partial(self._response_started, exchange, number, attempt) if message.stream_response else None
         )
         attempt.job = self._pool.start(
@@ -436,19 +458,22 @@
             address,
             payload,
             finish,
-            on_written=wrote,
+            on_written=on_written,
             body=message.stream,
-            on_streaming=begun,
+            on_streaming=on_streaming,
             call_id=message.call_id,
             still_wanted=partial(self._still_wanted, exchange, until),
         )
-        if not opened:
+        if not body_incomplete:
             attempt.timer = self._timers.schedule(until, partial(self._attempt_timed_out, attempt), now)
 
     def _still_wanted(self, exchange: Exchange, until: int) -> bool:
-        """Whether what waited for a connection is still to be sent: the process may have stood still."""
-        late = not exchange.body_incomplete and self.clock.now() >= max(until, exchange.deadline)
-        return not late and exchange.message.still_wanted()
+        """Whether an attempt that waited for a connection is still to be sent.
+
+        The process may have been paused meanwhile, so that its deadline has passed or its caller has left.
+        """
+        overdue = not exchange.body_incomplete and self.clock.now() >= max(until, exchange.deadline)
+        return not overdue and exchange.message.still_wanted()
 
     def _response_started(
         self,
@@ -458,7 +483,10 @@
         head: UpstreamResponse,
         stream: ResponseStream,
     ) -> ResponseSink | None:
-        """The first bytes of a long answer: from here on it is the request's, and there is no way back."""
+        """Start to stream a response to the caller; the request cannot be retried from here on.
+
+        Returns None if the request was already answered.
+        """
         if exchange.answered:
             return None
         exchange.answered, exchange.streaming_attempt = True, attempt
@@ -478,7 +506,7 @@
 
     def _attempt_timed_out(self, attempt: Attempt) -> None:
         job = attempt.job
-        if job is not None:  # what was never wholly written can't have run
+        if job is not None:  # an attempt that was not completely written cannot have been executed
             job.give_up(Outcome.TIMEOUT if job.written else Outcome.CONNECT_FAILED)
 
     def _attempt_ended(self, exchange: Exchange, number: int, attempt: Attempt, result: Result) -> None:
@@ -524,12 +552,12 @@
         self._post(ended, now)
 
     def _stream_ended(self, exchange: Exchange, outcome: Outcome) -> None:
-        """The rest of an answer is out, or will not come.  One whose caller has left counts under none."""
+        """A streamed response ended or was cut off; it is reported with status 0 if the caller had left."""
         sink, exchange.sink, exchange.streaming_attempt = exchange.sink, None, None
-        whole = outcome is Outcome.OK
-        self._close(exchange, 200 if whole else 0 if outcome is Outcome.CANCELLED else STATUS_BAD_GATEWAY)
+        complete = outcome is Outcome.OK
+        self._close(exchange, 200 if complete else 0 if outcome is Outcome.CANCELLED else STATUS_BAD_GATEWAY)
         if sink is not None:
-            (sink.finish if whole else sink.truncate)()
+            (sink.finish if complete else sink.truncate)()
 
     def _cancel(self, action: CancelAttempt) -> None:
         exchange = self._exchanges.get(action.request)
@@ -541,10 +569,13 @@
     # --- answers
 
     def _close(self, exchange: Exchange, status: int, now: int = 0) -> None:
-        """The only place that ends a request: after it no answer is given.  `status` is for the observer."""
+        """End a request: no answer is given after this.  `status` is reported to the observer.
+
+        Every request ends here and nowhere else.
+        """
         exchange.answered = True
         if not exchange.start_reported and status:
-            self._report_started(exchange)  # answered before its body was there
+            self._report_started(exchange)  # answered before its body was complete
         if self.observer is not None and exchange.start_reported:
             self.observer.ended(exchange.request, status, exchange.began_at, now or self.clock.now())
         self._recent_ids[exchange.id] = None
@@ -557,7 +588,7 @@
             self._exchanges.pop(exchange.id, None)
 
     def _release_body(self, exchange: Exchange) -> None:
-        """Nobody will send its body any more: what was not written whole never will be, and has not run."""
+        """Discard the body, and end the attempts that have not sent all of it: they cannot have executed."""
         if exchange.message.stream is None:
             return
         exchange.message.stream.truncate()
@@ -571,20 +602,20 @@
     def _fail(self, action: Fail) -> None:
         self._finish(action.request, STATUS_BAD_GATEWAY, 0)
 
-    def _finish(self, request: str, status: int, retry_after: int) -> None:
+    def _finish(self, request: str, status: int, retry_after_us: int) -> None:
         exchange = self._exchanges.get(request)
         if exchange is not None and not exchange.answered:
             self._close(exchange, status)
-            left = exchange.deadline - self.clock.now()
-            log.debug("%s: answered %d, %d us before its deadline", request, status, left)
+            remaining_us = exchange.deadline - self.clock.now()
+            log.debug("%s: answered %d, %d us before its deadline", request, status, remaining_us)
             exchange.caller.answer(
                 self._reply_format.failure(
-                    status, retry_after, exchange.last_failure, exchange.possible_executions()
+                    status, retry_after_us, exchange.last_failure, exchange.possible_executions()
                 )
             )
 
     def _overdue(self, exchange: Exchange) -> None:
-        """The deadline, with no answer from the module: the caller still gets its one answer in time."""
+        """The deadline passed without an answer from the decision module: answer the caller in time."""
         if not exchange.answered:
             self._close(exchange, STATUS_GATEWAY_TIMEOUT)
             exchange.caller.answer(
@@ -592,7 +623,7 @@
             )
             self._post(ClientGone(exchange.id))
 
-    # --- the rest
+    # --- timers, probes and the watch
 
     def _set_timer(self, action: SetTimer) -> None:
         fired = TimerFired(action.token)
@@ -625,7 +656,7 @@
         if load is None and outcome is Outcome.OK:
             load = parse_load_report(result.body.decode("latin-1"))
             if load is None and result.body.strip():
-                outcome = Outcome.ERROR  # the module would take no word for 'idle'
+                outcome = Outcome.ERROR  # the decision module would take a missing report as idle
         latency = self.clock.now() - attempt.sent_at
         if outcome is not Outcome.OK:
             log.debug("probe of %s: %s, %d us", attempt.endpoint.upstream, outcome, latency)
--- a/brackengate/net/observer.py
+++ b/brackengate/net/observer.py
@@ -1,4 +1,4 @@
-"""What the node tells those who only look on: counters, flow export, traces."""
+"""Protocols for observers of a node: counters, flow export, traces."""
 
 from __future__ import annotations
 
@@ -8,43 +8,53 @@
 
 
 class Observer(Protocol):
-    """Telling never waits and costs one check where nobody listens.  Implementations must not raise."""
+    """Notified of requests and attempts.
+
+    Notifications never block, and cost one check if there is no observer.  Implementations must not raise.
+    """
 
     def serving(self, now: bool) -> None:
-        """Whether at least one upstream serves has changed."""
+        """`now`: whether at least one upstream serves; called when this changes."""
 
     def taken(self, request: Request, at: int) -> None:
-        """A request was handed in, at this clock time in microseconds."""
+        """A request was accepted at clock time `at`, in microseconds."""
 
     def ended(self, request: Request, status: int, began: int, at: int) -> None:
-        """It has had its answer; status 0: its caller had gone."""
+        """A request was answered, with status 0 if its caller had disconnected; times in microseconds."""
 
-    def attempt_began(self, request: Request, number: int, upstream: str, at: int) -> None: ...
+    def attempt_began(self, request: Request, number: int, upstream: str, at: int) -> None:
+        """An attempt of a request, counted from 0, was started."""
 
     def attempt_written(self, request: Request, number: int, upstream: str) -> None:
-        """Its last byte is with the kernel: from here on it may run."""
+        """The attempt's last byte was passed to the kernel: from here on the upstream may execute it."""
 
     def attempt_ended(
         self, request: Request, number: int, upstream: str, outcome: Outcome, latency: int
-    ) -> None: ...
+    ) -> None:
+        """An attempt ended; `latency` in microseconds from its start."""
 
 
 class FlowCounter(Protocol):
-    """One connection's figures; each call adds numbers and nothing else."""
+    """Byte counters of one connection; its methods only add numbers."""
 
-    def received(self, octets: int) -> None: ...
+    def received(self, octets: int) -> None:
+        """Count bytes received."""
 
-    def sent(self, octets: int) -> None: ...
+    def sent(self, octets: int) -> None:
+        """Count bytes sent."""
 
 
 class FlowWatch(Protocol):
-    """Hears of connections.  The flow that it gives at the beginning is handed back with what comes later."""
+    """Notified of connections.  The flow that it returns first is passed to the later notifications."""
 
-    def client(self, local: object, peer: object) -> Any: ...
+    def client(self, local: object, peer: object) -> Any:
+        """A client connected; returns the connection's flow."""
 
-    def upstream(self, local: object, peer: object) -> Any: ...
+    def upstream(self, local: object, peer: object) -> Any:
+        """A connection to an upstream was opened; returns its flow."""
 
     def request(self, flow: Any, class_name: str, tenant: str, status: int, took_us: int) -> None:
-        """A request on a client's connection has had its answer."""
+        """A request on a client's connection was answered after `took_us` microseconds."""
 
-    def ended(self, flow: Any, broken: bool) -> None: ...
+    def ended(self, flow: Any, broken: bool) -> None:
+        """The connection was closed; `broken`: by an error."""
--- a/brackengate/net/sockets.py
+++ b/brackengate/net/sockets.py
@@ -1,4 +1,4 @@
-"""The process's budget of sockets, and addresses."""
+"""Socket addresses, listening sockets and the process's budget of sockets."""
 
 from __future__ import annotations
 
@@ -7,14 +7,17 @@
 from collections.abc import Callable
 
 Address = tuple[str, int]
-READ_BYTES = 64 << 10  # bytes read at once
+READ_BYTES = 64 << 10  # read at once
 READ_BUFFER = memoryview(
     bytearray(READ_BYTES)
-)  # each read is copied out of it before the next: one serves all
+)  # shared by all connections: each read is copied out before the next
 
 
 def parse_address(text: str) -> Address:
-    """Split `host:port` or `[host]:port`; the platform has no DNS, so the host is numeric."""
+    """Split `host:port` or `[host]:port`; the platform has no DNS, so the host is numeric.
+
+    Raises ValueError if the text has another form.
+    """
     host, colon, port = text.rpartition(":")
     if not colon or not host or not (port.isascii() and port.isdigit()) or int(port) > 65535:
         raise ValueError(f"not an address of the form host:port: {text[:80]!r}")
@@ -22,7 +25,7 @@
 
 
 def bind(address: Address) -> socket.socket:
-    """A TCP socket bound to an address, not listening yet; OSError where it cannot be had."""
+    """A TCP socket bound to an address, not listening yet; raises OSError if that fails."""
     family = socket.AF_INET6 if ":" in address[0] else socket.AF_INET
     sock = socket.socket(family, socket.SOCK_STREAM | socket.SOCK_NONBLOCK)
     try:
@@ -35,7 +38,10 @@
 
 
 def inherited_listener(descriptor: int) -> socket.socket:
-    """An inherited TCP socket; OSError where the descriptor is closed, a file or does not listen."""
+    """An inherited listening TCP socket.
+
+    Raises OSError if the descriptor is closed, is no TCP socket or does not listen.
+    """
     sock = socket.socket(fileno=os.dup(descriptor))
     try:
         if sock.type != socket.SOCK_STREAM or sock.family not in (socket.AF_INET, socket.AF_INET6):
@@ -50,7 +56,7 @@
 
 
 def bind_datagrams(address: Address) -> socket.socket:
-    """A UDP socket bound to an address, that blocks; OSError where it cannot be had."""
+    """A blocking UDP socket bound to an address; raises OSError if that fails."""
     sock = socket.socket(socket.AF_INET6 if ":" in address[0] else socket.AF_INET, socket.SOCK_DGRAM)
     try:
         sock.bind(address)
@@ -63,27 +69,28 @@
 class SocketBudget:
     """Counts callers' and upstreams' sockets together.
 
-    Guards against EMFILE: at the limit of descriptors an accept or a connect would fail for want of a
-    number, so idle connections make room before that.
+    At the limit of file descriptors an accept or connect would fail with EMFILE, so idle connections are
+    closed before that limit is reached.
     """
 
     def __init__(self, limit: int, used_elsewhere: Callable[[], int] = lambda: 0) -> None:
-        """`used_elsewhere`: what other processes hold under the same limit."""
+        """`used_elsewhere`: sockets that other processes hold under the same limit."""
         self.limit = limit
         self.in_use = 0
         self._used_elsewhere = used_elsewhere
-        self.refused_by_own_limit = False  # whether the last refusal was by a bound on one user alone
+        self.refused_by_own_limit = False  # whether the last refusal was by the limit of one user alone
         self._evictors: list[Callable[[], bool]] = []
 
     def add_evictor(self, evict: Callable[[], bool]) -> None:
-        """Register a way to close one idle socket; those registered first are asked first."""
+        """Register a function that closes one idle socket; they are tried in the order of registration."""
         self._evictors.append(evict)
 
     def remove_evictor(self, evict: Callable[[], bool]) -> None:
+        """Remove a function registered with `add_evictor`."""
         self._evictors.remove(evict)
 
     def acquire(self) -> bool:
-        """Take a place for one socket, if need be that of an idle one."""
+        """Reserve one socket, evicting an idle one if necessary; False if the budget is exhausted."""
         if self.in_use + self._used_elsewhere() >= self.limit and not any(
             evict() for evict in self._evictors
         ):
@@ -92,13 +99,14 @@
         return True
 
     def release(self) -> None:
+        """Return a socket to the budget."""
         self.in_use -= 1
 
 
 class NestedSocketBudget(SocketBudget):
-    """A bound of its own within another budget: one user of sockets can't take all of them.
+    """A limit for one user within a parent budget, so that no user can take all sockets.
 
-    Only its own idle sockets make room for it at its own bound.
+    At this limit only the user's own idle sockets are evicted.
     """
 
     def __init__(self, parent: SocketBudget, limit: int) -> None:
@@ -112,7 +120,7 @@
         self._parent.add_evictor(evict)
 
     def close(self) -> None:
-        """Its user is gone."""
+        """Remove the evictors from the parent budget when the user shuts down."""
         for evict in self._evictors:
             self._parent.remove_evictor(evict)
 
--- a/brackengate/net/upstream.py
+++ b/brackengate/net/upstream.py
@@ -1,4 +1,4 @@
-"""Connections to upstreams: the pool, and the outcome of each attempt and probe sent on them."""
+"""The pool of connections to upstreams, and the attempts and probes that are sent on them."""
 
 from __future__ import annotations
 
@@ -26,23 +26,17 @@
 
 MAX_LOAD_VALUE = 1e6  # in a load report
 SECOND_US = 1_000_000
-SETTLE_US = 5_000  # after an answer, before its connection is used again
-IDLE_LIMIT_FRACTION = 0.8  # idle connections are closed after this share of the upstream's limit
+SETTLE_US = 5_000  # pause after a response before its connection is used again
+IDLE_LIMIT_FRACTION = 0.8  # idle connections are closed after this part of the upstream's limit
 SWEEP_INTERVAL_S = 1.0
-STALE_LOSS_WITHIN_US = (
-    20_000  # a request on a connection that stood dead is lost within this time, else it is another loss
-)
-MIN_TRUSTED_IDLE_US = (
-    50_000  # however many are lost, connections that stood idle for less than this are used again
-)
-TRUST_DOUBLING_TIME_US = 10 * SECOND_US  # the idle time that is trusted doubles in this time
+# A request on a connection that was already dead fails within this time; a later loss has another cause.
+STALE_LOSS_WITHIN_US = 20_000
+MIN_TRUSTED_IDLE_US = 50_000  # connections idle for less than this are always used again
+TRUST_DOUBLING_TIME_US = 10 * SECOND_US  # the trusted idle time doubles in this time
 KEEP_ALIVE_TIMEOUT_PATTERN = re.compile(rb"timeout=([0-9]{1,6})")
-NOT_EXECUTED = (
-    Outcome.REJECTED,
-    Outcome.NOT_SENT,
-    Outcome.CONNECT_FAILED,
-)  # after any of them it may go again
-MAX_REJECTED_CALLS = 64  # calls that a connection remembers; beyond that another one is made
+# After these outcomes a request may be sent again.
+NOT_EXECUTED = (Outcome.REJECTED, Outcome.NOT_SENT, Outcome.CONNECT_FAILED)
+MAX_REJECTED_CALLS = 64  # rejected calls that a connection remembers; it is replaced if there are more
 LOAD_FIELDS = {
     "inflight": "in_flight",
     "outstanding": "in_flight",
@@ -55,26 +49,29 @@
 
 @dataclass(slots=True)
 class Result:
-    """How an exchange ended, and what came back."""
+    """How an exchange with an upstream ended, and its response."""
 
     outcome: Outcome
     body: bytes = b""
     content_type: bytes = b""
     load: LoadReport | None = None
-    stale: bool = False  # lost with a connection that had stood idle
-    response: machine.UpstreamResponse | None = None  # as it came, where whoever judges answers keeps it
-    mismatched: bool = False  # it is not this request's answer: the connection is out of step, and is closed
+    stale: bool = False  # the connection had been idle and broke
+    response: machine.UpstreamResponse | None = None  # as received, if the classifier keeps it
+    mismatched: bool = False  # the response is to another request; the connection is closed
 
 
 def always_true() -> bool:
+    """The default for checks whether a request is still wanted."""
     return True
 
 
 def monotonic_us() -> int:
+    """Microseconds of the machine's monotonic clock."""
     return monotonic_ns() // 1000
 
 
 def new_tcp_socket(address: Address) -> socket.socket:
+    """A non-blocking TCP socket without Nagle's algorithm, of the address's family."""
     family = socket.AF_INET6 if ":" in address[0] else socket.AF_INET
     sock = socket.socket(family, socket.SOCK_STREAM | socket.SOCK_NONBLOCK)
     sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
@@ -82,14 +79,18 @@
 
 
 class StreamAcceptor(Protocol):
-    """Who is asked whether an answer may be passed on in pieces; None: nobody wants it any more."""
+    """Accepts a response that is to be streamed."""
 
-    def __call__(self, head: machine.UpstreamResponse, stream: ResponseStream) -> ResponseSink | None: ...
+    def __call__(self, head: machine.UpstreamResponse, stream: ResponseStream) -> ResponseSink | None:
+        """The sink for the response's body, or None if the response is no longer wanted."""
 
 
 def parse_load_report(text: str) -> LoadReport | None:
-    """Read `inflight=7,queue=2,util=0.61`, or the same as JSON; fields not known here are skipped."""
-    figures: dict[str, float] = {}
+    """Parse `inflight=7,queue=2,util=0.61`, or the same as JSON; unknown fields are ignored.
+
+    Returns None if the report is invalid or has no known field.
+    """
+    values: dict[str, float] = {}
     try:
         if text.lstrip().startswith("{"):
             pairs: dict[str, Any] = json.loads(text)
@@ -98,35 +99,34 @@
         for name, value in pairs.items():
             field = LOAD_FIELDS.get(name.strip())
             if field is not None:
-                figures[field] = float(value)
-                if not 0 <= figures[field] <= MAX_LOAD_VALUE:  # also where it is no number
-                    return None  # a report that says what cannot be is not to be believed in the rest
+                values[field] = float(value)
+                if not 0 <= values[field] <= MAX_LOAD_VALUE:  # also false for NaN
+                    return None  # a report with an impossible value is not trusted at all
     except (ValueError, TypeError, RecursionError):
-        return None  # a report that cannot be read is no report; the answer it came with stands
-    return LoadReport(**figures) if figures else None
+        return None  # the response that carried an invalid report is still valid
+    return LoadReport(**values) if values else None
 
 
-def classify_response(answer: machine.UpstreamResponse) -> Result:
-    """What a whole answer says."""
-    status, fields = answer.status, answer.fields
+def classify_response(response: machine.UpstreamResponse) -> Result:
+    """The outcome of a complete response by the platform's rules, with its load report."""
+    status, fields = response.status, response.fields
     if status == 200:
         outcome = Outcome.OK
     elif status in (503, 504) and fields.get(b"x-turned-away") == b"1":
         outcome = Outcome.REJECTED
     else:
-        outcome = Outcome.ERROR  # without that header 503 and 504 prove nothing
+        outcome = Outcome.ERROR  # without that header, 503 and 504 do not prove that it was not executed
     pressure = fields.get(b"x-pressure")
     load = parse_load_report(pressure.decode("latin-1")) if pressure is not None else None
-    return Result(outcome, answer.body, fields.get(b"content-type", b""), load)
+    return Result(outcome, response.body, fields.get(b"content-type", b""), load)
 
 
-ResponseClassifier = Callable[
-    [bytes, machine.UpstreamResponse], Result
-]  # what a request's payload and its whole answer mean
+# Maps a request's payload and its complete response to a result.
+ResponseClassifier = Callable[[bytes, machine.UpstreamResponse], Result]
 
 
 class Job:
-    """One exchange with an upstream.  It ends exactly once, with `done`."""
+    """One exchange with an upstream: a request and its response.  It ends exactly once, with `on_done`."""
 
     __slots__ = (
         "_on_done",
@@ -157,17 +157,15 @@
         call_id: bytes = b"",
         still_wanted: Callable[[], bool] = always_true,
     ) -> None:
-        """`on_written`: told once, when the last byte is with the kernel.  `body`: what follows `payload` in
-        pieces.  `on_streaming`: takes an answer of over `unstreamed_bytes` bytes in pieces; None: it must be
-        whole.  `call_id`:
-        the id that its answer will bear.  `still_wanted`: asked once a connection stands that had to be
-        made, so
-        that what was given up meanwhile is not sent."""
+        """`on_written`: called once, when the last byte was passed to the kernel.  `body`: the streamed body
+        that follows `payload`.  `on_streaming`: accepts a response of over `unstreamed_bytes` bytes as a
+        stream; None: responses are buffered.  `call_id`: the id that the response carries.  `still_wanted`:
+        checked after a new connection was made, so that an abandoned request is not sent."""
         self.probe, self.call_id, self.still_wanted = probe, call_id, still_wanted
         self._on_written = on_written
         self.body, self.on_streaming, self.unstreamed_bytes = body, on_streaming, unstreamed_bytes
-        self.sink: ResponseSink | None = None  # once an answer is passed on
-        self.retried = False  # sent a second time
+        self.sink: ResponseSink | None = None  # set when the response is streamed
+        self.retried = False  # a probe that was sent a second time
         self.payload = payload
         self._on_done = on_done
         self.ended = False
@@ -176,15 +174,17 @@
 
     @property
     def written(self) -> bool:
-        """Whether the last byte was handed to the kernel: only then may the request have run."""
+        """Whether the last byte was passed to the kernel: only then may the request have been executed."""
         return self.connection is not None and self.connection.written
 
     def on_written(self) -> None:
-        told, self._on_written = self._on_written, None
-        if told is not None and not self.ended:
-            told()
+        """Notify the owner that the last byte was passed to the kernel."""
+        callback, self._on_written = self._on_written, None
+        if callback is not None and not self.ended:
+            callback()
 
     def finish(self, result: Result) -> None:
+        """End with a result; no effect if it has ended."""
         if not self.ended:
             self.ended = True
             self._release_body()
@@ -195,24 +195,28 @@
             self.body.close()
 
     def connection_broken(self, stale: bool = False) -> None:
+        """End because the connection broke or could not be used."""
         self.finish(Result(Outcome.RESET if self.written else Outcome.CONNECT_FAILED, stale=stale))
 
     def give_up(self, outcome: Outcome) -> None:
-        """Stop waiting.  The connection is closed: that is how an upstream is told."""
+        """End with `outcome` without waiting for a response.
+
+        The connection is closed, which tells the upstream to stop.
+        """
         if self.ended:
             return
-        connection, dial = self.connection, self.dial_task
-        self.ended = True  # what the closing brings about is not an outcome any more
+        connection, dial_task = self.connection, self.dial_task
+        self.ended = True  # the closing must not cause a second outcome
         self._release_body()
         if connection is not None:
             connection.drop()
-        elif dial is not None:
-            dial.cancel()
+        elif dial_task is not None:
+            dial_task.cancel()
         self._on_done(Result(outcome))
 
 
 class Connection(asyncio.BufferedProtocol):
-    """One connection to one upstream, one exchange at a time: carries out what its machine says."""
+    """One connection to one upstream, for one exchange at a time.  Executes its state machine's events."""
 
     def __init__(self, pool: Pool, name: str, address: Address, sock: socket.socket) -> None:
         self.pool, self.name, self.address = pool, name, address
@@ -221,36 +225,38 @@
         self._sock = sock
         self._job: Job | None = None
         self._transport: asyncio.Transport | None = None
-        self._accounted_bytes = 0  # bytes of an answer that is kept until it is whole, as told to the bound
-        self.must_settle = False  # whether more could follow its last answer
-        self.rejected_calls: set[bytes] = set()  # calls that were not run here
+        self._accounted_bytes = 0  # bytes of a buffered response that the byte budget has counted
+        self.must_settle = False  # whether stray bytes could follow its last response
+        self.rejected_calls: set[bytes] = set()  # ids of calls that were not executed here
         self.idle_limit_us = pool.idle_limit_us
-        self._keep_alive_header = b""  # as last told
-        self._flow: FlowCounter | None = None  # where somebody looks on
+        self._keep_alive_header = b""  # as last received
+        self._flow: FlowCounter | None = None  # if flows are observed
 
     @property
     def closing(self) -> bool:
+        """Whether it was closed from here or by the upstream."""
         return self.machine.state is State.CLOSED
 
     @property
     def written(self) -> bool:
+        """Whether the request's last byte was passed to the kernel."""
         return self.machine.written
 
     # --- use
 
     def start(self, job: Job, now: int) -> None:
-        """Write the whole request.
+        """Write the request.
 
-        With a high-water mark of 0 the transport tries the kernel at once and calls `resume_writing` when
-        a rest it had to keep is out, so `written` never counts bytes that lie in the transport.
+        With a high-water mark of 0, the transport writes to the kernel at once and calls `resume_writing`
+        when bytes that it had to buffer are written, so `written` never counts bytes in the transport.
         """
         self._job, job.connection = job, self
-        passing = (
+        policy = (
             None
             if job.on_streaming is None
             else self.pool.streaming_policy(job.payload, job.unstreamed_bytes)
         )
-        self.machine.start_request(now, job.body, passing)
+        self.machine.start_request(now, job.body, policy)
         self._write(job.payload)
         if job.body is not None and not job.body.open(self._write_pieces):
             self.drop()
@@ -265,7 +271,7 @@
         self._transport.write(data)
 
     def _write_pieces(self, now: int = 0) -> None:
-        """Write the request's pieces as the kernel takes them; after the last one the request is written."""
+        """Write pieces of the request's body as fast as the kernel takes them."""
         job, transport = self._job, self._transport
         if job is None or transport is None or self.machine.written:
             return
@@ -279,10 +285,10 @@
             self._write(piece)
 
     def usable(self) -> bool:
-        """Whether an idle connection still stands: bytes or an end that the loop has not met yet end it.
+        """Whether an idle connection is still open and has no unread bytes.
 
-        Guards against sending on a connection that the upstream has closed: that would be a reset, which
-        an unsafe request cannot be repeated after.
+        The kernel is checked, as the event loop may not yet have seen that the upstream closed it.  A request
+        sent on a closed connection ends with a reset, after which an unsafe request cannot be retried.
         """
         if self.closing or self._transport is None or self._transport.is_closing():
             return False
@@ -295,7 +301,7 @@
         return False
 
     def drop(self) -> None:
-        """Close at once, with whatever is unsent."""
+        """Close at once, discarding unsent bytes."""
         self._job = None
         self.machine.close()
         self._update_byte_budget()
@@ -312,7 +318,7 @@
             self._flow = self.pool.flows.upstream(local, self.address)
 
     def pause_writing(self) -> None:
-        pass  # the next piece is written when this one is out
+        pass  # the next piece is written when the transport's buffer is empty
 
     def resume_writing(self) -> None:
         self._write_pieces()
@@ -327,9 +333,9 @@
         self._handle_events(self.machine.received(bytes(READ_BUFFER[:nbytes]), now), now)
 
     def connection_lost(self, exc: Exception | None) -> None:
-        now, it = self.pool.now(), self.machine
-        heard, idle = it.response_started, self.idle_since
-        self._handle_events(it.ended(exc is None), now)
+        now, state_machine = self.pool.now(), self.machine
+        response_started, idle_since = state_machine.response_started, self.idle_since
+        self._handle_events(state_machine.ended(exc is None), now)
         self._update_byte_budget()
         if self._flow is not None and self.pool.flows is not None:
             self.pool.flows.ended(self._flow, exc is not None)
@@ -338,16 +344,20 @@
         self.pool.connection_closed(self)
         if job is None:
             return
-        stale = idle > 0 and not heard and now - it.request_started_at < STALE_LOSS_WITHIN_US
+        stale = (
+            idle_since > 0
+            and not response_started
+            and now - state_machine.request_started_at < STALE_LOSS_WITHIN_US
+        )
         if stale:
-            self.pool.reduce_trusted_idle(it.request_started_at - idle)
-        if job.probe and not heard and not job.retried:
+            self.pool.reduce_trusted_idle(state_machine.request_started_at - idle_since)
+        if job.probe and not response_started and not job.retried:
             job.retried = True
             self.pool.dial(job, self.name, self.address)
         else:
             job.connection_broken(stale)
 
-    # --- carrying out
+    # --- events of the state machine
 
     def _handle_events(self, events: list[machine.Event], now: int) -> None:
         self._update_byte_budget()
@@ -360,18 +370,18 @@
                     job.sink.write(event.data)
             elif isinstance(event, machine.ResponseStarted):
                 if job is not None and not self._start_streaming(job, event):
-                    self._end_with_invalid_response("an answer that nobody awaits")
+                    self._end_with_invalid_response("a response that is no longer awaited")
             elif isinstance(event, machine.InvalidResponse):
                 self._end_with_invalid_response(event.reason)
             else:
-                log.warning("upstream %s sent bytes that nobody asked for", self.name)
+                log.warning("upstream %s sent bytes without a request", self.name)
                 self.drop()
 
-    def _start_streaming(self, job: Job, answer: machine.ResponseStarted) -> bool:
-        """The first bytes are there: the rest goes the same way, as fast as the caller takes it."""
-        stream = ResponseStream(answer.length, self._set_paused, partial(job.give_up, Outcome.CANCELLED))
+    def _start_streaming(self, job: Job, started: machine.ResponseStarted) -> bool:
+        """Stream a response to the caller as fast as it reads; False if it is no longer wanted."""
+        stream = ResponseStream(started.length, self._set_paused, partial(job.give_up, Outcome.CANCELLED))
         assert job.on_streaming is not None
-        job.sink = stream.sink = job.on_streaming(answer.head, stream)
+        job.sink = stream.sink = job.on_streaming(started.head, stream)
         return job.sink is not None
 
     def _set_paused(self, on: bool) -> None:
@@ -382,77 +392,80 @@
         (transport.pause_reading if on else transport.resume_reading)()
 
     def stalled(self, now: int) -> bool:
+        """Whether a body in transfer has stopped moving because of the upstream."""
         unsent = self._transport is not None and self._transport.get_write_buffer_size() > 0
         return self._job is not None and self.machine.stalled(now, unsent)
 
     def _update_byte_budget(self) -> None:
-        """Of an answer that is kept until it is whole."""
-        kept = self.machine.buffered_bytes
-        if kept != self._accounted_bytes:
-            self.pool.byte_budget.acquire(kept - self._accounted_bytes)
-            self._accounted_bytes = kept
+        """Count the bytes of a buffered response."""
+        buffered = self.machine.buffered_bytes
+        if buffered != self._accounted_bytes:
+            self.pool.byte_budget.acquire(buffered - self._accounted_bytes)
+            self._accounted_bytes = buffered
 
     # --- endings
 
-    def _response_complete(self, answer: machine.UpstreamResponse, now: int) -> None:
+    def _response_complete(self, response: machine.UpstreamResponse, now: int) -> None:
         job, self._job = self._job, None
-        self._set_paused(False)  # the caller may not have taken the last piece; the next answer is another's
+        self._set_paused(False)  # the caller may not have read the last piece; the connection is free anyway
         self.must_settle = job is None or not job.probe
-        result = self.pool.classify(job.payload, answer) if job is not None else None
+        result = self.pool.classify(job.payload, response) if job is not None else None
         if job is not None and job.call_id and result is not None and result.outcome in NOT_EXECUTED:
             self.rejected_calls.add(job.call_id)
-        self._apply_keep_alive(answer)
-        astray = result is not None and result.mismatched  # another one's answer: so may the next be
-        crowded = len(self.rejected_calls) > MAX_REJECTED_CALLS
-        if answer.reuse and not (self.closing or astray or crowded):
-            self.pool.return_to_pool(self, now)  # before `done`: what it starts may use this connection
+        self._apply_keep_alive(response)
+        # The next response would be another request's, too.
+        mismatched = result is not None and result.mismatched
+        too_many_rejected = len(self.rejected_calls) > MAX_REJECTED_CALLS
+        if response.reuse and not (self.closing or mismatched or too_many_rejected):
+            self.pool.return_to_pool(self, now)  # before `finish`: what it starts may use this connection
         else:
             self.drop()
         if job is not None and result is not None:
             job.finish(result)
 
-    def _apply_keep_alive(self, answer: machine.UpstreamResponse) -> None:
-        """An upstream's own limit on idle connections, where it tells one, comes before ours.
+    def _apply_keep_alive(self, response: machine.UpstreamResponse) -> None:
+        """Apply the idle limit of the upstream's Keep-Alive header, if it is shorter than the pool's.
 
-        Guards against a request that crosses its close: whether that one ran, nobody could tell.
+        If a request crosses the upstream's close, it is unknown whether the request was executed.
         """
-        told = answer.fields.get(b"keep-alive", b"")
-        if told == self._keep_alive_header:
+        header = response.fields.get(b"keep-alive", b"")
+        if header == self._keep_alive_header:
             return
-        self._keep_alive_header = told
-        found = KEEP_ALIVE_TIMEOUT_PATTERN.search(told)
-        theirs = (
-            int(int(found[1]) * IDLE_LIMIT_FRACTION * SECOND_US)
-            if found is not None
+        self._keep_alive_header = header
+        match = KEEP_ALIVE_TIMEOUT_PATTERN.search(header)
+        upstream_limit_us = (
+            int(int(match[1]) * IDLE_LIMIT_FRACTION * SECOND_US)
+            if match is not None
             else self.pool.idle_limit_us
         )
-        self.idle_limit_us = min(self.pool.idle_limit_us, theirs)
+        self.idle_limit_us = min(self.pool.idle_limit_us, upstream_limit_us)
 
     def reset(self) -> None:
-        """The exchange ends here as if the connection had broken."""
+        """Close, and end the exchange as if the connection had broken."""
         job = self._job
         self.drop()
         if job is not None:
             job.connection_broken()
 
-    def _end_with_invalid_response(self, why: str) -> None:
-        """The request may have run, but the upstream stands and its connection did too: an error of its own.
+    def _end_with_invalid_response(self, reason: str) -> None:
+        """Close, and end the exchange with an error, as the upstream and its connection work.
 
-        Spoilt answers come from any upstream alike.  As resets they would demote half of a fleet for seconds.
+        The request may have been executed.  Any upstream sends an invalid response now and then: counted as
+        resets, these would demote half of a fleet for seconds.
         """
-        log.info("upstream %s sent what is no answer: %s", self.name, why)
-        job, ran = self._job, self.written
+        log.info("upstream %s sent an invalid response: %s", self.name, reason)
+        job, written = self._job, self.written
         self.drop()
         if job is not None:
-            job.finish(Result(Outcome.ERROR if ran else Outcome.CONNECT_FAILED))
+            job.finish(Result(Outcome.ERROR if written else Outcome.CONNECT_FAILED))
 
 
-def _return_connection(made: Connection) -> Connection:
-    return made
+def _return_connection(connection: Connection) -> Connection:
+    return connection
 
 
 class Pool:
-    """All connections to upstreams.  The host names upstreams; addresses change beneath them."""
+    """All connections to upstreams.  The host identifies upstreams by name; their addresses may change."""
 
     def __init__(
         self,
@@ -467,15 +480,11 @@
         tcp_user_timeout_ms: int = 0,
         stream_slow_responses: bool = True,
     ) -> None:
-        """`network`: what it stands on, in place of the machine's clock and sockets.  `classify`: says what
-        a whole
-        answer means, and by its head whether a long one is passed on; a pure function.  `settle_us`: how
-        long a
-        connection rests after an answer, in microseconds.  `tcp_user_timeout_ms`: one whose bytes nobody
-        takes for so
-        long is broken off; 0: for as long as the system says.  `stream_slow_responses`: short ones that come
-        slowly are passed
-        on, too."""
+        """`byte_budget`: bounds buffered responses.  `network`: replaces the machine's clock and sockets.
+        `classify`: the result of a complete response and, from its head, whether a long one may be streamed;
+        a pure function.  `settle_us`: pause after a response before its connection is used again.
+        `tcp_user_timeout_ms`: a connection with bytes unacknowledged for this long is closed; 0: the system's
+        default.  `stream_slow_responses`: also stream short responses that arrive slowly."""
         self._tcp_user_timeout_ms = tcp_user_timeout_ms
         self.classify, self._settle_us, self._stream_slow_responses = (
             classify,
@@ -488,13 +497,11 @@
         self._loop, self._budget = loop, budget
         self._connect_timeout_s = connect_timeout_s
         self.idle_limit_us = int(idle_close_s * IDLE_LIMIT_FRACTION * SECOND_US)
-        self._trusted_idle_us, self._trust_updated_at = self.idle_limit_us, 0  # as of a time
-        self._idle: dict[str, list[Connection]] = {}  # by upstream, the warmest last
-        self._idle_by_age: dict[Connection, None] = {}  # all idle ones, in the order in which they became so
+        self._trusted_idle_us, self._trust_updated_at = self.idle_limit_us, 0  # and when it was set
+        self._idle: dict[str, list[Connection]] = {}  # by upstream, the most recently used last
+        self._idle_by_age: dict[Connection, None] = {}  # in the order in which they became idle
         self._open: dict[Connection, None] = {}
-        self.addresses: dict[
-            str, Address
-        ] = {}  # upstreams that the list holds: only their connections are kept
+        self.addresses: dict[str, Address] = {}  # of upstreams in the list; only their connections are kept
         self.flows: FlowWatch | None = None
         budget.add_evictor(self._evict)
         self._sweep_timer = loop.call_later(SWEEP_INTERVAL_S, self._sweep)
@@ -513,12 +520,14 @@
         call_id: bytes = b"",
         still_wanted: Callable[[], bool] = always_true,
     ) -> Job:
-        """Send on the warmest idle connection, else on a new one.  `on_done` never comes before this returns.
+        """Send on the most recently used idle connection, or else on a new one; see `Job` for the arguments.
+
+        `on_done` is never called before this returns.
 
-        Guards against bytes behind an answer that come a moment after it: on a connection that is used again
-        at once they would be read as the answer to the next request.  Probes' answers, small and made beside
-        the work, are held to settle at once.  And against a second copy of an answer that turned this very
-        call away: its id would fit, so the call does not go on that connection again.
+        Stray bytes may arrive shortly after a response; if its connection were used again at once, they would
+        be read as the response to the next request, so it settles first.  Responses to probes are small and
+        produced apart from requests, so they need no pause.  An upstream may also repeat a response that
+        rejected this call, and its id matches, so a call is not sent again on a connection that rejected it.
         """
         job, now = (
             Job(
@@ -534,14 +543,14 @@
             ),
             self.now(),
         )
-        settled, trusted = now - self._settle_us, now - self._trusted_idle_at(now)
+        settled_before, trusted_since = now - self._settle_us, now - self._trusted_idle_at(now)
         for connection in self._idle.get(name, [])[::-1]:
-            if connection.must_settle and connection.idle_since > settled:
+            if connection.must_settle and connection.idle_since > settled_before:
                 continue
             if call_id and call_id in connection.rejected_calls:
                 continue
             self._forget_idle(connection)
-            fresh = connection.idle_since > max(trusted, now - connection.idle_limit_us)
+            fresh = connection.idle_since > max(trusted_since, now - connection.idle_limit_us)
             if connection.address == address and fresh and connection.usable():
                 connection.start(job, now)
                 return job
@@ -550,7 +559,7 @@
         return job
 
     def streaming_policy(self, payload: bytes, unstreamed_bytes: int) -> machine.StreamingPolicy:
-        """Which answers to a request are passed on as they come: only what is judged good."""
+        """Which responses to a request are streamed: only those classified as successful."""
         return machine.StreamingPolicy(
             lambda head: self.classify(payload, head).outcome is Outcome.OK,
             unstreamed_bytes,
@@ -560,39 +569,41 @@
     def dial(self, job: Job, name: str, address: Address) -> None:
         """Send on a new connection.
 
-        Also a probe, once, that was lost with its connection: word of a dead upstream should not rest on
-        one connection, and a probe runs nothing twice.  An upstream that is down refuses the second at once.
+        Also used to retry a probe once whose connection broke: one broken connection does not show that an
+        upstream is down, and a probe has no effects.  An upstream that is down refuses the second at once.
         """
         job.connection = None
         job.dial_task = self._loop.create_task(self._dial(job, name, address, self._connect_timeout_s))
 
-    def reduce_trusted_idle(self, idle_for: int) -> None:
-        """A connection that had stood idle this long was dead, and nothing had told so.
+    def reduce_trusted_idle(self, idle_us: int) -> None:
+        """Record that a connection was dead after having been idle this long, without a sign of it.
 
-        Guards against what drops idle connections unseen (an upstream's own shorter limit, a middlebox that
-        forgets flows): each loss may be of a request that cannot be sent again.  Half the time is trusted
-        from then on, and twice as much after each TRUST_DOUBLES.  The harm: where the losses have other
-        causes, more requests pay for a new connection, for some ten seconds from the last loss.
+        An upstream with a shorter idle limit, or a middlebox that forgets flows, may drop idle connections
+        silently, and each loss may be of a request that cannot be retried.  From now on only half that idle
+        time is trusted; it doubles every TRUST_DOUBLING_TIME_US.  The cost: if the losses have other causes,
+        more requests need a new connection, for about ten seconds after the last loss.
         """
         now = self.now()
-        self._trusted_idle_us = max(MIN_TRUSTED_IDLE_US, min(self._trusted_idle_at(now), idle_for // 2))
+        self._trusted_idle_us = max(MIN_TRUSTED_IDLE_US, min(self._trusted_idle_at(now), idle_us // 2))
         self._trust_updated_at = now
 
     def _trusted_idle_at(self, now: int) -> int:
-        if self._trusted_idle_us >= self.idle_limit_us:  # as nearly always
+        if self._trusted_idle_us >= self.idle_limit_us:  # the usual case
             return self.idle_limit_us
         doublings = min(60.0, (now - self._trust_updated_at) / TRUST_DOUBLING_TIME_US)
         return min(self.idle_limit_us, int(self._trusted_idle_us * 2**doublings))
 
     def return_to_pool(self, connection: Connection, now: int) -> None:
+        """Keep a connection for later use, if its upstream is still listed at its address."""
         if self.addresses.get(connection.name) != connection.address:
-            connection.drop()  # its upstream has left the list, or moved, while it was in use
+            connection.drop()  # its upstream was removed or changed its address while it was in use
             return
         connection.idle_since = now
         self._idle.setdefault(connection.name, []).append(connection)
         self._idle_by_age[connection] = None
 
     def connection_closed(self, connection: Connection) -> None:
+        """Remove a closed connection and return its socket to the budget; no effect the second time."""
         self._forget_idle(connection)
         if connection in self._open:
             del self._open[connection]
@@ -605,18 +616,19 @@
             connection.drop()
 
     def reset_connections(self, host: str) -> None:
-        """End every connection to a machine, and what is under way on it, as if they had broken."""
+        """Close every connection to a host; exchanges in flight end as if their connections had broken."""
         for connection in [one for one in self._open if one.address[0] == host]:
             connection.reset()
 
     def close(self) -> None:
+        """Close all connections."""
         self._sweep_timer.cancel()
         for connection in list(self._open):
             connection.drop()
 
     async def _dial(self, job: Job, name: str, address: Address, within_s: float) -> None:
         sock: socket.socket | None = None
-        made: Connection | None = None
+        connection: Connection | None = None
         claimed = False
         try:
             claimed = self._budget.acquire()
@@ -625,20 +637,18 @@
                 log.log(level, "no socket left for a connection to %s", name)
                 if self._budget.refused_by_own_limit:
                     job.dial_task = None
-                    job.finish(
-                        Result(Outcome.NOT_SENT)
-                    )  # a bound of ours: nothing is wrong with the upstream
+                    job.finish(Result(Outcome.NOT_SENT))  # a local limit: the upstream is not at fault
                     return
                 raise OSError("out of sockets")
             sock = self._new_socket(address)
             if self._tcp_user_timeout_ms:
                 sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_USER_TIMEOUT, self._tcp_user_timeout_ms)
-            made = Connection(self, name, address, sock)
+            connection = Connection(self, name, address, sock)
             async with asyncio.timeout(within_s):
                 await self._loop.sock_connect(sock, address)
-                await self._loop.create_connection(partial(_return_connection, made), sock=sock)
+                await self._loop.create_connection(partial(_return_connection, connection), sock=sock)
             sock = None  # the transport closes it
-            self._open[made] = None
+            self._open[connection] = None
             claimed = False
         except (OSError, ValueError) as error:  # TimeoutError is an OSError
             log.debug("no connection to %s: %r", name, error)
@@ -647,28 +657,28 @@
             return
         finally:
             if sock is not None:
-                if made is not None:
-                    made.drop()  # given up in the turn in which it stood
+                if connection is not None:
+                    connection.drop()  # cancelled just after the connection was established
                 sock.close()
             if claimed:
                 self._budget.release()
         job.dial_task = None
-        if job.ended or made.closing:
-            made.drop()
+        if job.ended or connection.closing:
+            connection.drop()
             job.connection_broken()
         elif not job.still_wanted():
-            made.drop()
+            connection.drop()
             job.finish(Result(Outcome.NOT_SENT))
         else:
-            made.start(job, self.now())
+            connection.start(job, self.now())
 
     def _forget_idle(self, connection: Connection) -> None:
         if connection in self._idle_by_age:
             del self._idle_by_age[connection]
-            stack = self._idle[connection.name]
-            stack.remove(connection)
-            if not stack:
-                del self._idle[connection.name]  # names are ever new: an empty list for each would pile up
+            connections = self._idle[connection.name]
+            connections.remove(connection)
+            if not connections:
+                del self._idle[connection.name]  # there are always new names: empty lists would accumulate
 
     def _evict(self) -> bool:
         oldest = next(iter(self._idle_by_age), None)
@@ -680,16 +690,19 @@
         return True
 
     def _sweep(self) -> None:
-        """Close idle connections before the upstream may: a request that crosses its close is a reset."""
+        """Close idle connections before the upstream does, as a request that crosses its close is reset.
+
+        Also resets connections whose bodies have stalled.
+        """
         self._sweep_timer = self._loop.call_later(SWEEP_INTERVAL_S, self._sweep)
         now = self.now()
         for connection in [one for one in self._open if one.stalled(now)]:
-            log.info("upstream %s stands still in the middle of a body", connection.name)
+            log.info("upstream %s stalled in the middle of a body", connection.name)
             connection.reset()
-        sweep, trusted = int(SWEEP_INTERVAL_S * SECOND_US), self._trusted_idle_at(now)
+        sweep_us, trusted_us = int(SWEEP_INTERVAL_S * SECOND_US), self._trusted_idle_at(now)
         for connection in list(self._idle_by_age):
-            own = connection.idle_limit_us
-            if now - connection.idle_since < min(max(own - sweep, own // 2), trusted):
+            own_limit_us = connection.idle_limit_us
+            if now - connection.idle_since < min(max(own_limit_us - sweep_us, own_limit_us // 2), trusted_us):
                 continue
             self._forget_idle(connection)
             connection.drop()
