--- a/benchmarks/scale/hollow.py
+++ b/benchmarks/scale/hollow.py
@@ -35,7 +35,7 @@
     Report,
     RunClaims,
 )
-from brackengate.net.ground import steady_us
+from brackengate.net.ground import monotonic_clock_us
 from brackengate.protocol.messages import Claim, CommandDone
 from brackengate.protocol.messages import ReportUpstream as UpstreamReport
 from brackengate.proxy import failure_detector, role
@@ -69,11 +69,18 @@
         self.table = RoutingTable()
         self.admission = Admission(zone, plan.feedback_us, DRAIN_US, f"{time.monotonic_ns():016x}")
         self.control_client = ControlClient(
-            ip, zone, plan.port, lambda: plan.seeds, self.table, self._changed, steady_us, lambda _: ()
+            ip,
+            zone,
+            plan.port,
+            lambda: plan.seeds,
+            self.table,
+            self._changed,
+            monotonic_clock_us,
+            lambda _: (),
         )
         me = ip, plan.port
         self.liveness_monitor = CountingMonitor(
-            me, steady_us, self.control_client.send_command, self._standing, lambda _: None
+            me, monotonic_clock_us, self.control_client.send_command, self._standing, lambda _: None
         )
         self.suspected_at: dict[str, int] = {}
         self.routed_at: dict[int, int] = {}  # by timeout of the route that the runs change
@@ -102,7 +109,7 @@
             return
         self._beats += 1
         self.admission.receive_heartbeat(
-            Heartbeat(f"i-{self.ip}", self.service, "ready", 6, 0, self._beats), steady_us()
+            Heartbeat(f"i-{self.ip}", self.service, "ready", 6, 0, self._beats), monotonic_clock_us()
         )
         self._loop.call_later(self._feedback_us / 1e6, self._beat)
 
@@ -110,7 +117,7 @@
         if self._ended:
             return
         self._loop.call_later(role.REPORT_INTERVAL_S, self._report)
-        wanted, known = self.admission.report(steady_us()), self.table.instances.get(self.ip)
+        wanted, known = self.admission.report(monotonic_clock_us()), self.table.instances.get(self.ip)
         if wanted is None or self._reporting or not self.control_client.connected:
             return
         if known is not None and (known.id, known.state, known.proxy_incarnation) == (
--- a/brackengate/admin/protocol.py
+++ b/brackengate/admin/protocol.py
@@ -1,4 +1,4 @@
-"""The operators' line protocol.  Pure: bytes in, calls out; figures in, text out."""
+"""The admin line protocol without I/O: parses command lines and encodes responses and metrics."""
 
 from __future__ import annotations
 
@@ -6,81 +6,93 @@
 from dataclasses import dataclass, field
 from enum import Enum
 
-from brackengate.net.figures import Figures
+from brackengate.net.metrics import RequestMetrics
 
-MAX_LINE = 64  # bytes, its end included
-PREFIX = "app"
+MAX_LINE_BYTES = 64  # including the line end
+METRIC_PREFIX = "app"
 
 
-class Call(Enum):
+class AdminCommand(Enum):
+    """The commands; a value is the word on the wire."""
+
     CHECK = "check"
     VARS = "vars"
     DRAIN_ON = "drain-on"
     DRAIN_OFF = "drain-off"
 
 
-WORDS = {call.value.encode(): call for call in Call}
-ALLOWED = ", ".join(call.value for call in Call)
+COMMANDS_BY_WORD = {call.value.encode(): call for call in AdminCommand}
+ALLOWED_COMMANDS = ", ".join(call.value for call in AdminCommand)
 
 
 @dataclass(frozen=True, slots=True)
-class Fault:
-    """What came is no call."""
+class InvalidCommand:
+    """A line that is not a valid command."""
 
-    why: str
+    reason: str
 
 
 @dataclass(slots=True)
-class Line:
-    """The one line of a connection, as it comes in.  What follows its end is of no account."""
+class CommandReader:
+    """Reads the command line of a connection, in pieces of any size; bytes after its end are ignored."""
 
-    _read: bytearray = field(default_factory=bytearray)
-    over: bool = False
+    _buffer: bytearray = field(default_factory=bytearray)
+    done: bool = False
 
-    def feed(self, data: bytes) -> Call | Fault | None:
-        """The call, once the line is whole; None while it is not, and after it."""
-        if self.over:
+    def feed(self, data: bytes) -> AdminCommand | InvalidCommand | None:
+        """The command, once the line is complete; None before and after that."""
+        if self.done:
             return None
-        self._read += data[: MAX_LINE + 1 - len(self._read)]
-        line, end, _ = self._read.partition(b"\n")
+        self._buffer += data[: MAX_LINE_BYTES + 1 - len(self._buffer)]
+        line, end, _ = self._buffer.partition(b"\n")
         if not end:
-            if len(self._read) > MAX_LINE:
-                return self._end(Fault(f"a line has {MAX_LINE} bytes at most"))
+            if len(self._buffer) > MAX_LINE_BYTES:
+                return self._finish(InvalidCommand(f"a line has {MAX_LINE_BYTES} bytes at most"))
             return None
         word = bytes(line).strip(b" \t\r")
-        call = WORDS.get(word)
-        if call is not None:
-            return self._end(call)
+        command = COMMANDS_BY_WORD.get(word)
+        if command is not None:
+            return self._finish(command)
         if not word:
-            return self._end(Fault(f"an empty line; the calls are {ALLOWED}"))
+            return self._finish(InvalidCommand(f"an empty line; the calls are {ALLOWED_COMMANDS}"))
         if not word.isascii() or not word.decode("ascii", "replace").isprintable():
-            return self._end(Fault(f"no text; the calls are {ALLOWED}"))
-        return self._end(Fault(f"no call {word.decode('ascii')!r}; the calls are {ALLOWED}"))
+            return self._finish(InvalidCommand(f"no text; the calls are {ALLOWED_COMMANDS}"))
+        return self._finish(
+            InvalidCommand(f"no call {word.decode('ascii')!r}; the calls are {ALLOWED_COMMANDS}")
+        )
+
+    def _finish(self, result: AdminCommand | InvalidCommand) -> AdminCommand | InvalidCommand:
+        self.done = True
+        self._buffer.clear()
+        return result
 
-    def _end(self, told: Call | Fault) -> Call | Fault:
-        self.over = True
-        self._read.clear()
-        return told
 
+def encode_yes(detail: str = "") -> bytes:
+    """The response to a command that succeeded."""
+    return f"YES {detail}".rstrip().encode() + b"\n"
 
-def yes(why: str = "") -> bytes:
-    return f"YES {why}".rstrip().encode() + b"\n"
 
+def encode_no(reason: str) -> bytes:
+    """The response to a command that failed, with the reason."""
+    return f"NO {reason}\n".encode()
 
-def no(why: str) -> bytes:
-    return f"NO {why}\n".encode()
 
+def encode_metrics(
+    metrics: RequestMetrics, classes: Iterable[str], listed_upstreams: int, avoided_upstreams: int
+) -> bytes:
+    """All metrics, one line each, followed by END.
 
-def figures_text(figures: Figures, classes: Iterable[str], listed: int, avoided: int) -> bytes:
-    """All figures, a line each, and the end."""
+    `listed_upstreams`: upstreams in the list; `avoided_upstreams`: those that get no requests.
+    """
     lines = [
-        f"{PREFIX}.{kind.value}.{name}:{count}|c" for (kind, name), count in figures.by_kind(classes).items()
+        f"{METRIC_PREFIX}.{kind.value}.{name}:{count}|c"
+        for (kind, name), count in metrics.count_by_result(classes).items()
     ]
     lines += [
-        f"{PREFIX}.backend_calls:{figures.attempts_written}|c",
-        f"{PREFIX}.inflight:{figures.inflight}|g",
-        f"{PREFIX}.hosts_listed:{listed}|g",
-        f"{PREFIX}.hosts_down:{avoided}|g",
+        f"{METRIC_PREFIX}.backend_calls:{metrics.attempts_written}|c",
+        f"{METRIC_PREFIX}.inflight:{metrics.inflight}|g",
+        f"{METRIC_PREFIX}.hosts_listed:{listed_upstreams}|g",
+        f"{METRIC_PREFIX}.hosts_down:{avoided_upstreams}|g",
         "END",
     ]
     return "\n".join(lines).encode() + b"\n"
--- a/brackengate/control/operator_api.py
+++ b/brackengate/control/operator_api.py
@@ -9,7 +9,7 @@
 import msgspec
 
 from brackengate.control.commands import OPERATOR_PATIENCE, patience_for
-from brackengate.http.message import Arrival, Bad
+from brackengate.http.message import IncomingRequest, RequestError
 from brackengate.net.http import CallerConnection
 from brackengate.protocol.http_api import MAX_BODY_BYTES, collect_body, parse_rpc_target
 from brackengate.protocol.messages import (
@@ -39,20 +39,20 @@
 
 
 class OperatorApi:
-    most_body = MAX_BODY_BYTES
+    max_body_bytes = MAX_BODY_BYTES
 
     def __init__(self, submitter: CommandSubmitter) -> None:
         self._submitter = submitter
 
-    def begin(self, arrival: Arrival, connection: CallerConnection) -> None:
+    def begin(self, arrival: IncomingRequest, connection: CallerConnection) -> None:
         call, _ = parse_rpc_target(arrival.target)
         if call == "config.amend":
-            connection.hold(lambda: None)
+            connection.expect_answer(lambda: None)
             collect_body(arrival, lambda body: self._amend(body, connection))
         elif call == "config.read":
             self._ask(Read(), connection, call)
         else:
-            raise Bad(404, "no such call")
+            raise RequestError(404, "no such call")
 
     def _amend(self, body: bytes, connection: CallerConnection) -> None:
         try:
@@ -67,7 +67,7 @@
     ) -> None:
         """A caller that goes may be refused elsewhere: its call is not pursued any more."""
         number = self._submitter.submit(what, lambda result: self._answer(connection, call, result), patience)
-        connection.hold(lambda: self._submitter.withdraw(number))
+        connection.expect_answer(lambda: self._submitter.withdraw(number))
 
     def _answer(self, connection: CallerConnection, call: str, result: CommandResult | None) -> None:
         status, body = answer_to(result)
--- a/brackengate/control/role.py
+++ b/brackengate/control/role.py
@@ -28,7 +28,7 @@
 from brackengate.control.operator_api import OperatorApi
 from brackengate.control.replica import FIRST, Replica, StoredState
 from brackengate.control.store import Damaged, Drive, Waits, damaged
-from brackengate.net.ground import Ground
+from brackengate.net.environment import Environment
 from brackengate.net.node import Clock
 from brackengate.net.sockets import Address
 from brackengate.protocol.http_api import create_server
@@ -58,11 +58,13 @@
 
 
 class ControlReplica:
-    def __init__(self, settings: Settings, ground: Ground | None = None, drive: Waits | None = None) -> None:
+    def __init__(
+        self, settings: Settings, ground: Environment | None = None, drive: Waits | None = None
+    ) -> None:
         """`ground`, `drive`: what it stands on, and its disk; by default the machine's."""
         self.settings = settings
-        ground = ground or Ground(asyncio.get_running_loop(), random.Random())
-        self._loop, self._rng, self._bind, self.now = ground.loop, ground.rng, ground.bind, ground.steady
+        ground = ground or Environment(asyncio.get_running_loop(), random.Random())
+        self._loop, self._rng, self._bind, self.now = ground.loop, ground.rng, ground.bind, ground.monotonic
         self.clock = ground.clock or Clock()
         control = required_address(settings.listen.control, "Control")
         self.me = f"{control[0]}:{control[1]}"
--- a/brackengate/emulator/calls/machine.py
+++ b/brackengate/emulator/calls/machine.py
@@ -120,7 +120,7 @@
         own, peers = (
             Pool(
                 ground.loop, budget, 0.25, 9.0, ByteBudget(8 << 20),
-                wire=ground.wire, judge=judge, settle=settle, slow=False,
+                network=ground.network, classify=judge, settle_us=settle, stream_slow_responses=False,
             )
             for judge, settle in (
                 (answer_classification.classify_upstream_answer, None),
@@ -136,7 +136,7 @@
         table = RoutingTable()
         self.egress = Egress(
             ground.loop, clock, budget, table, self.plant, address_of, rng, TRIES, RequestLog(),
-            ByteBudget(8 << 20), ground.wire,
+            ByteBudget(8 << 20), ground.network,
         )  # fmt: skip
         self.servers = [
             create_server(ground.loop, clock, [ground.bind((self.ip, port))], front, budget)
@@ -171,4 +171,4 @@
     def term(self) -> None:
         self.admission.closed = True
         for server in self.servers:
-            server.ask_to_go(True)
+            server.set_draining(True)
--- a/brackengate/platform/program.py
+++ b/brackengate/platform/program.py
@@ -14,16 +14,16 @@
 from collections.abc import Coroutine
 from typing import Any
 
-from brackengate.admin.listener import Listener
-from brackengate.admin.protocol import Call, figures_text, no, yes
+from brackengate.admin.listener import AdminListener
+from brackengate.admin.protocol import AdminCommand, encode_metrics, encode_no, encode_yes
 from brackengate.balancer import Balancer
 from brackengate.fleet import lifecycle
 from brackengate.http.body import ByteBudget
 from brackengate.net.discovery import Discovery
-from brackengate.net.figures import Figures
+from brackengate.net.metrics import RequestMetrics
 from brackengate.net.node import Clock, Node
-from brackengate.net.server import LAST_CALL_S, Server
-from brackengate.net.sockets import SocketBudget, bind, listening
+from brackengate.net.server import DRAIN_ACCEPT_S, Server
+from brackengate.net.sockets import SocketBudget, bind, inherited_listener
 from brackengate.net.upstream import Pool
 from brackengate.platform.config import BadConfig, Config, load_config
 from brackengate.platform.siblings import Siblings, has_successor, process_limits
@@ -38,7 +38,7 @@
     """An address cannot be listened on, or an inherited socket cannot be used."""
 
 
-class ObservedFigures(Figures):
+class ObservedFigures(RequestMetrics):
     """The metrics; also notifies the program when the first upstream serves or the last one stops."""
 
     def __init__(self, program: Program) -> None:
@@ -82,9 +82,9 @@
             [self._listen()],
             limits.max_clients,
             ready=lambda: self.life.ready,
-            bytes_=stream_budget,
+            byte_budget=stream_budget,
         )
-        self._admin = Listener(self._on_call)
+        self._admin = AdminListener(self._on_call)
 
     # --- resources
 
@@ -109,7 +109,7 @@
         config = self._config
         if config.listen_fd is not None:
             try:
-                return listening(config.listen_fd)
+                return inherited_listener(config.listen_fd)
             except OSError as error:
                 log.error(
                     "RELAY_LISTEN_FD: descriptor %d: %s; binding the address instead",
@@ -158,9 +158,9 @@
                     port = self._start_server()
                     log.info("%s: serving on %s:%d", self._config.name, self._config.listen[0], port)
                 case lifecycle.AskToGo(on):
-                    self._server.ask_to_go(on)
+                    self._server.set_draining(on)
                 case lifecycle.Accept(on):
-                    self._server.accept(on)
+                    self._server.set_accepting(on)
                 case lifecycle.Reload():
                     self.post(lifecycle.Reloaded(self._reload()))
                 case lifecycle.Drain(last_call):
@@ -196,14 +196,14 @@
         """Publish this process's state to the other processes and read theirs."""
         if self._siblings is not None:
             accepts = self.life.open and self.life.state is not lifecycle.State.DRAINING
-            self._siblings.publish(accepts and self.life.ready, self._budget.taken)
+            self._siblings.publish(accepts and self.life.ready, self._budget.in_use)
             self.post(lifecycle.Successor(has_successor(self._started_ns, self._siblings.scan())))
 
     async def _drain(self, last_call: bool) -> None:
-        log.info("%s: draining, %d requests in flight", self._config.name, self._node.held())
+        log.info("%s: draining, %d requests in flight", self._config.name, self._node.pending_count())
         longest = max((c.deadline for c in self._config.settings.classes), default=1_000_000) / 1e6
-        await self._server.drain(longest + DRAIN_EXTRA_S, LAST_CALL_S if last_call else 0.0)
-        held = self._node.held()
+        await self._server.drain(longest + DRAIN_EXTRA_S, DRAIN_ACCEPT_S if last_call else 0.0)
+        held = self._node.pending_count()
         log.info("%s: drained, %d requests in flight", self._config.name, held)
         self.post(lifecycle.Drained(held))
 
@@ -228,22 +228,22 @@
         log.info("%s: configuration reloaded; discovery at %s:%d", config.name, *new.discovery)
         if (new.listen, new.sockets, new.settings) != (config.listen, config.sockets, config.settings):
             log.warning("%s: only the discovery address changes without a restart", config.name)
-        self._discovery.move(new.discovery)
+        self._discovery.change_address(new.discovery)
         return "configuration read again"
 
     # --- operators
 
-    def _on_call(self, call: Call) -> bytes:
+    def _on_call(self, call: AdminCommand) -> bytes:
         match call:
-            case Call.CHECK:
-                return yes() if self.life.ready else no(f"not ready: {self.life.why_not}")
-            case Call.VARS:
-                listed, avoided = self._node.listed_count(), self._module.avoided()
-                return figures_text(self.figures, self._node.classes, listed, avoided)
-            case Call.DRAIN_ON:
+            case AdminCommand.CHECK:
+                return encode_yes() if self.life.ready else encode_no(f"not ready: {self.life.why_not}")
+            case AdminCommand.VARS:
+                listed, avoided = self._node.upstream_count(), self._module.avoided()
+                return encode_metrics(self.figures, self._node.classes, listed, avoided)
+            case AdminCommand.DRAIN_ON:
                 self.post(lifecycle.DrainOn())
-                return yes() if self.life.asks_to_go else no(self.life.why_not)
-            case Call.DRAIN_OFF:
+                return encode_yes() if self.life.asks_to_go else encode_no(self.life.why_not)
+            case AdminCommand.DRAIN_OFF:
                 self.post(lifecycle.DrainOff())
                 leaving = self.life.state is lifecycle.State.DRAINING
-                return no(self.life.why_not) if leaving else yes()
+                return encode_no(self.life.why_not) if leaving else encode_yes()
--- a/brackengate/proxy/answer_classification.py
+++ b/brackengate/proxy/answer_classification.py
@@ -8,7 +8,7 @@
 
 from __future__ import annotations
 
-from brackengate.http.upstream import Answered
+from brackengate.http.upstream import UpstreamResponse
 from brackengate.interface import Outcome
 from brackengate.net.upstream import Result
 from brackengate.proxy.hop_headers import ATTEMPT_ID, NOT_EXECUTED, SERVER_SEAL, HopOutcome, parse_hop_outcome
@@ -45,37 +45,39 @@
     return head[start : head.index(b"\r\n", start)].strip()
 
 
-def classify_upstream_answer(payload: bytes, answer: Answered) -> Result:
+def classify_upstream_answer(payload: bytes, answer: UpstreamResponse) -> Result:
     """What an upstream's answer means, by its head."""
     answer_id = answer.fields.get(_ATTEMPT_ID)
     if _has_duplicate_headers(answer):
-        return Result(Outcome.ERROR, astray=True)
+        return Result(Outcome.ERROR, mismatched=True)
     if answer_id != attempt_id_of(payload):
-        return Result(Outcome.ERROR if answer_id is None else Outcome.RESET, astray=True)
+        return Result(Outcome.ERROR if answer_id is None else Outcome.RESET, mismatched=True)
     if _NOT_EXECUTED in answer.fields or answer.status == MISDIRECTED:
-        return Result(Outcome.REJECTED, answer=answer)
+        return Result(Outcome.REJECTED, response=answer)
     if answer.status in NOT_EXECUTED_STATUSES:
         return Result(Outcome.ERROR)  # without that header it proves nothing, and would become our promise
     if _lacks_seal(answer):
-        return Result(Outcome.ERROR, astray=True)
-    return Result(Outcome.OK, answer=answer)
+        return Result(Outcome.ERROR, mismatched=True)
+    return Result(Outcome.OK, response=answer)
 
 
-def classify_proxy_answer(payload: bytes, answer: Answered) -> Result:
+def classify_proxy_answer(payload: bytes, answer: UpstreamResponse) -> Result:
     """What the answer of the proxy beside an upstream means to the module that chooses among upstreams."""
     outcome = parse_hop_outcome(answer.fields)
     if outcome is None:
-        return Result(Outcome.TIMEOUT, astray=True)  # a listener's own words; which call they are for is open
+        return Result(
+            Outcome.TIMEOUT, mismatched=True
+        )  # a listener's own words; which call they are for is open
     if answer.fields.get(_ATTEMPT_ID) != attempt_id_of(payload) or _has_duplicate_headers(answer):
-        return Result(Outcome.RESET, astray=True)
+        return Result(Outcome.RESET, mismatched=True)
     if outcome is not HopOutcome.RAN:
-        return Result(_OUTCOMES[outcome], answer=answer)
+        return Result(_OUTCOMES[outcome], response=answer)
     if answer.status in NOT_EXECUTED_STATUSES or _lacks_seal(answer):
-        return Result(Outcome.TIMEOUT, astray=True)
-    return Result(Outcome.OK if answer.status < 500 else Outcome.ERROR, answer=answer)
+        return Result(Outcome.TIMEOUT, mismatched=True)
+    return Result(Outcome.OK if answer.status < 500 else Outcome.ERROR, response=answer)
 
 
-def _has_duplicate_headers(answer: Answered) -> bool:
+def _has_duplicate_headers(answer: UpstreamResponse) -> bool:
     """Whether it names two ids or two seals: each reader could take another one for its own."""
     if len(answer.headers) <= len(answer.fields):
         return False
@@ -83,6 +85,6 @@
     return max(names.count(_ATTEMPT_ID), names.count(_SERVER_SEAL)) > 1
 
 
-def _lacks_seal(answer: Answered) -> bool:
+def _lacks_seal(answer: UpstreamResponse) -> bool:
     """Whether it is a success that no upstream has put its seal to."""
     return answer.status < 300 and _SERVER_SEAL not in answer.fields
--- a/brackengate/proxy/egress.py
+++ b/brackengate/proxy/egress.py
@@ -12,8 +12,8 @@
 
 from brackengate.balancer import Balancer
 from brackengate.http.body import ByteBudget
-from brackengate.http.message import Arrival, Bad
-from brackengate.http.upstream import Answered
+from brackengate.http.message import IncomingRequest, RequestError
+from brackengate.http.upstream import UpstreamResponse
 from brackengate.interface import (
     ClassesChanged,
     EarlierAttempt,
@@ -26,9 +26,17 @@
     Settings,
     UpstreamHealth,
 )
-from brackengate.net.ground import Wire
+from brackengate.net.environment import NetworkBackend
 from brackengate.net.http import CallerConnection
-from brackengate.net.node import FAILED, OVERDUE, REFUSED, Clock, Message, Node, Reply
+from brackengate.net.node import (
+    STATUS_BAD_GATEWAY,
+    STATUS_GATEWAY_TIMEOUT,
+    STATUS_UNAVAILABLE,
+    Clock,
+    Message,
+    Node,
+    Reply,
+)
 from brackengate.net.sockets import Address, SocketBudget
 from brackengate.net.upstream import Pool, Result
 from brackengate.policy.state import MAX_TOTAL_ATTEMPTS
@@ -101,30 +109,34 @@
 class EgressReplies:
     """Upstreams' answers go back as they are; refusals say when to come back."""
 
-    def served(self, result: Result) -> Reply:
-        answer = result.answer
+    def success(self, result: Result) -> Reply:
+        answer = result.response
         assert answer is not None
         return forwarded_answer(answer)
 
-    def begins(self, head: Answered) -> Reply:
+    def streaming(self, head: UpstreamResponse) -> Reply:
         return forwarded_answer(head)
 
-    def unserved(
+    def failure(
         self, status: int, retry_after: int, last: Result | None, ran: Sequence[EarlierAttempt]
     ) -> Reply:
-        answer = last.answer if last is not None else None
-        if answer is not None and parse_hop_outcome(answer.fields) is HopOutcome.RAN and status != OVERDUE:
+        answer = last.response if last is not None else None
+        if (
+            answer is not None
+            and parse_hop_outcome(answer.fields) is HopOutcome.RAN
+            and status != STATUS_GATEWAY_TIMEOUT
+        ):
             return forwarded_answer(answer)
         outcome = parse_hop_outcome(answer.fields) if answer is not None else None
         if outcome is HopOutcome.BUSY:
             return Reply(CONFLICT)
         if not ran or (outcome is HopOutcome.UNKNOWN and len(ran) <= 1):  # this try has not run, and will not
-            if status == REFUSED or ran:
-                return Reply(REFUSED, retry_after=retry_after or DEFAULT_RETRY_AFTER_US)
+            if status == STATUS_UNAVAILABLE or ran:
+                return Reply(STATUS_UNAVAILABLE, retry_after_us=retry_after or DEFAULT_RETRY_AFTER_US)
         elif (
-            status == REFUSED
+            status == STATUS_UNAVAILABLE
         ):  # the module refuses what may be repeated; a 503 would promise that it never ran
-            return Reply(FAILED)
+            return Reply(STATUS_BAD_GATEWAY)
         return Reply(status)
 
 
@@ -139,7 +151,7 @@
         socket_budget: SocketBudget,
         seed: int,
         body_budget: ByteBudget | None = None,
-        wire: Wire | None = None,
+        wire: NetworkBackend | None = None,
     ) -> None:
         self.name, self._clock = name, clock
         self.pool = Pool(
@@ -148,11 +160,11 @@
             CONNECT_TIMEOUT_S,
             IDLE_TIMEOUT_S,
             body_budget,
-            wire=wire,
-            judge=classify_proxy_answer,
-            settle=0,
-            silent_ms=SEND_STALL_TIMEOUT_MS,
-            slow=False,
+            network=wire,
+            classify=classify_proxy_answer,
+            settle_us=0,
+            tcp_user_timeout_ms=SEND_STALL_TIMEOUT_MS,
+            stream_slow_responses=False,
         )  # a node's list is its pool's
         settings = Settings(
             classes=(),
@@ -193,7 +205,7 @@
                 started_at=started,
             )
             endpoints.append((row, address))
-        self.node.listed(ListKind.FULL, endpoints)
+        self.node.update_upstreams(ListKind.FULL, endpoints)
         before, self._proxy_incarnations = (
             self._proxy_incarnations,
             {instance.id: instance.proxy_incarnation for _, instance, _ in rows},
@@ -202,24 +214,24 @@
             if (
                 before.get(id_, incarnation) != incarnation
             ):  # a new process: what had failed was the one before it
-                self.node.told(UpstreamHealth(id_, True))
+                self.node.post_event(UpstreamHealth(id_, True))
 
     def set_health(self, address: Address, up: bool) -> None:
         """What its watchers say of a machine."""
-        for id_ in [id_ for id_, at in self.pool.wanted.items() if at == address]:
-            self.node.told(UpstreamHealth(id_, up))
+        for id_ in [id_ for id_, at in self.pool.addresses.items() if at == address]:
+            self.node.post_event(UpstreamHealth(id_, up))
 
     def update_classes(self, changed: dict[str, RequestClass], gone: set[str]) -> None:
         for name in gone:
             self.classes.pop(name, None)
         self.classes.update(changed)
-        self.node.told(ClassesChanged(tuple(changed.values()), tuple(sorted(gone))))
+        self.node.post_event(ClassesChanged(tuple(changed.values()), tuple(sorted(gone))))
 
 
 class Egress:
     """The front of `Outbound`."""
 
-    most_body = MAX_BODY_BYTES
+    max_body_bytes = MAX_BODY_BYTES
 
     def __init__(
         self,
@@ -233,7 +245,7 @@
         shared_retry_budget: tuple[float, float],
         request_log: RequestLog,
         body_budget: ByteBudget | None = None,
-        wire: Wire | None = None,
+        wire: NetworkBackend | None = None,
         is_current: Callable[[], bool] = lambda: True,
     ) -> None:
         """`plant`: the service beside this pilot.  `address_of`: where the pilot of a machine is reached.
@@ -270,7 +282,7 @@
         proxies = len(self._table.proxy_machines()) if changed_names.services else self._known_proxies
         for name, service in self.services.items():
             if proxies != self._known_proxies or name in new_services:
-                service.node.told(proxy_retry_budget(*self._retry_budget, proxies))
+                service.node.post_event(proxy_retry_budget(*self._retry_budget, proxies))
         self._known_proxies = proxies
 
     def _update_routes(self, names: set[str]) -> set[str]:
@@ -309,59 +321,63 @@
     def break_connections(self, machine: str) -> None:
         """What is under way there ends as if its connection had broken."""
         for service in self.services.values():
-            service.pool.break_off(self._address_of(machine)[0])
+            service.pool.reset_connections(self._address_of(machine)[0])
 
     # --- requests
 
-    def begin(self, arrival: Arrival, connection: CallerConnection) -> None:
-        if connection.abandoned():
+    def begin(self, arrival: IncomingRequest, connection: CallerConnection) -> None:
+        if connection.closed_by_caller():
             return
         attempt = arrival.fields.get(ATTEMPT_ID_FIELD, b"")
         if not self._table.has_configuration:
-            self._request_log.record_rejection(attempt, arrival.at, 503, "no configuration yet")
-            raise Bad(503, "no configuration yet", b"Retry-After: 0.3\r\n")
+            self._request_log.record_rejection(attempt, arrival.received_at, 503, "no configuration yet")
+            raise RequestError(503, "no configuration yet", b"Retry-After: 0.3\r\n")
         route = self._find_route(arrival)
         if route is not None:
             if not self._accepts(route, arrival):
-                self._request_log.record_rejection(attempt, arrival.at, REFUSED, "this proxy leaves")
-                raise Bad(REFUSED, "this proxy leaves", SHUTDOWN_RETRY_AFTER)
+                self._request_log.record_rejection(
+                    attempt, arrival.received_at, STATUS_UNAVAILABLE, "this proxy leaves"
+                )
+                raise RequestError(STATUS_UNAVAILABLE, "this proxy leaves", SHUTDOWN_RETRY_AFTER)
             self._forward(route, arrival, connection)
         elif self._is_current():
-            self._request_log.record_rejection(attempt, arrival.at, NOT_FOUND, "no route")
-            raise Bad(NOT_FOUND, "no route")
+            self._request_log.record_rejection(attempt, arrival.received_at, NOT_FOUND, "no route")
+            raise RequestError(NOT_FOUND, "no route")
         else:
-            self._request_log.record_rejection(attempt, arrival.at, REFUSED, "no route, and it may be behind")
+            self._request_log.record_rejection(
+                attempt, arrival.received_at, STATUS_UNAVAILABLE, "no route, and it may be behind"
+            )
             self.unrouted.hold(arrival, connection)
 
     def start_shutdown(self, plan: ShutdownPlan) -> None:
         """This proxy was told to stop."""
         self._shutdown_plan = plan
 
-    def _accepts(self, route: Route, arrival: Arrival) -> bool:
+    def _accepts(self, route: Route, arrival: IncomingRequest) -> bool:
         plan = self._shutdown_plan
         return plan is None or plan.accepts(time_limit_of(route, arrival), self._clock.now())
 
-    def _find_route(self, arrival: Arrival) -> Route | None:
+    def _find_route(self, arrival: IncomingRequest) -> Route | None:
         host = host_without_port(arrival.fields.get(b"host", b""))
         path = arrival.target.partition(b"?")[0].decode("latin-1")
         return self._table.find(host, path)
 
-    def _send_held(self, arrival: Arrival, connection: CallerConnection) -> bool:
+    def _send_held(self, arrival: IncomingRequest, connection: CallerConnection) -> bool:
         route = self._find_route(arrival)
         if route is not None:
             self._forward(route, arrival, connection)
         return route is not None
 
-    def _forward(self, route: Route, arrival: Arrival, connection: CallerConnection) -> None:
+    def _forward(self, route: Route, arrival: IncomingRequest, connection: CallerConnection) -> None:
         attempt = arrival.fields.get(ATTEMPT_ID_FIELD, b"")
         service = self.services[self._choose_service(route, arrival)]
         limit = time_limit_of(route, arrival)
         self._request_count += 1
         request = Request(
-            str(self._request_count), route.name, arrival.at + max(limit, 1000) + DEADLINE_SLACK_US
+            str(self._request_count), route.name, arrival.received_at + max(limit, 1000) + DEADLINE_SLACK_US
         )
         self._request_log.record_request(
-            request.request, attempt, arrival.at, route.name, service.name, limit
+            request.request, attempt, arrival.received_at, route.name, service.name, limit
         )
         keyed = route.kind == "keyed" and OPERATION_KEY.lower() in arrival.fields
         head = forwarded_head(arrival, drop=(CALLER_SERVICE, DEADLINE, HOP)) + b"%s: %s\r\n" % (
@@ -373,14 +389,14 @@
         )
         message.target_before_deadline_ms = max(0, route.cutoff - route.setpoint) // 1000
         message.priority = max(0, route.priority)
-        message.in_pieces = arrival.method != b"HEAD"  # its answer tells a length and has no body
-        message.call = attempt
-        message.wanted = partial(_is_awaited, connection)
+        message.stream_response = arrival.method != b"HEAD"  # its answer tells a length and has no body
+        message.call_id = attempt
+        message.still_wanted = partial(_is_awaited, connection)
         message.client_retry = limit < CLIENT_RETRY_BELOW * route.cutoff
-        connection.hold(partial(service.node.gone, request.request, connection))
+        connection.expect_answer(partial(service.node.client_disconnected, request.request, connection))
         service.node.submit(request, message, connection)
 
-    def _choose_service(self, route: Route, arrival: Arrival) -> str:
+    def _choose_service(self, route: Route, arrival: IncomingRequest) -> str:
         if len(route.services) == 1:
             return route.services[0].service
         key = arrival.fields.get(OPERATION_KEY.lower())
@@ -388,17 +404,19 @@
         return choose_service(route.services, at)
 
     def pending_count(self) -> int:
-        return self.unrouted.count() + sum(service.node.out() for service in self.services.values())
+        return self.unrouted.count() + sum(
+            service.node.unfinished_count() for service in self.services.values()
+        )
 
 
-def time_limit_of(route: Route, arrival: Arrival) -> int:
+def time_limit_of(route: Route, arrival: IncomingRequest) -> int:
     """How long a request may take, in microseconds: its client's deadline or its route's, the sooner."""
     left = arrival.fields.get(DEADLINE.lower(), b"")
     return min(int(left) * 1000, route.cutoff) if left.isdigit() and len(left) < 10 else route.cutoff
 
 
 def _is_awaited(connection: CallerConnection) -> bool:
-    return not connection.abandoned()
+    return not connection.closed_by_caller()
 
 
 def _request_class_of(route: Route) -> RequestClass:
--- a/brackengate/proxy/heartbeats.py
+++ b/brackengate/proxy/heartbeats.py
@@ -7,7 +7,7 @@
 
 import msgspec
 
-from brackengate.http.message import Arrival, Bad
+from brackengate.http.message import IncomingRequest, RequestError
 from brackengate.installation.units import duration
 from brackengate.net.http import CallerConnection
 from brackengate.protocol.http_api import collect_body, parse_rpc_target
@@ -30,12 +30,12 @@
 class HeartbeatEndpoint:
     """The front of `Control` on machines with an upstream."""
 
-    most_body = 64 << 10
+    max_body_bytes = 64 << 10
 
     def __init__(self, on_heartbeat: Callable[[Heartbeat], None], on_leave: Callable[[str], None]) -> None:
         self._on_heartbeat, self._on_leave = on_heartbeat, on_leave
 
-    def begin(self, arrival: Arrival, connection: CallerConnection) -> None:
+    def begin(self, arrival: IncomingRequest, connection: CallerConnection) -> None:
         call, of = parse_rpc_target(arrival.target)
         if call == "instances.feedback" and of:
             collect_body(arrival, lambda body: self._receive(of, body, connection))
@@ -43,7 +43,7 @@
             self._on_leave(of)
             connection.respond(200, b"{}", JSON)
         else:
-            raise Bad(404, "no such call")
+            raise RequestError(404, "no such call")
 
     def _receive(self, of: str, body: bytes, connection: CallerConnection) -> None:
         try:
@@ -51,7 +51,7 @@
             warmup = int(duration(decoded.warmup_left))
         except (msgspec.DecodeError, ValueError) as error:
             log.warning("beats: unreadable from %s: %s", of, error)
-            raise Bad(400, "not a beat") from None
+            raise RequestError(400, "not a beat") from None
         self._on_heartbeat(
             Heartbeat(
                 of,
--- a/brackengate/proxy/hop_headers.py
+++ b/brackengate/proxy/hop_headers.py
@@ -10,8 +10,8 @@
 from dataclasses import dataclass
 from enum import Enum
 
-from brackengate.http.message import Arrival
-from brackengate.http.upstream import Answered
+from brackengate.http.message import IncomingRequest
+from brackengate.http.upstream import UpstreamResponse
 from brackengate.net.node import Reply
 
 ATTEMPT_ID = b"X-Brackengate-Attempt-Id"
@@ -86,7 +86,7 @@
     return _OUTCOMES_BY_VALUE.get(fields.get(HOP.lower(), b""))
 
 
-def forwarded_head(arrival: Arrival, drop: tuple[bytes, ...]) -> bytes:
+def forwarded_head(arrival: IncomingRequest, drop: tuple[bytes, ...]) -> bytes:
     """A request's head as it goes on, without the headers of one connection and those that are dropped."""
     dropped = HOP_BY_HOP | {name.lower() for name in drop}
     connection_tokens = arrival.fields.get(b"connection")
@@ -102,16 +102,16 @@
     return b"\r\n".join(lines) + b"\r\n"
 
 
-def rejection_reply(arrival: Arrival, status: int, outcome: HopOutcome) -> Reply:
+def rejection_reply(arrival: IncomingRequest, status: int, outcome: HopOutcome) -> Reply:
     """The word of a proxy itself; it bears the call's id, so that the other one can tell whose it is."""
     extra = b"%s: %s\r\n" % (HOP, outcome.value)
     attempt_id = arrival.fields.get(ATTEMPT_ID.lower())
     if attempt_id is not None:
         extra += b"%s: %s\r\n" % (ATTEMPT_ID, attempt_id)
-    return Reply(status, extra=extra)
+    return Reply(status, extra_headers=extra)
 
 
-def forwarded_answer(answer: Answered, drop: tuple[bytes, ...] = (HOP,), add: bytes = b"") -> Reply:
+def forwarded_answer(answer: UpstreamResponse, drop: tuple[bytes, ...] = (HOP,), add: bytes = b"") -> Reply:
     """An answer as it goes back."""
     dropped = HOP_BY_HOP | {name.lower() for name in drop}
     connection_tokens = answer.fields.get(b"connection")
@@ -121,4 +121,4 @@
             SERVER_SEAL.lower(),
         }
     extra = [b"%s: %s\r\n" % (name, value) for name, value in answer.headers if name.lower() not in dropped]
-    return Reply(answer.status, answer.body, extra=b"".join(extra) + add)
+    return Reply(answer.status, answer.body, extra_headers=b"".join(extra) + add)
--- a/brackengate/proxy/ingress.py
+++ b/brackengate/proxy/ingress.py
@@ -11,14 +11,14 @@
 from functools import partial
 from typing import Any
 
-from brackengate.http.body import WHOLE, AnswerSink, AnswerStream
-from brackengate.http.message import Arrival, Bad
-from brackengate.http.upstream import MAX_ANSWER, Answered
+from brackengate.http.body import MAX_UNSTREAMED_BYTES, ResponseSink, ResponseStream
+from brackengate.http.message import IncomingRequest, RequestError
+from brackengate.http.upstream import MAX_BUFFERED_RESPONSE_BYTES, UpstreamResponse
 from brackengate.interface import Outcome
 from brackengate.net.http import CallerConnection
 from brackengate.net.node import Clock, Reply
 from brackengate.net.sockets import Address
-from brackengate.net.upstream import Begun, Job, Pool, Result
+from brackengate.net.upstream import Job, Pool, Result, StreamAcceptor
 from brackengate.protocol.http_api import MAX_BODY_BYTES
 from brackengate.protocol.messages import Command
 from brackengate.proxy.admission import Admission, OperationState
@@ -50,7 +50,7 @@
 class Ingress:
     """The front of `Inbound`."""
 
-    most_body = MAX_BODY_BYTES
+    max_body_bytes = MAX_BODY_BYTES
 
     def __init__(
         self,
@@ -90,19 +90,19 @@
             set()
         )  # whose job the upstream has, also where nobody awaits it any more
 
-    def begin(self, arrival: Arrival, connection: CallerConnection) -> None:
+    def begin(self, arrival: IncomingRequest, connection: CallerConnection) -> None:
         hop = parse_hop_info(arrival.fields)
         remaining = arrival.fields.get(DEADLINE.lower(), b"")
         if hop is None or not remaining.isdigit():
-            raise Bad(400, "this door is for pilots")
-        if connection.abandoned():
+            raise RequestError(400, "this door is for pilots")
+        if connection.closed_by_caller():
             return
-        request = IngressRequest(arrival, connection, hop, arrival.at + int(remaining) * 1000)
-        connection.hold(partial(self._on_caller_gone, request))
+        request = IngressRequest(arrival, connection, hop, arrival.received_at + int(remaining) * 1000)
+        connection.expect_answer(partial(self._on_caller_gone, request))
         self.requests.add(request)
         self._arm_deadline(request)
         if arrival.stream is not None:
-            arrival.stream.on_end = partial(self._body_ended, request, request.deadline - arrival.at)
+            arrival.stream.on_end = partial(self._body_ended, request, request.deadline - arrival.received_at)
         if hop.keyed:
             self._keyed_requests.begin(request)
         else:
@@ -140,7 +140,7 @@
         head = forwarded_head(request.arrival, drop=(HOP, DEADLINE, TARGET_INSTANCE))
         head += b"%s: %s\r\n%s: %d\r\n\r\n" % (TARGET_INSTANCE, heartbeat.id.encode(), DEADLINE, remaining)
         request.ticket = self.load.record_start(request.hop.route, self._clock.now())
-        self._upstream_pool.wanted = {heartbeat.id: self._application}
+        self._upstream_pool.addresses = {heartbeat.id: self._application}
         self._running.add(request)
         request.job = self._upstream_pool.start(
             heartbeat.id,
@@ -148,12 +148,14 @@
             head + request.arrival.body,
             partial(self._on_upstream_done, request),
             body=request.arrival.stream,
-            begun=self.stream_receiver(
+            on_streaming=self.stream_receiver(
                 request, partial(forwarded_answer, drop=(HOP, NOT_EXECUTED), add=RAN_HEADER)
             ),
-            whole=WHOLE if request.operation is None else MAX_ANSWER,
-            call=request.arrival.fields.get(ATTEMPT_ID_FIELD, b""),
-            wanted=partial(self._still_wanted, request),
+            unstreamed_bytes=MAX_UNSTREAMED_BYTES
+            if request.operation is None
+            else MAX_BUFFERED_RESPONSE_BYTES,
+            call_id=request.arrival.fields.get(ATTEMPT_ID_FIELD, b""),
+            still_wanted=partial(self._still_wanted, request),
         )
         if request.operation is not None and not request.receiving_body:
             self._limit_run_time(request.job, request)
@@ -161,7 +163,7 @@
     def _still_wanted(self, request: IngressRequest) -> bool:
         """Whether somebody still awaits it; asked before it is sent, in case this process stood still."""
         in_time = request.receiving_body or self._clock.now() < request.deadline
-        return in_time and not request.finished and not request.connection.abandoned()
+        return in_time and not request.finished and not request.connection.closed_by_caller()
 
     def _limit_run_time(self, job: Job, request: IngressRequest) -> None:
         """An operation goes on without its caller, but not for ever."""
@@ -175,7 +177,7 @@
     def _on_upstream_done(self, request: IngressRequest, result: Result) -> None:
         request.job = None
         self._running.discard(request)
-        operation, answer = request.operation, result.answer
+        operation, answer = request.operation, result.response
         self._release_load(request, result.outcome is Outcome.OK)
         if self.finish_stream(request, result):
             return
@@ -183,7 +185,7 @@
             reply = forwarded_answer(answer, drop=(HOP, NOT_EXECUTED), add=RAN_HEADER)
             if operation is not None:
                 self._keyed_requests.operations.store_answer(
-                    operation, reply, len(reply.body) + len(reply.extra)
+                    operation, reply, len(reply.body) + len(reply.extra_headers)
                 )
             self.answer(request, reply)
         elif result.outcome in (Outcome.REJECTED, Outcome.CONNECT_FAILED, Outcome.NOT_SENT):
@@ -212,7 +214,7 @@
         """A request that came in pieces is whole: its time counts from here.  Or its rest will not come."""
         stream, job = request.arrival.stream, request.job
         assert stream is not None
-        if stream.cut:
+        if stream.truncated:
             self._finish(request)
             if job is not None and not job.written:
                 job.give_up(Outcome.CONNECT_FAILED)  # what is not written whole has not run
@@ -223,8 +225,8 @@
                 self._limit_run_time(job, request)
 
     def stream_receiver(
-        self, request: IngressRequest, make_reply: Callable[[Answered], Reply]
-    ) -> Begun | None:
+        self, request: IngressRequest, make_reply: Callable[[UpstreamResponse], Reply]
+    ) -> StreamAcceptor | None:
         """Who takes a long answer; none where a length is told and no body follows.  `made`: what goes back
         of its head."""
         return (
@@ -234,10 +236,10 @@
     def _on_stream_start(
         self,
         request: IngressRequest,
-        make_reply: Callable[[Answered], Reply],
-        head: Answered,
-        stream: AnswerStream,
-    ) -> AnswerSink | None:
+        make_reply: Callable[[UpstreamResponse], Reply],
+        head: UpstreamResponse,
+        stream: ResponseStream,
+    ) -> ResponseSink | None:
         """A long answer's head and first bytes are there: it is the caller's from here on.
 
         It is not kept: of its operation nobody can be told any more than that it has run.
@@ -262,14 +264,14 @@
         sink, request.sink = request.sink, None
         if sink is None:
             return False
-        (sink.finish if result.outcome is Outcome.OK else sink.cut)()
+        (sink.finish if result.outcome is Outcome.OK else sink.truncate)()
         self._finish(request)
         return True
 
     def discard_body(self, request: IngressRequest) -> None:
         """Nobody will read its body any more: what is held of it counts."""
         if request.finished and request.job is None and request.arrival.stream is not None:
-            request.arrival.stream.cut_off()
+            request.arrival.stream.truncate()
 
     # --- answers
 
@@ -279,7 +281,7 @@
         if request.finished:
             return
         self._finish(request)
-        fields, at, hop = request.arrival.fields, request.arrival.at, request.hop
+        fields, at, hop = request.arrival.fields, request.arrival.received_at, request.hop
         key = fields.get(OPERATION_KEY.lower(), b"") if hop.keyed else b""
         took = self._clock.now() - at
         self._request_log.record_ingress(
--- a/brackengate/proxy/ingress_request.py
+++ b/brackengate/proxy/ingress_request.py
@@ -7,12 +7,12 @@
 from dataclasses import dataclass
 from typing import Protocol
 
-from brackengate.http.body import AnswerSink
-from brackengate.http.message import Arrival
-from brackengate.http.upstream import Answered
+from brackengate.http.body import ResponseSink
+from brackengate.http.message import IncomingRequest
+from brackengate.http.upstream import UpstreamResponse
 from brackengate.net.http import CallerConnection
 from brackengate.net.node import Reply
-from brackengate.net.upstream import Begun, Job, Result
+from brackengate.net.upstream import Job, Result, StreamAcceptor
 from brackengate.proxy.admission import Operation
 from brackengate.proxy.hop_headers import HopInfo, HopOutcome
 from brackengate.proxy.load import LoadTicket
@@ -22,7 +22,7 @@
 class IngressRequest:
     """One request at the gate, until it is answered."""
 
-    arrival: Arrival
+    arrival: IncomingRequest
     connection: CallerConnection
     hop: HopInfo
     deadline: int
@@ -30,14 +30,14 @@
     job: Job | None = None
     operation: Operation | None = None
     ticket: LoadTicket | None = None
-    sink: AnswerSink | None = None  # once a long answer is passed on
+    sink: ResponseSink | None = None  # once a long answer is passed on
     finished: bool = False  # it is answered, or its answer has begun, or nobody awaits one
 
     @property
     def receiving_body(self) -> bool:
         """Whether its body is still coming."""
         stream = self.arrival.stream
-        return stream is not None and not stream.whole
+        return stream is not None and not stream.complete
 
 
 class RequestHandler(Protocol):
@@ -57,8 +57,8 @@
     ) -> None: ...
 
     def stream_receiver(
-        self, request: IngressRequest, make_reply: Callable[[Answered], Reply]
-    ) -> Begun | None:
+        self, request: IngressRequest, make_reply: Callable[[UpstreamResponse], Reply]
+    ) -> StreamAcceptor | None:
         """Who takes a long answer to it."""
 
     def finish_stream(self, request: IngressRequest, result: Result) -> bool:
--- a/brackengate/proxy/keys.py
+++ b/brackengate/proxy/keys.py
@@ -12,7 +12,7 @@
 from functools import partial
 from typing import Any
 
-from brackengate.http.message import Arrival
+from brackengate.http.message import IncomingRequest
 from brackengate.interface import Outcome
 from brackengate.net.node import Clock, Reply
 from brackengate.net.sockets import Address
@@ -127,7 +127,7 @@
         visits = [
             request for request in waiters if isinstance(request, IngressRequest) and not request.finished
         ]
-        return [request for request in visits if not request.connection.abandoned()]
+        return [request for request in visits if not request.connection.closed_by_caller()]
 
     def resume_waiters(self, operation: Operation) -> None:
         """It has come to another state: those who wait hear of it."""
@@ -203,13 +203,13 @@
         head = forwarded_head(request.arrival, drop=(HOP, DEADLINE))
         head += b"%s%s: %d\r\n\r\n" % (hop.header_line(), DEADLINE, remaining)
         name = f"gate {operation.holder}"
-        self._peer_pool.wanted[name] = address
+        self._peer_pool.addresses[name] = address
 
         def done(result: Result) -> None:
             request.job = None
             if self._handler.finish_stream(request, result):
                 return
-            answer = result.answer
+            answer = result.response
             outcome = parse_hop_outcome(answer.fields) if answer is not None else None
             if answer is not None and outcome is HopOutcome.RAN:
                 self._handler.answer(
@@ -233,7 +233,7 @@
             head + request.arrival.body,
             done,
             body=request.arrival.stream,
-            begun=self._handler.stream_receiver(request, partial(forwarded_answer, drop=())),
+            on_streaming=self._handler.stream_receiver(request, partial(forwarded_answer, drop=())),
         )
 
     def _drain_body(self, request: IngressRequest, reply: Reply) -> None:
@@ -245,7 +245,7 @@
         def on_data() -> None:
             while stream.take() is not None:
                 pass
-            if stream.over:
+            if stream.fully_taken:
                 self._handler.answer(request, reply)
 
         if stream.open(on_data):
@@ -254,14 +254,14 @@
             self._handler.answer_outcome(request, HopOutcome.UNKNOWN)
 
 
-def _answer_for_repeat(reply: Reply, arrival: Arrival) -> Reply:
+def _answer_for_repeat(reply: Reply, arrival: IncomingRequest) -> Reply:
     """The first try's answer for another try: only whose answer it is differs."""
     lines = [
         line
-        for line in reply.extra.split(b"\r\n")
+        for line in reply.extra_headers.split(b"\r\n")
         if line and not line.lower().startswith(ATTEMPT_ID.lower())
     ]
     attempt_id = arrival.fields.get(ATTEMPT_ID.lower())
     if attempt_id is not None:
         lines.append(b"%s: %s" % (ATTEMPT_ID, attempt_id))
-    return Reply(reply.status, reply.body, extra=b"".join(line + b"\r\n" for line in lines))
+    return Reply(reply.status, reply.body, extra_headers=b"".join(line + b"\r\n" for line in lines))
--- a/brackengate/proxy/role.py
+++ b/brackengate/proxy/role.py
@@ -20,7 +20,7 @@
 import msgspec
 
 from brackengate.http.body import ByteBudget
-from brackengate.net.ground import Ground
+from brackengate.net.environment import Environment
 from brackengate.net.node import Clock
 from brackengate.net.server import Server
 from brackengate.net.sockets import Address, SocketBudget
@@ -56,12 +56,12 @@
 
 class Proxy:
     def __init__(
-        self, settings: Settings, read: Callable[[], Settings], ground: Ground | None = None
+        self, settings: Settings, read: Callable[[], Settings], ground: Environment | None = None
     ) -> None:
         """`read`: the settings as the file has them by now; BadSettings where it can't be used.  `ground`:
         what it stands on; by default the machine."""
         self.settings, self._read = settings, read
-        ground = ground or Ground(asyncio.get_running_loop(), random.Random())
+        ground = ground or Environment(asyncio.get_running_loop(), random.Random())
         loop, rng, bind = ground.loop, ground.rng, ground.bind
         self._loop = loop
         clock = self.clock = ground.clock or Clock()
@@ -74,7 +74,7 @@
         inbound = required_address(settings.listen.inbound, "Inbound")
         self._port = inbound[1]
         self.table = RoutingTable()
-        request_log, wire = RequestLog(), ground.wire
+        request_log, network = RequestLog(), ground.network
         self.admission = Admission(
             settings.zone, settings.feedback, settings.bounds.drain, f"{rng.getrandbits(32):08x}"
         )
@@ -85,11 +85,11 @@
             CONNECT_TIMEOUT_S,
             IDLE_TIMEOUT_S,
             body_budget,
-            wire=wire,
-            judge=classify_proxy_answer,
-            settle=0,
-            silent_ms=SEND_STALL_TIMEOUT_MS,
-            slow=False,
+            network=network,
+            classify=classify_proxy_answer,
+            settle_us=0,
+            tcp_user_timeout_ms=SEND_STALL_TIMEOUT_MS,
+            stream_slow_responses=False,
         )
         self._upstream_pool = Pool(
             loop,
@@ -97,9 +97,9 @@
             CONNECT_TIMEOUT_S,
             IDLE_TIMEOUT_S,
             body_budget,
-            wire=wire,
-            judge=classify_upstream_answer,
-            slow=False,
+            network=network,
+            classify=classify_upstream_answer,
+            stream_slow_responses=False,
         )
         self.control_client = ControlClient(
             settings.ip,
@@ -128,7 +128,7 @@
             (settings.bounds.retry_ratio, settings.bounds.retry_slack),
             request_log,
             body_budget,
-            wire,
+            network,
             lambda: self.control_client.is_current(current_within),
         )
         self.control_client.on_freshness_changed = self.egress.unrouted.recheck
@@ -220,7 +220,7 @@
             "pilot: leaving, with %d requests held",
             self.egress.pending_count() + self.ingress.pending_count(),
         )
-        self._egress_server.ask_to_go(True)
+        self._egress_server.set_draining(True)
         now, longest_request = (
             self.clock.now(),
             max((route.cutoff for route in self.table.routes()), default=0),
@@ -243,7 +243,7 @@
         """Other proxies' connections end with their next answer, and not before the news has reached them:
         a close that crosses a request leaves its caller without knowing whether it ran."""
         self.admission.closed = True
-        self._ingress_server.ask_to_go(True)
+        self._ingress_server.set_draining(True)
 
     def _exit_when_idle(self, plan: ShutdownPlan) -> None:
         pending = self.egress.pending_count() + self.ingress.pending_count()
@@ -263,12 +263,12 @@
         before = self.admission.heartbeat
         self.admission.receive_heartbeat(heartbeat, self.clock.now())
         if before is not None and before.id != heartbeat.id:
-            self._upstream_pool.release(before.id)
+            self._upstream_pool.close_idle(before.id)
         self._reconcile()
 
     def _on_upstream_leaving(self, id_: str) -> None:
         self.admission.remove_upstream(id_)
-        self._upstream_pool.release(id_)
+        self._upstream_pool.close_idle(id_)
         self._reconcile()
 
     def _report_periodically(self) -> None:
@@ -325,7 +325,7 @@
     def _on_unreachable(self, machine: str) -> None:
         """And that nothing waits for one which has not answered for long, nor on a connection."""
         self.egress.break_connections(machine)
-        self._peer_pool.break_off(machine)
+        self._peer_pool.reset_connections(machine)
 
 
 def _reported_fields(instance: UpstreamReport) -> tuple[str, str, str]:
--- a/brackengate/proxy/unrouted_requests.py
+++ b/brackengate/proxy/unrouted_requests.py
@@ -10,9 +10,9 @@
 from collections.abc import Callable
 from dataclasses import dataclass
 
-from brackengate.http.message import Arrival
+from brackengate.http.message import IncomingRequest
 from brackengate.net.http import CallerConnection
-from brackengate.net.node import REFUSED, Reply
+from brackengate.net.node import STATUS_UNAVAILABLE, Reply
 
 MAX_HOLD_S = 0.15
 RETRY_AFTER_US = 100_000  # microseconds
@@ -21,7 +21,7 @@
 
 @dataclass(eq=False, slots=True)
 class HeldRequest:
-    arrival: Arrival
+    arrival: IncomingRequest
     connection: CallerConnection
     timer: asyncio.TimerHandle
 
@@ -31,18 +31,18 @@
         self,
         loop: asyncio.AbstractEventLoop,
         is_current: Callable[[], bool],
-        send: Callable[[Arrival, CallerConnection], bool],
+        send: Callable[[IncomingRequest, CallerConnection], bool],
     ) -> None:
         """`begin`: sends a request on its way; False: there is no route for it."""
         self._loop, self._is_current, self._send = loop, is_current, send
         self._held: list[HeldRequest] = []
 
-    def hold(self, arrival: Arrival, connection: CallerConnection) -> None:
+    def hold(self, arrival: IncomingRequest, connection: CallerConnection) -> None:
         held = HeldRequest(
             arrival, connection, self._loop.call_later(MAX_HOLD_S, lambda: self._on_timeout(held))
         )
         self._held.append(held)
-        connection.hold(lambda: self._drop(held))
+        connection.expect_answer(lambda: self._drop(held))
 
     def recheck(self) -> None:
         """What is in force, or how current it is, has changed."""
@@ -56,7 +56,7 @@
         return len(self._held)
 
     def _on_timeout(self, held: HeldRequest) -> None:
-        self._answer(held, Reply(REFUSED, retry_after=RETRY_AFTER_US))
+        self._answer(held, Reply(STATUS_UNAVAILABLE, retry_after_us=RETRY_AFTER_US))
 
     def _answer(self, held: HeldRequest, reply: Reply) -> None:
         self._drop(held)
--- a/tests/control/test_commands_pending.py
+++ b/tests/control/test_commands_pending.py
@@ -21,7 +21,7 @@
     patience_for,
 )
 from brackengate.control.operator_api import OperatorApi, answer_to
-from brackengate.http.message import Arrival
+from brackengate.http.message import IncomingRequest
 from brackengate.protocol.messages import (
     Amend,
     Claim,
@@ -137,8 +137,8 @@
         self.gone = gone
 
 
-def arrival(call: str) -> Arrival:
-    return Arrival(b"POST", b"/v1/rpc?call=" + call.encode(), [], b"{}", True, 0)
+def arrival(call: str) -> IncomingRequest:
+    return IncomingRequest(b"POST", b"/v1/rpc?call=" + call.encode(), [], b"{}", True, 0)
 
 
 def test_an_order_whose_caller_goes_is_withdrawn() -> None:
--- a/tests/platform/test_siblings.py
+++ b/tests/platform/test_siblings.py
@@ -100,13 +100,13 @@
     """Sockets of the other process leave fewer here; idle ones here are closed first."""
     elsewhere = 6
     budget = SocketBudget(10, lambda: elsewhere)
-    assert all(budget.claim() for _ in range(4))
-    assert not budget.claim()
+    assert all(budget.acquire() for _ in range(4))
+    assert not budget.acquire()
     idle = [1]
-    budget.on_short(lambda: bool(idle) and (idle.pop(), budget.free()) is not None)
-    assert budget.claim() and not budget.claim()
+    budget.add_evictor(lambda: bool(idle) and (idle.pop(), budget.release()) is not None)
+    assert budget.acquire() and not budget.acquire()
     elsewhere = 0
-    assert all(budget.claim() for _ in range(6)) and not budget.claim()
+    assert all(budget.acquire() for _ in range(6)) and not budget.acquire()
 
 
 def test_repeated_scans_open_no_further_descriptors(tmp_path: Path) -> None:
--- a/tests/proxy/mistakes.py
+++ b/tests/proxy/mistakes.py
@@ -8,11 +8,11 @@
 from typing import Any
 from unittest.mock import patch
 
-from brackengate.http.upstream import Answered, UpstreamMachine
+from brackengate.http.upstream import UpstreamMachine, UpstreamResponse
 from brackengate.interface import Idempotency, Outcome, RequestClass
 from brackengate.net import upstream
 from brackengate.net.http import CallerConnection
-from brackengate.net.node import FAILED, Reply
+from brackengate.net.node import STATUS_BAD_GATEWAY, Reply
 from brackengate.net.upstream import Result
 from brackengate.policy import retries
 from brackengate.policy.state import TrackedRequest
@@ -20,7 +20,7 @@
 from brackengate.proxy.admission import OperationState
 from brackengate.proxy.hop_headers import SERVER_SEAL, HopOutcome, forwarded_answer
 
-Judge = Callable[[bytes, Answered], Result]
+Judge = Callable[[bytes, UpstreamResponse], Result]
 Patch = Callable[[], AbstractContextManager[Any]]
 
 
@@ -33,38 +33,42 @@
 def _no_id(judge: Judge) -> Judge:
     """Takes every answer for the call's own."""
 
-    def judged(payload: bytes, answer: Answered) -> Result:
+    def judged(payload: bytes, answer: UpstreamResponse) -> Result:
         asked = answer_classification.attempt_id_of(payload)
         fields = {**answer.fields, answer_classification._ATTEMPT_ID: asked or b""}
-        return judge(payload, Answered(answer.status, fields, answer.body, answer.reuse, answer.headers))
+        return judge(
+            payload, UpstreamResponse(answer.status, fields, answer.body, answer.reuse, answer.headers)
+        )
 
     return judged
 
 
-def _bare_refusal(payload: bytes, answer: Answered) -> Result:
+def _bare_refusal(payload: bytes, answer: UpstreamResponse) -> Result:
     """Passes a 429 or 503 on that does not say that nothing has run."""
     result = _own_judge(payload, answer)
     bare = answer.status in answer_classification.NOT_EXECUTED_STATUSES and result.outcome is Outcome.ERROR
-    return Result(Outcome.OK, answer=answer) if bare else result
+    return Result(Outcome.OK, response=answer) if bare else result
 
 
-def _bare_refusal_back(payload: bytes, answer: Answered) -> Result:
+def _bare_refusal_back(payload: bytes, answer: UpstreamResponse) -> Result:
     result = _judge(payload, answer)
     if (
         answer.status in answer_classification.NOT_EXECUTED_STATUSES
-        and result.astray
+        and result.mismatched
         and answer.fields.get(answer_classification._SERVER_SEAL)
     ):
-        return Result(Outcome.ERROR, answer=answer)
+        return Result(Outcome.ERROR, response=answer)
     return result
 
 
 def _no_seal(judge: Judge) -> Judge:
     """Takes a success that nobody has put a seal to."""
 
-    def judged(payload: bytes, answer: Answered) -> Result:
+    def judged(payload: bytes, answer: UpstreamResponse) -> Result:
         fields = {answer_classification._SERVER_SEAL: b"", **answer.fields}
-        return judge(payload, Answered(answer.status, fields, answer.body, answer.reuse, answer.headers))
+        return judge(
+            payload, UpstreamResponse(answer.status, fields, answer.body, answer.reuse, answer.headers)
+        )
 
     return judged
 
@@ -74,9 +78,9 @@
 ) -> Reply:
     """A failure of the proxy's own keeps what the upstream's answer bore."""
     reply = _unserved(self, status, retry_after, last, ran)
-    answer = last.answer if last is not None else None
-    if answer is not None and SERVER_SEAL.lower() in answer.fields and status == FAILED:
-        return Reply(FAILED, extra=forwarded_answer(answer).extra)
+    answer = last.response if last is not None else None
+    if answer is not None and SERVER_SEAL.lower() in answer.fields and status == STATUS_BAD_GATEWAY:
+        return Reply(STATUS_BAD_GATEWAY, extra_headers=forwarded_answer(answer).extra_headers)
     return reply
 
 
@@ -111,8 +115,8 @@
 
 def _ended(self: UpstreamMachine, clean: bool) -> list[Any]:
     """Takes what there is of an answer for all of it, once its connection has closed in order."""
-    if clean and self.written and self._status and not self._complete:
-        answer = Answered(self._status, self._fields, b"".join(self._body), False, self._headers)
+    if clean and self.written and self._status and not self._message_complete:
+        answer = UpstreamResponse(self._status, self._fields, b"".join(self._body), False, self._headers)
         self._close()
         return [answer]
     return _true_ended(self, clean)
@@ -132,7 +136,7 @@
 _own_judge, _judge, _unserved = (
     answer_classification.classify_upstream_answer,
     answer_classification.classify_proxy_answer,
-    egress.EgressReplies.unserved,
+    egress.EgressReplies.failure,
 )
 _true_class_of, _true_ran, _true_ended = (
     egress._request_class_of,
@@ -142,7 +146,7 @@
 _true_spend_retry = retries.Retries._spend_retry
 
 
-_always_wanted = property(lambda self: upstream.always, lambda self, wanted: None)
+_always_wanted = property(lambda self: upstream.always_true, lambda self, wanted: None)
 
 
 def _both(own: Judge, back: Judge) -> Patch:
@@ -187,7 +191,8 @@
         lambda: patch.object(ingress.Ingress, "_on_upstream_done", _on_upstream_done),
     ),
     "same-connection": Mistake(
-        "a call goes again on a connection that refused it", lambda: patch.object(upstream, "NOT_RUN", ())
+        "a call goes again on a connection that refused it",
+        lambda: patch.object(upstream, "NOT_EXECUTED", ()),
     ),
     "cut-short": Mistake(
         "what there is of an answer counts as all of it",
@@ -195,7 +200,7 @@
     ),
     "broken-is-unrun": Mistake(
         "a connection that breaks behind a call says that it has not run",
-        lambda: patch.object(upstream.Job, "broken", _broken),
+        lambda: patch.object(upstream.Job, "connection_broken", _broken),
     ),
     "free-resets": Mistake(
         "a try that was lost with its connection doesn't count toward MaxAttempts",
@@ -203,12 +208,12 @@
     ),
     "thawed": Mistake(
         "a proxy that stood still sends for callers who have left",
-        lambda: patch.object(CallerConnection, "abandoned", lambda self: False),
+        lambda: patch.object(CallerConnection, "closed_by_caller", lambda self: False),
     ),
     "late-dial": Mistake(
         "what waited for a connection is sent although its time is over",
         lambda: patch.object(
-            upstream.Job, "wanted", property(lambda self: lambda: True, lambda self, to: None)
+            upstream.Job, "still_wanted", property(lambda self: lambda: True, lambda self, to: None)
         ),
     ),
     "no-deadline": Mistake(
--- a/tests/proxy/proxy_pair.py
+++ b/tests/proxy/proxy_pair.py
@@ -102,9 +102,24 @@
         self.egress_budget, self.ingress_budget = ByteBudget(max_body_bytes), ByteBudget(max_body_bytes)
         self.admission = Admission("z", 60 * S, 2 * S)
         self.admission.receive_heartbeat(Heartbeat("i-1", "p", "ready", 100, 0, 1), self.clock.now())
-        own = Pool(loop, sockets, 5.0, 9.0, self.ingress_budget, judge=classify_upstream_answer, slow=False)
+        own = Pool(
+            loop,
+            sockets,
+            5.0,
+            9.0,
+            self.ingress_budget,
+            classify=classify_upstream_answer,
+            stream_slow_responses=False,
+        )
         peers = Pool(
-            loop, sockets, 5.0, 9.0, self.ingress_budget, judge=classify_proxy_answer, settle=0, slow=False
+            loop,
+            sockets,
+            5.0,
+            9.0,
+            self.ingress_budget,
+            classify=classify_proxy_answer,
+            settle_us=0,
+            stream_slow_responses=False,
         )
         self.holder: Mesh | None = None  # whose gate has all keys
         self.ingress = Ingress(
--- a/tests/proxy/test_proxy_decisions.py
+++ b/tests/proxy/test_proxy_decisions.py
@@ -5,9 +5,9 @@
 from testtools import TestCase
 from testtools.matchers import Equals, LessThan
 
-from brackengate.http.upstream import Answered
+from brackengate.http.upstream import UpstreamResponse
 from brackengate.interface import EarlierAttempt, Endpoint, Outcome
-from brackengate.net.node import FAILED, OVERDUE, REFUSED
+from brackengate.net.node import STATUS_BAD_GATEWAY, STATUS_GATEWAY_TIMEOUT, STATUS_UNAVAILABLE
 from brackengate.net.upstream import Result
 from brackengate.protocol.config_items import WeightedService
 from brackengate.protocol.messages import UpstreamReport
@@ -232,25 +232,33 @@
     def test_only_what_has_not_run_is_refused(self) -> None:
         def answer(outcome: HopOutcome, status: int = 503) -> Result:
             fields = {HOP.lower(): outcome.value}
-            return Result(Outcome.TIMEOUT, answer=Answered(status, fields, b"", True, [(HOP, outcome.value)]))
+            return Result(
+                Outcome.TIMEOUT, response=UpstreamResponse(status, fields, b"", True, [(HOP, outcome.value)])
+            )
 
         ran = EarlierAttempt(Endpoint("i-1"), 0)
         cases = (
-            ("all turned it away", REFUSED, answer(HopOutcome.FULL), (), 503),
-            ("it broke behind the request", REFUSED, answer(HopOutcome.BROKEN), (ran,), 502),
-            ("nothing came back at all", REFUSED, None, (ran,), 502),
-            ("turned away, after it broke elsewhere", REFUSED, answer(HopOutcome.FULL), (ran,), 502),
-            ("its operation is known to nobody", FAILED, answer(HopOutcome.UNKNOWN), (ran,), 503),
+            ("all turned it away", STATUS_UNAVAILABLE, answer(HopOutcome.FULL), (), 503),
+            ("it broke behind the request", STATUS_UNAVAILABLE, answer(HopOutcome.BROKEN), (ran,), 502),
+            ("nothing came back at all", STATUS_UNAVAILABLE, None, (ran,), 502),
+            (
+                "turned away, after it broke elsewhere",
+                STATUS_UNAVAILABLE,
+                answer(HopOutcome.FULL),
+                (ran,),
+                502,
+            ),
+            ("its operation is known to nobody", STATUS_BAD_GATEWAY, answer(HopOutcome.UNKNOWN), (ran,), 503),
             (
                 "so is it, but another attempt of it broke",
-                FAILED,
+                STATUS_BAD_GATEWAY,
                 answer(HopOutcome.UNKNOWN),
                 (ran, ran),
                 502,
             ),
-            ("its operation is at work", FAILED, answer(HopOutcome.BUSY, 409), (ran,), 409),
-            ("the upstream's own error", REFUSED, answer(HopOutcome.RAN, 500), (ran,), 500),
-            ("its time is up", OVERDUE, None, (ran,), 504),
+            ("its operation is at work", STATUS_BAD_GATEWAY, answer(HopOutcome.BUSY, 409), (ran,), 409),
+            ("the upstream's own error", STATUS_UNAVAILABLE, answer(HopOutcome.RAN, 500), (ran,), 500),
+            ("its time is up", STATUS_GATEWAY_TIMEOUT, None, (ran,), 504),
         )
         for what, status, last, might, expected in cases:
-            self.assertThat(EgressReplies().unserved(status, 0, last, might).status, Equals(expected), what)
+            self.assertThat(EgressReplies().failure(status, 0, last, might).status, Equals(expected), what)
