--- a/tests/admin/test_admin_protocol.py
+++ b/tests/admin/test_admin_protocol.py
@@ -1,4 +1,4 @@
-"""The operators' line, in any pieces, and the text of the figures."""
+"""The admin command line, split in any way, and the text of the metrics."""
 
 from __future__ import annotations
 
@@ -17,10 +17,10 @@
 from brackengate.net.metrics import RequestMetrics, ResultKind, result_kind
 
 
-@pytest.mark.parametrize("call", list(AdminCommand))
+@pytest.mark.parametrize("command", list(AdminCommand))
 @pytest.mark.parametrize("end", [b"\n", b"\r\n", b" \r\n", b"\nand more"])
-def test_each_call_with_each_end_of_a_line(call: AdminCommand, end: bytes) -> None:
-    assert CommandReader().feed(call.value.encode() + end) is call
+def test_each_command_with_each_line_end(command: AdminCommand, end: bytes) -> None:
+    assert CommandReader().feed(command.value.encode() + end) is command
 
 
 @pytest.mark.parametrize(
@@ -35,33 +35,33 @@
         (b"x" * (MAX_LINE_BYTES + 1), "64 bytes"),
     ],
 )
-def test_what_is_no_call_is_told_so_with_what_is_allowed(data: bytes, word: str) -> None:
-    told = CommandReader().feed(data)
-    assert isinstance(told, InvalidCommand) and word in told.reason
-    assert "\n" not in told.reason
+def test_an_invalid_command_is_answered_with_the_allowed_ones(data: bytes, word: str) -> None:
+    result = CommandReader().feed(data)
+    assert isinstance(result, InvalidCommand) and word in result.reason
+    assert "\n" not in result.reason
     if "64" not in word:
-        assert "drain-off" in told.reason
+        assert "drain-off" in result.reason
 
 
-def test_an_unfinished_line_is_no_call_and_holds_no_more_than_its_bound() -> None:
+def test_an_unfinished_line_is_no_command_and_its_buffer_is_limited() -> None:
     line = CommandReader()
     for _ in range(MAX_LINE_BYTES):
         assert line.feed(b"x") is None
     assert isinstance(line.feed(b"x" * 10_000_000), InvalidCommand)
-    assert line.feed(b"check\n") is None  # one line a connection
+    assert line.feed(b"check\n") is None  # one line per connection
 
 
 @given(st.binary(max_size=200), st.lists(st.integers(1, 60), max_size=20))
-def test_the_verdict_does_not_depend_on_the_cuts(data: bytes, cuts: list[int]) -> None:
-    whole, pieces, told = CommandReader().feed(data), CommandReader(), None
-    at = 0
-    for cut in [*cuts, len(data)]:
-        told = told or pieces.feed(data[at : at + cut])
-        at += cut
-    assert told == whole
+def test_splitting_a_line_does_not_change_the_result(data: bytes, lengths: list[int]) -> None:
+    whole, pieces, result = CommandReader().feed(data), CommandReader(), None
+    start = 0
+    for length in [*lengths, len(data)]:
+        result = result or pieces.feed(data[start : start + length])
+        start += length
+    assert result == whole
 
 
-def test_figures_begin_at_zero_for_every_class_and_end_with_the_end() -> None:
+def test_metrics_start_at_zero_for_every_class_and_finish_with_end() -> None:
     text = encode_metrics(RequestMetrics(), ["read", "buy"], 3, 1).decode().splitlines()
     assert text == [
         "app.success.read:0|c",
@@ -78,15 +78,15 @@
     ]
 
 
-def test_each_status_counts_as_one_kind_and_who_has_left_as_none() -> None:
-    figures = RequestMetrics()
+def test_each_status_counts_as_one_result_and_a_disconnected_caller_as_none() -> None:
+    metrics = RequestMetrics()
     for number, status in enumerate((200, 503, 429, 502, 504, 500, 0)):
         request = Request(f"r{number}", "read", 1)
-        figures.taken(request, 0)
-        assert figures.inflight == 1
-        figures.ended(request, status, 0, 1)
-    assert figures.inflight == 0
-    counts = figures.count_by_result(["read"])
+        metrics.taken(request, 0)
+        assert metrics.inflight == 1
+        metrics.ended(request, status, 0, 1)
+    assert metrics.inflight == 0
+    counts = metrics.count_by_result(["read"])
     assert counts == {
         (ResultKind.SERVED, "read"): 1,
         (ResultKind.BUSY, "read"): 2,
--- a/tests/graphql/test_front.py
+++ b/tests/graphql/test_front.py
@@ -42,7 +42,7 @@
             self.made = GraphqlFront(node, node, told, store or Store(), options or Options())
             return {b"/graphql": self.made}
 
-        super().__init__(module, SETTINGS, connect_timeout_s=0.3, fronts=fronts)
+        super().__init__(module, SETTINGS, connect_timeout_s=0.3, frontends=fronts)
 
 
 class Dealer:
@@ -485,7 +485,7 @@
             fronts.append(GraphqlFront(node, node, Classifier(TABLE, Limits()), None, Options()))
             return {b"/graphql": fronts[0]}
 
-        bench = Bench(None, settings, sockets=2000, connect_timeout_s=0.3, fronts=make)
+        bench = Bench(None, settings, sockets=2000, connect_timeout_s=0.3, frontends=make)
         listed(bench, ups)
         ends: dict[str, list[tuple[int, bool]]] = {}  # by subject: status, and whether it may have run
         number = 0
--- a/tests/http/conftest.py
+++ b/tests/http/conftest.py
@@ -1,4 +1,4 @@
-"""Tests import the helpers beside them, and the scripted peers of the network's tests."""
+"""Lets tests import the helpers in this folder and the scripted peers in tests/net."""
 
 import sys
 from pathlib import Path
--- a/tests/http/machines.py
+++ b/tests/http/machines.py
@@ -1,4 +1,4 @@
-"""Drives both machines without a socket: pieces in, verdicts out."""
+"""Drives both state machines without a socket: pieces in, results out."""
 
 from __future__ import annotations
 
@@ -9,32 +9,32 @@
 from brackengate.http.body import Body, ByteBudget
 from brackengate.http.message import IncomingRequest
 
-MOST_LONG = 64 << 20
+MAX_STREAMED_BODY_BYTES = 64 << 20
 
 
 @dataclass
-class Heard:
-    """What a caller's bytes came to.  Every request is answered at once, unless `answers` is off."""
+class CallerRun:
+    """The result of a caller's bytes.  Every request is answered at once, unless `answers` is off."""
 
     answers: bool = True
-    most_body: int = MOST_LONG
+    max_body_bytes: int = MAX_STREAMED_BODY_BYTES
     now: int = 0
     requests: list[tuple[bytes, bytes, list[tuple[bytes, bytes]], bytes]] = field(default_factory=list)
     refused: list[tuple[int, str]] = field(default_factory=list)
     written: bytes = b""
     closed: bool = False
-    most_held: int = 0
+    max_buffered_bytes: int = 0
     delivered: list[IncomingRequest] = field(default_factory=list)
 
     def __post_init__(self) -> None:
-        self.machine = caller.CallerMachine(self.now, lambda target: self.most_body)
+        self.machine = caller.CallerMachine(self.now, lambda target: self.max_body_bytes)
         self.bodies: dict[int, bytearray] = {}
         self.reads = True
         self._budget = ByteBudget(1 << 30)
 
     def send(self, data: bytes) -> None:
         self.do(self.machine.received(data, self.now))
-        self.most_held = max(self.most_held, self.machine.buffered_bytes())
+        self.max_buffered_bytes = max(self.max_buffered_bytes, self.machine.buffered_bytes())
 
     def do(self, commands: Sequence[caller.Command]) -> None:
         for command in commands:
@@ -62,32 +62,32 @@
                 case caller.ContinueLater():
                     self.do(self.machine.resume(self.now))
 
-    def verdict(self) -> tuple[object, ...]:
+    def outcome(self) -> tuple[object, ...]:
         return self.requests, self.refused, self.written, self.machine.state
 
 
-def heard(pieces: Iterable[bytes], **more: object) -> Heard:
-    told = Heard(**more)  # type: ignore[arg-type]
+def run_caller(pieces: Iterable[bytes], **more: object) -> CallerRun:
+    run = CallerRun(**more)  # type: ignore[arg-type]
     for piece in pieces:
-        told.send(piece)
-    return told
+        run.send(piece)
+    return run
 
 
 @dataclass
-class Answer:
-    """What an upstream's bytes came to."""
+class UpstreamRun:
+    """The result of an upstream's bytes."""
 
-    in_pieces: bool = False
+    streaming: bool = False
     written: bool = True
 
     def __post_init__(self) -> None:
         self.machine = upstream.UpstreamMachine()
-        self.machine.start_request(0, None, upstream.StreamingPolicy() if self.in_pieces else None)
+        self.machine.start_request(0, None, upstream.StreamingPolicy() if self.streaming else None)
         if self.written:
             self.machine.next_piece(0)
-        self.said: list[tuple[object, ...]] = []
+        self.results: list[tuple[object, ...]] = []
         self.body = b""
-        self.most_held = 0
+        self.max_buffered_bytes = 0
 
     def take(self, events: Sequence[upstream.Event]) -> None:
         for event in events:
@@ -97,29 +97,31 @@
                 case upstream.BodyPiece(data):
                     self.body += data
                 case upstream.UpstreamResponse(status, _, body, reuse):
-                    self.said.append(("answered", status, self.body + body, reuse))
+                    self.results.append(("answered", status, self.body + body, reuse))
                 case upstream.InvalidResponse():
-                    self.said.append(("spoilt",))
+                    self.results.append(("invalid",))
                 case upstream.UnsolicitedData():
-                    self.said.append(("unasked",))
+                    self.results.append(("unsolicited",))
 
     def send(self, data: bytes) -> None:
         self.take(self.machine.received(data, 0))
-        self.most_held = max(self.most_held, self.machine.buffered_bytes + len(self.machine._unparsed))
+        self.max_buffered_bytes = max(
+            self.max_buffered_bytes, self.machine.buffered_bytes + len(self.machine._unparsed)
+        )
 
 
-def answered(pieces: Iterable[bytes], ends: bool = False, **more: bool) -> Answer:
-    told = Answer(**more)
+def run_upstream(pieces: Iterable[bytes], ends: bool = False, **more: bool) -> UpstreamRun:
+    run = UpstreamRun(**more)
     for piece in pieces:
-        told.send(piece)
+        run.send(piece)
     if ends:
-        told.take(told.machine.ended(True))
-    return told
+        run.take(run.machine.ended(True))
+    return run
 
 
-def cuts(data: bytes) -> Iterator[list[bytes]]:
-    """Whole, cut once at every byte, and byte by byte."""
+def all_splits(data: bytes) -> Iterator[list[bytes]]:
+    """The data in one piece, split once at every byte, and byte by byte."""
     yield [data]
-    for at in range(1, len(data)):
-        yield [data[:at], data[at:]]
-    yield [data[at : at + 1] for at in range(len(data))]
+    for index in range(1, len(data)):
+        yield [data[:index], data[index:]]
+    yield [data[index : index + 1] for index in range(len(data))]
--- a/tests/http/test_model.py
+++ b/tests/http/test_model.py
@@ -1,6 +1,6 @@
-"""All histories of a connection up to a depth, on the machines themselves, against what a caller is owed.
+"""Explores all histories of a connection up to a depth on the state machines and checks their invariants.
 
-States that look alike are gone on from once: the depth counts different situations, not repetitions.
+Equal states are explored once, so the depth counts different situations, not repetitions.
 """
 
 from __future__ import annotations
@@ -41,42 +41,42 @@
 
 
 class World:
-    """One caller's connection, whoever holds its request, and what must hold between them."""
+    """One caller's connection, the handler of its request, and the invariants between them."""
 
     def __init__(self) -> None:
         self.now = 0
         self.machine = caller.CallerMachine(0, lambda target: 1 << 20)
-        self.owed: IncomingRequest | None = None  # delivered, and neither answered nor told gone
-        self.long = False  # its long answer is on its way
+        self.pending: IncomingRequest | None = None  # delivered, and neither answered nor reported as gone
+        self.streaming = False  # a streamed answer is being sent
         self.open_bodies: set[int] = set()
-        self.over = False  # nothing may be said any more
-        self.again = False
+        self.ended = False  # nothing may be written any more
+        self.resume_later = False
         self.draining = False
         self.finals = self.delivered = self.gone = 0
 
     def key(self) -> tuple[object, ...]:
-        it = self.machine
+        machine = self.machine
         return (
-            it.state,
-            len(it._unparsed),
-            it._write_buffer_full,
-            it._body_paused,
-            it._reading,
-            self.owed is not None,
-            self.long,
-            self.over,
-            self.again,
+            machine.state,
+            len(machine._unparsed),
+            machine._write_buffer_full,
+            machine._body_paused,
+            machine._reading,
+            self.pending is not None,
+            self.streaming,
+            self.ended,
+            self.resume_later,
             self.draining,
-            it._body_size,
+            machine._body_size,
         )
 
     def take(self, commands: list[caller.Command]) -> None:
         for command in commands:
             match command:
                 case caller.Deliver(arrival):
-                    assert self.owed is None, "a second request is delivered before the first has its answer"
-                    assert not self.over
-                    self.owed, self.delivered = arrival, self.delivered + 1
+                    assert self.pending is None, "a second request is delivered before the first is answered"
+                    assert not self.ended
+                    self.pending, self.delivered = arrival, self.delivered + 1
                 case caller.OpenBody(arrival, length):
                     arrival.stream = Body(ByteBudget(1), length, lambda: None)
                     self.open_bodies.add(id(arrival))
@@ -84,102 +84,102 @@
                     assert id(arrival) in self.open_bodies
                 case caller.EndBody(arrival) | caller.TruncateBody(arrival):
                     self.open_bodies.discard(id(arrival))
-                    if isinstance(command, caller.TruncateBody) and self.owed is arrival:
-                        self.owed, self.gone = None, self.gone + 1
+                    if isinstance(command, caller.TruncateBody) and self.pending is arrival:
+                        self.pending, self.gone = None, self.gone + 1
                 case caller.CallerGone():
-                    assert self.owed is not None or self.long, "nobody holds a request"
+                    assert self.pending is not None or self.streaming, "there is no pending request"
                     self.gone += 1
-                    self.owed, self.long = None, False
+                    self.pending, self.streaming = None, False
                 case caller.Write():
-                    assert not self.over, "something is said on a connection that has ended"
+                    assert not self.ended, "bytes are written on a connection that has ended"
                 case caller.Close() | caller.EndSending():
-                    assert not (isinstance(command, caller.EndSending) and self.over)
-                    self.over = True
+                    assert not (isinstance(command, caller.EndSending) and self.ended)
+                    self.ended = True
                 case caller.ContinueLater():
-                    self.again = True
+                    self.resume_later = True
 
     def final(self, commands: list[caller.Command]) -> None:
         if any(isinstance(command, caller.Write) for command in commands):
-            assert self.owed is not None or self.long, "an answer that nobody is owed"
+            assert self.pending is not None or self.streaming, "an answer without a pending request"
             self.finals += 1
-            self.owed, self.long = None, False
+            self.pending, self.streaming = None, False
         self.take(commands)
 
-    # --- what can happen
+    # --- possible events
 
     def moves(self) -> dict[str, Callable[[], None]]:
-        it, found = self.machine, dict[str, Callable[[], None]]()
-        if it.state is not CallerState.CLOSED and it._reading:
+        machine, moves = self.machine, dict[str, Callable[[], None]]()
+        if machine.state is not CallerState.CLOSED and machine._reading:
             for name, data in PIECES.items():
-                found[name] = lambda data=data: self.take(it.received(data, self.now))  # type: ignore[misc]
-        if self.again:
-            found["again"] = self._again
-        if self.owed is not None:
-            found["answer"] = lambda: self.final(it.answer(self.now, 200, b"ok", draining=self.draining))
-            found["refuse"] = lambda: self.final(
-                it.refuse(RequestError(404, "path"), self.now, self.draining)
+                moves[name] = lambda data=data: self.take(machine.received(data, self.now))  # type: ignore[misc]
+        if self.resume_later:
+            moves["again"] = self._again
+        if self.pending is not None:
+            moves["answer"] = lambda: self.final(machine.answer(self.now, 200, b"ok", draining=self.draining))
+            moves["refuse"] = lambda: self.final(
+                machine.refuse(RequestError(404, "path"), self.now, self.draining)
             )
-            found["refuse and end"] = lambda: self.final(
-                it.refuse(RequestError(400, "", rule_slug="twice"), self.now)
+            moves["refuse and end"] = lambda: self.final(
+                machine.refuse(RequestError(400, "", rule_slug="twice"), self.now)
             )
-            if it.state is CallerState.AWAITING_ANSWER:
-                found["begin an answer"] = self._begin
-        if self.long:
-            found["a piece"] = lambda: self.take(it.answer_piece(b"x"))
-            found["its end"] = lambda: self.final(it.end_answer(self.now))
-            found["its break"] = lambda: self.final_cut()
-        if it.state in (CallerState.BODY, CallerState.STREAMING_BODY) and self.open_bodies:
-            found["no room"] = lambda: self.take(it.set_body_paused(True, self.now))
-            found["room"] = lambda: self.take(it.set_body_paused(False, self.now))
-        if it.state is not CallerState.CLOSED:
-            found["not taken"] = lambda: self.take(it.set_write_buffer_full(True, self.now))
-            found["taken"] = lambda: self.take(it.set_write_buffer_full(False, self.now))
-            found["evicted"] = lambda: self.take(it.close(self.now, True))
-            found["lost"] = self._lost
-            found["a drain"] = lambda: setattr(self, "draining", not self.draining)
-            found["a long while"] = self._wait
-        return found
+            if machine.state is CallerState.AWAITING_ANSWER:
+                moves["begin an answer"] = self._begin
+        if self.streaming:
+            moves["a piece"] = lambda: self.take(machine.answer_piece(b"x"))
+            moves["its end"] = lambda: self.final(machine.end_answer(self.now))
+            moves["its break"] = lambda: self.final_cut()
+        if machine.state in (CallerState.BODY, CallerState.STREAMING_BODY) and self.open_bodies:
+            moves["no room"] = lambda: self.take(machine.set_body_paused(True, self.now))
+            moves["room"] = lambda: self.take(machine.set_body_paused(False, self.now))
+        if machine.state is not CallerState.CLOSED:
+            moves["not taken"] = lambda: self.take(machine.set_write_buffer_full(True, self.now))
+            moves["taken"] = lambda: self.take(machine.set_write_buffer_full(False, self.now))
+            moves["evicted"] = lambda: self.take(machine.close(self.now, True))
+            moves["lost"] = self._lost
+            moves["a drain"] = lambda: setattr(self, "draining", not self.draining)
+            moves["a long while"] = self._wait
+        return moves
 
     def _again(self) -> None:
-        self.again = False
+        self.resume_later = False
         self.take(self.machine.resume(self.now))
 
     def _begin(self) -> None:
         head = self.machine.begin_answer(self.now, None, b"", b"", self.draining)
         assert head
-        self.owed, self.long = None, True
+        self.pending, self.streaming = None, True
         self.take(head)
 
     def final_cut(self) -> None:
         self.take([c for c in self.machine.abort_answer(self.now) if not isinstance(c, caller.CallerGone)])
-        self.finals, self.long = self.finals + 1, False
+        self.finals, self.streaming = self.finals + 1, False
 
     def _lost(self) -> None:
         self.take(self.machine.connection_closed())
-        self.over = True
+        self.ended = True
 
     def _wait(self) -> None:
         self.now += 30_000_000
         self.take(self.machine.tick(self.now))
 
     def check(self) -> None:
-        assert self.delivered == self.finals + self.gone + (self.owed is not None) + self.long
+        assert self.delivered == self.finals + self.gone + (self.pending is not None) + self.streaming
         if self.machine.state is CallerState.CLOSED:
-            assert self.owed is None and not self.long, "a request is left with whoever holds it"
-            assert not self.open_bodies, "a body is left with whoever reads it"
+            assert self.pending is None and not self.streaming, "the handler of a request was not notified"
+            assert not self.open_bodies, "the reader of a body was not notified"
         assert self.machine.buffered_bytes() <= caller.MAX_READ_AHEAD_BYTES + MAX_UNSTREAMED_BYTES + 2 * max(
             map(len, PIECES.values())
         )
 
     def settle(self) -> None:
-        """Left alone, with everybody doing his part, it comes to rest: no request waits for ever."""
+        """Without further input the connection becomes quiet: no request waits for ever."""
         for _ in range(40):
-            moves = self.moves()
+            possible = self.moves()
             for name in ("again", "room", "taken", "answer", "its end", "a long while"):
-                if name in moves:
-                    moves[name]()
+                if name in possible:
+                    possible[name]()
             self.check()
-        assert self.owed is None and not self.long
+        assert self.pending is None and not self.streaming
         assert self.machine.state in (CallerState.IDLE, CallerState.CLOSED)
 
 
@@ -190,7 +190,7 @@
     return world
 
 
-def test_each_request_has_one_answer_in_every_history_and_none_on_a_connection_that_has_ended() -> None:
+def test_each_request_has_one_answer_in_every_history_and_none_after_the_connection_ended() -> None:
     seen, todo, met = {World().key()}, deque[tuple[str, ...]]([()]), set[CallerState]()
     while todo:
         history = todo.popleft()
@@ -208,7 +208,7 @@
     assert len(seen) > 500
 
 
-def test_every_state_is_reached_and_left_by_the_table_alone() -> None:
+def test_every_state_is_reachable_and_can_be_left_by_the_table() -> None:
     for table, start, end in (
         (CALLER_STATES, CallerState.IDLE, CallerState.CLOSED),
         (UPSTREAM_STATES, UpstreamState.IDLE, UpstreamState.CLOSED),
@@ -224,7 +224,7 @@
         assert all(to is end for (at, _), to in table.items() if at is end)  # type: ignore[attr-defined]
 
 
-def test_a_move_that_the_table_has_not_is_our_own_fault_and_says_nothing() -> None:
+def test_an_invalid_transition_raises_and_has_no_effect() -> None:
     with pytest.raises(InvalidTransition, match="IDLE"):
         next_state(CALLER_STATES, CallerState.IDLE, CallerTransition.ANSWERED)
     with pytest.raises(InvalidTransition, match="STREAMING"):
@@ -234,7 +234,7 @@
     assert machine.answer(0, 200, b"") and machine.answer(0, 200, b"") == []
 
 
-def test_of_all_that_can_come_back_an_exchange_ends_once() -> None:
+def test_an_exchange_ends_once_whatever_is_received() -> None:
     ok = b"HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\n"
     pieces = [
         ok,
--- a/tests/http/test_properties.py
+++ b/tests/http/test_properties.py
@@ -1,4 +1,4 @@
-"""Any bytes, cut anywhere: no exception, a bound on what is held, one verdict, and the same meaning again."""
+"""Any bytes, split anywhere: no exception, limited memory, one result, the same meaning when forwarded."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 import pytest
 from hypothesis import given, settings
 from hypothesis import strategies as st
-from machines import answered, heard
+from machines import run_caller, run_upstream
 
 from brackengate.http import caller, upstream
 from brackengate.http.body import MAX_UNSTREAMED_BYTES
@@ -42,20 +42,20 @@
 
 @STEADY
 @given(MESSAGES, CUTS)
-def test_a_callers_bytes_have_one_verdict_for_all_cuts(data: bytes, sizes: list[int]) -> None:
-    whole, cut = heard([data]), heard(split(data, sizes))
-    assert whole.verdict() == cut.verdict()
-    assert max(whole.most_held, cut.most_held) <= len(data)
+def test_splitting_a_callers_bytes_does_not_change_the_result(data: bytes, sizes: list[int]) -> None:
+    whole, cut = run_caller([data]), run_caller(split(data, sizes))
+    assert whole.outcome() == cut.outcome()
+    assert max(whole.max_buffered_bytes, cut.max_buffered_bytes) <= len(data)
 
 
 @STEADY
 @given(MESSAGES, CUTS, st.booleans(), st.booleans())
-def test_an_upstreams_bytes_have_one_verdict_for_all_cuts(
-    data: bytes, sizes: list[int], in_pieces: bool, ends: bool
+def test_splitting_an_upstreams_bytes_does_not_change_the_result(
+    data: bytes, sizes: list[int], streaming: bool, ends: bool
 ) -> None:
-    whole = answered([data], ends, in_pieces=in_pieces).said
-    cut = answered(split(data, sizes), ends, in_pieces=in_pieces).said
-    if whole and whole[0][0] == "answered":  # whether more had come by then is a matter of time
+    whole = run_upstream([data], ends, streaming=streaming).results
+    cut = run_upstream(split(data, sizes), ends, streaming=streaming).results
+    if whole and whole[0][0] == "answered":  # whether more was received by then depends on timing
         assert cut[0][:3] == whole[0][:3]
     else:
         assert cut == whole
@@ -69,7 +69,7 @@
     st.binary(max_size=200),
     st.booleans(),
 )
-def test_what_was_accepted_reads_the_same_when_it_is_written_out_again(
+def test_an_accepted_request_parses_the_same_when_forwarded(
     method: bytes, target: bytes, more: list[tuple[bytes, bytes]], body: bytes, chunked: bool
 ) -> None:
     body = body if method == b"POST" else b""
@@ -81,8 +81,8 @@
     elif method == b"POST":
         headers.append((b"Content-Length", b"%d" % len(body)))
     lines = b"".join(b"%s: %s\r\n" % pair for pair in headers)
-    told = heard([b"%s %s HTTP/1.1\r\n%s\r\n%s" % (method, target, lines, framed)])
-    assert told.requests == [(method, target, headers, body)]
+    run = run_caller([b"%s %s HTTP/1.1\r\n%s\r\n%s" % (method, target, lines, framed)])
+    assert run.requests == [(method, target, headers, body)]
 
 
 @pytest.mark.parametrize(
@@ -96,51 +96,51 @@
     ],
     ids=["header", "target", "chunk", "trailer", "framing"],
 )  # fmt: skip
-def test_what_has_no_end_is_cut_off_at_its_bound_however_it_is_cut(data: bytes, most: int) -> None:
-    verdicts = []
+def test_endless_input_is_rejected_at_its_limit_however_it_is_split(data: bytes, most: int) -> None:
+    outcomes = []
     for size in (1000, 4096, 100_000_000):
-        told = heard(split(data, [size]))
-        assert [status for status, _ in told.refused] == [431]
-        assert size > 4096 or told.most_held <= most + size
-        verdicts.append(told.verdict())
-    assert verdicts[0] == verdicts[1] == verdicts[2]
+        run = run_caller(split(data, [size]))
+        assert [status for status, _ in run.refused] == [431]
+        assert size > 4096 or run.max_buffered_bytes <= most + size
+        outcomes.append(run.outcome())
+    assert outcomes[0] == outcomes[1] == outcomes[2]
 
 
-def test_a_body_too_long_is_told_by_its_head_or_found_as_it_comes() -> None:
+def test_a_body_that_is_too_long_is_rejected_by_its_head_or_while_received() -> None:
     head = b"POST / HTTP/1.1\r\nHost: a\r\n"
     for data in (
         head + b"Content-Length: 70001\r\n\r\n",
         head + b"Transfer-Encoding: chunked\r\n\r\n" + b"1000\r\n%s\r\n" % (b"x" * 4096) * 20,
     ):
         for size in (1000, 100_000_000):
-            told = heard(split(data, [size]), most_body=70_000)
-            assert [status for status, _ in told.refused] == [413] and not told.requests
+            run = run_caller(split(data, [size]), max_body_bytes=70_000)
+            assert [status for status, _ in run.refused] == [413] and not run.requests
 
 
-def test_an_answer_without_end_is_spoilt_at_its_bound() -> None:
+def test_an_endless_response_is_invalid_at_its_limit() -> None:
     for data in (
         b"HTTP/1.1 200 OK\r\nX: " + b"x" * 100_000,
         b"HTTP/1.1 100 X\r\n\r\n" * 3000,
         b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n1;" + b"x" * 100_000,
         b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n" + b"10000\r\n%s\r\n" % (b"x" * 65536) * 17,
     ):
-        told = answered(split(data, [1000]))
-        assert told.said == [("spoilt",)]
-        assert told.most_held <= upstream.MAX_BUFFERED_RESPONSE_BYTES + MAX_HEAD_BYTES
+        run = run_upstream(split(data, [1000]))
+        assert run.results == [("invalid",)]
+        assert run.max_buffered_bytes <= upstream.MAX_BUFFERED_RESPONSE_BYTES + MAX_HEAD_BYTES
 
 
-def test_what_follows_a_held_request_is_not_read_beyond_its_bound_and_keeps_its_time() -> None:
+def test_reading_after_a_pending_request_is_limited_and_keeps_arrival_times() -> None:
     get = b"GET /%d HTTP/1.1\r\nHost: a\r\n\r\n"
-    told = heard([get % 0], answers=False)
+    run = run_caller([get % 0], answers=False)
     for number in range(1, 4):
-        told.now = number * 10_000
-        told.send(get % number)
-    told.send(b"GET /4 HTTP/1.1\r\nHost: a\r\nX: " + b"x" * (MAX_HEAD_BYTES - 40))
-    assert not told.reads and told.machine.buffered_bytes() > caller.MAX_READ_AHEAD_BYTES
-    told.now = 100_000
+        run.now = number * 10_000
+        run.send(get % number)
+    run.send(b"GET /4 HTTP/1.1\r\nHost: a\r\nX: " + b"x" * (MAX_HEAD_BYTES - 40))
+    assert not run.reads and run.machine.buffered_bytes() > caller.MAX_READ_AHEAD_BYTES
+    run.now = 100_000
     for _ in range(3):
-        told.do(told.machine.answer(told.now, 200, b""))
-    assert [(arrival.target, arrival.received_at) for arrival in told.delivered] == [
+        run.do(run.machine.answer(run.now, 200, b""))
+    assert [(arrival.target, arrival.received_at) for arrival in run.delivered] == [
         (b"/0", 0), (b"/1", 10_000), (b"/2", 20_000), (b"/3", 30_000),
     ]  # fmt: skip
 
--- a/tests/http/test_passing.py
+++ b/tests/http/test_response_streaming.py
@@ -1,4 +1,4 @@
-"""Which answers a connection to an upstream passes on as they come, and which it keeps, by their heads."""
+"""Which responses a connection to an upstream streams and which it buffers, by their heads."""
 
 from __future__ import annotations
 
@@ -32,7 +32,7 @@
     return True
 
 
-def test_a_long_failure_before_the_request_is_all_there_is_kept_and_its_connection_ends() -> None:
+def test_a_long_error_before_the_request_is_complete_is_buffered_and_its_connection_closed() -> None:
     machine = asked(StreamingPolicy(any_of), written=False)
     (told,) = machine.received(LENGTH % (413, MAX_UNSTREAMED_BYTES + 1) + bytes(MAX_UNSTREAMED_BYTES + 1), 0)
     assert isinstance(told, UpstreamResponse) and (len(told.body), told.reuse) == (
@@ -42,13 +42,13 @@
 
 
 @pytest.mark.parametrize("status", [200, 201])
-def test_a_success_without_a_length_is_none(status: int) -> None:
+def test_a_successful_response_without_a_length_is_invalid(status: int) -> None:
     (told,) = asked(StreamingPolicy(any_of)).received(b"HTTP/1.1 %d X\r\n\r\n" % status, 0)
     assert isinstance(told, InvalidResponse)
 
 
 @pytest.mark.parametrize("good", [True, False])
-def test_the_head_is_judged_only_where_the_body_is_long(good: bool) -> None:
+def test_the_head_is_checked_only_if_the_body_is_long(good: bool) -> None:
     heads: list[UpstreamResponse] = []
 
     def may(head: UpstreamResponse) -> bool:
@@ -65,7 +65,7 @@
     assert [type(event) for event in told] == ([ResponseStarted] if good else [])
 
 
-def test_one_in_chunks_is_kept_up_to_its_own_bound_however_slowly_it_comes() -> None:
+def test_a_chunked_response_is_buffered_up_to_its_limit_however_slow() -> None:
     machine = asked(
         StreamingPolicy(any_of, unstreamed_bytes=MAX_BUFFERED_RESPONSE_BYTES, stream_slow_responses=False)
     )
--- a/tests/http/test_once.py
+++ b/tests/http/test_single_headers.py
@@ -1,4 +1,4 @@
-"""Which headers may stand once, by the installation file and by the routes of a version."""
+"""Which headers may occur only once, by the installation file and by the routes of a version."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 EXAMPLES = Path(__file__).parent.parent.parent / "examples"
 
 
-def test_the_file_adds_its_own_headers_and_takes_none_away() -> None:
+def test_the_installation_file_adds_single_headers_and_removes_none() -> None:
     assert once(load(EXAMPLES / "one-tier.toml")) >= SINGLE_REQUEST_HEADERS
     told = load(
         EXAMPLES / "graphql.toml", ["graphql.tenant_header=X-Member", "graphql.deadline_header=X-Left"]
@@ -27,10 +27,12 @@
     queues = load(EXAMPLES / "queues.toml", ["queues.client=header", "queues.client_header=X-Who"])
     assert once(queues) >= SINGLE_REQUEST_HEADERS | {b"x-who", queues.queues.place_header.lower().encode()}
     assert b"x-who" not in once(load(EXAMPLES / "queues.toml", ["queues.client=address"]))
-    assert b"x-forwarded-for" not in once(queues)  # a list by its nature: our own front's word is the last
+    assert b"x-forwarded-for" not in once(
+        queues
+    )  # a list by definition: the value of our own load balancer is the last
 
 
-def test_a_header_that_a_route_looks_at_stands_once() -> None:
+def test_a_header_that_a_route_matches_may_occur_once() -> None:
     seen: list[Any] = []
     table = SimpleNamespace(headers={b"x-tier"})
     pools = SimpleNamespace(table=table, choose=lambda traits: seen.append(traits.headers) or "pool")
--- a/tests/http/test_smuggling.py
+++ b/tests/http/test_smuggling.py
@@ -1,11 +1,11 @@
-"""Messages that two parties could read differently: each is refused, however cut, wherever it stands."""
+"""Ambiguous messages, which two parties could read differently: each is rejected, however it is split."""
 
 from __future__ import annotations
 
 import re
 
 import pytest
-from machines import answered, cuts, heard
+from machines import all_splits, run_caller, run_upstream
 
 from brackengate.http.connection_states import CallerState
 from brackengate.http.rules import REQUEST_HEAD_PATTERN, SINGLE_REQUEST_HEADERS, Rule
@@ -27,7 +27,7 @@
 
 
 HIDDEN = b"GET /api HTTP/1.1\r\nHost: b\r\n\r\n"
-BAD = {
+AMBIGUOUS_REQUESTS = {
     # framing: CL.TE, TE.CL, TE.TE and their relatives
     "both framings": (post(b"Content-Length: 5", b"Transfer-Encoding: chunked"), Rule.MALFORMED),
     "both, the other way": (post(b"Transfer-Encoding: chunked", b"Content-Length: 5"), Rule.MALFORMED),
@@ -121,7 +121,7 @@
     "an asterisk": (b"GET * HTTP/1.1\r\nHost: a\r\n\r\n", Rule.TARGET),
     "a tunnel": (b"CONNECT a:80 HTTP/1.1\r\nHost: a\r\n\r\n", Rule.UPGRADE),
     "an upgrade": (get(b"Connection: upgrade", b"Upgrade: h2c"), Rule.UPGRADE),
-    # what decides something
+    # headers that affect decisions
     "two tenants": (get(b"X-Org: one", b"X-Org: two"), Rule.TWICE),
     "two tenants in other letters": (get(b"X-Org: one", b"x-org: two"), Rule.TWICE),
     "two things": (get(b"X-Entity: 1", b"X-Entity: 2"), Rule.TWICE),
@@ -161,27 +161,27 @@
 }
 
 
-@pytest.mark.parametrize("name", BAD)
+@pytest.mark.parametrize("name", AMBIGUOUS_REQUESTS)
 @pytest.mark.parametrize("before", [b"", GOOD], ids=["alone", "pipelined"])
-def test_it_is_refused_in_the_same_way_wherever_it_is_cut(name: str, before: bytes) -> None:
-    data, *rules = BAD[name]
-    verdicts = []
-    for pieces in cuts(data):
-        told = heard([before, *pieces, HIDDEN] if before else [*pieces, HIDDEN])
-        assert [target for _, target, _, _ in told.requests] == ([b"/api?good"] if before else [])
-        assert [status for status, _ in told.refused] == [400]
-        assert told.machine.state is CallerState.LINGERING
+def test_an_ambiguous_message_is_rejected_the_same_way_however_it_is_split(name: str, before: bytes) -> None:
+    data, *rules = AMBIGUOUS_REQUESTS[name]
+    outcomes = []
+    for pieces in all_splits(data):
+        run = run_caller([before, *pieces, HIDDEN] if before else [*pieces, HIDDEN])
+        assert [target for _, target, _, _ in run.requests] == ([b"/api?good"] if before else [])
+        assert [status for status, _ in run.refused] == [400]
+        assert run.machine.state is CallerState.LINGERING
         assert (
-            len(re.findall(rb"HTTP/1\.1 \d", told.written)) == 1 + bool(before)
-            and b"Connection: close" in told.written
+            len(re.findall(rb"HTTP/1\.1 \d", run.written)) == 1 + bool(before)
+            and b"Connection: close" in run.written
         )
-        verdicts.append(told.verdict())
-    assert all(verdict == verdicts[0] for verdict in verdicts)
+        outcomes.append(run.outcome())
+    assert all(outcome == outcomes[0] for outcome in outcomes)
     if rules:
-        assert verdicts[0][1][0][1] in {rule.slug for rule in rules}  # type: ignore[index]
+        assert outcomes[0][1][0][1] in {rule.slug for rule in rules}  # type: ignore[index]
 
 
-GOOD_ONES = {
+VALID_REQUESTS = {
     "plain": (GET, b"/api", b""),
     "an empty line before": (b"\r\n" + GET, b"/api", b""),
     "the old version without a host": (b"GET /api HTTP/1.0\r\nConnection: keep-alive\r\n\r\n", b"/api", b""),
@@ -208,21 +208,21 @@
 }  # fmt: skip
 
 
-@pytest.mark.parametrize("name", GOOD_ONES)
-def test_what_has_one_meaning_goes_on_however_it_is_cut(name: str) -> None:
-    data, target, body = GOOD_ONES[name]
-    for pieces in cuts(data + GOOD):
-        told = heard(pieces)
-        assert [(t, b) for _, t, _, b in told.requests] == [(target, body), (b"/api?good", b"")]
-        assert told.refused == []
+@pytest.mark.parametrize("name", VALID_REQUESTS)
+def test_an_unambiguous_message_is_accepted_however_it_is_split(name: str) -> None:
+    data, target, body = VALID_REQUESTS[name]
+    for pieces in all_splits(data + GOOD):
+        run = run_caller(pieces)
+        assert [(t, b) for _, t, _, b in run.requests] == [(target, body), (b"/api?good", b"")]
+        assert run.refused == []
 
 
-def test_a_trailer_stands_in_for_no_header() -> None:
-    told = heard([chunked(b"0\r\nX-Org: forged\r\nX-Other: a\r\n\r\n")])
-    assert [name for name, _ in told.requests[0][2]] == [b"Host", b"Transfer-Encoding"]
+def test_a_trailer_replaces_no_header() -> None:
+    run = run_caller([chunked(b"0\r\nX-Org: forged\r\nX-Other: a\r\n\r\n")])
+    assert [name for name, _ in run.requests[0][2]] == [b"Host", b"Transfer-Encoding"]
 
 
-def test_headers_that_the_installation_names_stand_once_too() -> None:
+def test_headers_named_by_the_installation_may_occur_only_once() -> None:
     from brackengate.http.caller import CallerMachine as Machine
     from brackengate.http.caller import Deliver, ReportBadRequest
 
@@ -237,17 +237,17 @@
     assert any(isinstance(command, Deliver) for command in usual.received(twice, 0))
 
 
-def test_every_row_has_a_case_and_its_section() -> None:
+def test_every_rule_has_a_case_and_a_section() -> None:
     reasons = set()
-    for data, *_ in BAD.values():
-        reasons |= {reason for _, reason in heard([data]).refused}
+    for data, *_ in AMBIGUOUS_REQUESTS.values():
+        reasons |= {reason for _, reason in run_caller([data]).refused}
     assert reasons >= {rule.slug for rule in Rule}
     assert all(rule.section.startswith("RFC 91") for rule in Rule)
     assert REQUEST_HEAD_PATTERN.fullmatch(GET)
 
 
 OK = b"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok"
-SPOILT = {
+INVALID_RESPONSES = {
     "both framings": b"HTTP/1.1 200 OK\r\nContent-Length: 5\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\n",
     "two lengths": b"HTTP/1.1 200 OK\r\nContent-Length: 2\r\nContent-Length: 3\r\n\r\nabc",
     "two equal lengths": b"HTTP/1.1 200 OK\r\nContent-Length: 2\r\nContent-Length: 2\r\n\r\nab",
@@ -276,11 +276,11 @@
 }  # fmt: skip
 
 
-@pytest.mark.parametrize("name", SPOILT)
-def test_an_answer_of_two_meanings_fails_its_attempt_and_ends_the_connection(name: str) -> None:
-    for pieces in cuts(SPOILT[name]):
-        told = answered(pieces)
-        assert told.said == [("spoilt",)] and told.machine.state.name == "CLOSED"
+@pytest.mark.parametrize("name", INVALID_RESPONSES)
+def test_an_ambiguous_response_fails_its_attempt_and_closes_the_connection(name: str) -> None:
+    for pieces in all_splits(INVALID_RESPONSES[name]):
+        run = run_upstream(pieces)
+        assert run.results == [("invalid",)] and run.machine.state.name == "CLOSED"
 
 
 @pytest.mark.parametrize(
@@ -294,17 +294,21 @@
         (b"HTTP/1.1 503 X\r\nContent-Length: 0\r\nX-Turned-Away: 1\r\n\r\n", 503, b""),
     ],
 )
-def test_an_answer_of_one_meaning_is_told_however_it_is_cut(data: bytes, status: int, body: bytes) -> None:
-    for pieces in cuts(data):
-        assert answered(pieces).said == [("answered", status, body, True)]
-    for pieces in cuts(data + b"HTTP/1.1 200 OK\r\n"):  # more than was asked for: it is not used again
-        told = answered(pieces).said
-        assert told[0][:3] == ("answered", status, body)
-        assert told[0][3] is False or told[1:] == [("unasked",)]
-
-
-def test_an_answer_that_its_connection_ends_needs_a_word_of_that() -> None:
+def test_an_unambiguous_response_is_accepted_however_it_is_split(
+    data: bytes, status: int, body: bytes
+) -> None:
+    for pieces in all_splits(data):
+        assert run_upstream(pieces).results == [("answered", status, body, True)]
+    for pieces in all_splits(
+        data + b"HTTP/1.1 200 OK\r\n"
+    ):  # surplus bytes: the connection is not used again
+        run = run_upstream(pieces).results
+        assert run[0][:3] == ("answered", status, body)
+        assert run[0][3] is False or run[1:] == [("unsolicited",)]
+
+
+def test_a_response_that_ends_with_its_connection_must_announce_the_close() -> None:
     head = b"HTTP/1.1 200 OK\r\nConnection: close\r\n\r\n"
-    assert answered([head, b"abc"], ends=True).said == [("answered", 200, b"abc", False)]
-    assert answered([head, b"abc"]).said == []
-    assert answered([b"HTTP/1.1 200 OK\r\n\r\nabc"], ends=True).said == [("spoilt",)]
+    assert run_upstream([head, b"abc"], ends=True).results == [("answered", 200, b"abc", False)]
+    assert run_upstream([head, b"abc"]).results == []
+    assert run_upstream([b"HTTP/1.1 200 OK\r\n\r\nabc"], ends=True).results == [("invalid",)]
--- a/tests/net/peers.py
+++ b/tests/net/peers.py
@@ -1,4 +1,4 @@
-"""Scripted peers on loopback sockets: callers, upstreams, discovery, and a decision module by script."""
+"""Scripted peers on loopback sockets: callers, upstreams, discovery and a scripted decision module."""
 
 from __future__ import annotations
 
@@ -26,7 +26,7 @@
 ONCE = api.RequestClass("buy", 500_000, 1_000_000, api.Idempotency.UNSAFE)
 KEYED = api.RequestClass("bid", 500_000, 1_000_000, api.Idempotency.KEYED, api.KeyScope.ALL, 4_000_000)
 SETTINGS = api.Settings(classes=(SAFE, ONCE, KEYED), max_attempts=4, max_retry_after=2_000_000)
-LIMIT_S = 90.0  # far above what any takes, also beside load
+LIMIT_S = 90.0  # far above what any test takes, also on a loaded machine
 
 
 def run(coroutine: Coroutine[Any, Any, None], limit_s: float = LIMIT_S) -> None:
@@ -42,7 +42,7 @@
 
 
 def reset(writer: asyncio.StreamWriter) -> None:
-    """Break the connection as a dying process does."""
+    """Reset the connection, as a crashing process does."""
     sock = writer.get_extra_info("socket")
     sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
     writer.transport.abort()
@@ -60,7 +60,7 @@
 
 
 class Peer:
-    """A server by script: what it does with each request is `script`."""
+    """A server that handles each request with `script`."""
 
     def __init__(self, script: Script) -> None:
         self.script = script
@@ -102,7 +102,7 @@
 
 
 class Module:
-    """A decision module by script: `act` says what to do on an event; all events are kept."""
+    """A scripted decision module: `act` returns the actions for an event; all events are recorded."""
 
     def __init__(self, act: Callable[[api.Event], list[api.Action]]) -> None:
         self.act = act
@@ -125,7 +125,7 @@
 
 
 class Bench:
-    """A balancer in this process, with its listener on a port that the kernel chose."""
+    """A balancer in this process, listening on a port chosen by the kernel."""
 
     def __init__(
         self,
@@ -134,17 +134,17 @@
         sockets: int = 100,
         connect_timeout_s: float = 0.3,
         idle_close_s: float = 60.0,
-        room: int = 1000,
-        fronts: Callable[[Node], dict[bytes, Frontend]] = lambda node: {},
-        door: Callable[[Node], RequestStage] | None = None,
-        crowd: ConnectionAdmission | None = None,
-        bytes_: int = 16 << 20,
+        max_callers: int = 1000,
+        frontends: Callable[[Node], dict[bytes, Frontend]] = lambda node: {},
+        stage: Callable[[Node], RequestStage] | None = None,
+        admission: ConnectionAdmission | None = None,
+        byte_limit: int = 16 << 20,
     ) -> None:
         loop = asyncio.get_running_loop()
         self.clock = Clock()
         self.budget = SocketBudget(sockets)
-        self.bytes = ByteBudget(bytes_)
-        self.pool = Pool(loop, self.budget, connect_timeout_s, idle_close_s, self.bytes)
+        self.byte_budget = ByteBudget(byte_limit)
+        self.pool = Pool(loop, self.budget, connect_timeout_s, idle_close_s, self.byte_budget)
         chosen = module if module is not None else Balancer(settings, 1)
         self.node = Node(loop, self.clock, settings, chosen, self.pool)
         self.server = Server(
@@ -152,11 +152,11 @@
             self.node,
             self.budget,
             [bind(("127.0.0.1", 0))],
-            room,
-            fronts(self.node),
-            door(self.node) if door else None,
-            crowd,
-            byte_budget=self.bytes,
+            max_callers,
+            frontends(self.node),
+            stage(self.node) if stage else None,
+            admission,
+            byte_budget=self.byte_budget,
         )
         self.port = self.server.start()[0]
 
@@ -189,15 +189,15 @@
         self.send(*args, **kwargs)
         return await self.read()
 
-    async def gone(self) -> bool:
-        """Whether it was closed or reset."""
+    async def closed(self) -> bool:
+        """Whether the connection was closed or reset."""
         try:
             return await self.reader.read() == b""
         except ConnectionError:
             return True
 
     async def ended(self) -> bool:
-        """Whether nothing more comes."""
+        """Whether the connection was closed without further bytes."""
         return await self.reader.read() == b""
 
 
@@ -214,7 +214,7 @@
 
 
 def send_once(upstream: str = "u0", until: Callable[[int], int] = lambda now: 0) -> Module:
-    """A module that sends each request once, and fails what does not come back well."""
+    """A module that sends each request once, and fails it if the attempt does not succeed."""
 
     def act(event: api.Event) -> list[api.Action]:
         if isinstance(event, api.Request):
--- a/tests/net/test_attempts.py
+++ b/tests/net/test_attempts.py
@@ -1,4 +1,4 @@
-"""Outcomes of attempts and probes, and the rules that turn on them."""
+"""Outcomes of attempts and probes, and the rules that depend on them."""
 
 from __future__ import annotations
 
@@ -40,14 +40,14 @@
         (answer(404), Outcome.ERROR),
         (answer(503, b"", TURNED_AWAY), Outcome.REJECTED),
         (answer(504, b"", TURNED_AWAY), Outcome.REJECTED),
-        (answer(503), Outcome.ERROR),  # proves nothing without the header
+        (answer(503), Outcome.ERROR),  # without the header it may have been executed
         (answer(504, b"", "X-Turned-Away: 0"), Outcome.ERROR),
         (answer(500, b"", TURNED_AWAY), Outcome.ERROR),
         (
             b"HTTP/1.1 503 X\r\nTransfer-Encoding: chunked\r\n\r\n0\r\nX-Turned-Away: 1\r\n\r\n",
-            Outcome.ERROR,  # nor with it in a trailer
+            Outcome.ERROR,  # also with the header in a trailer
         ),
-        # Spoilt: it may have run, and it is no turning away.  All of these keep the connection open.
+        # Invalid responses: the request may have been executed.  All of these keep the connection open.
         (b"SSH-2.0-x\r\n\r\n", Outcome.ERROR),
         (b"ICY 200 OK\r\nContent-Length: 4\r\n\r\ndone", Outcome.ERROR),
         (b"HTTP/1.1 2x0 OK\r\nContent-Length: 4\r\n\r\ndone", Outcome.ERROR),
@@ -58,7 +58,7 @@
         (answer(200, b"done", "Transfer-Encoding: chunked"), Outcome.ERROR),
         (b"HTTP/1.1 200 OK\r\nTransfer-Encoding: gzip\r\n\r\ndone", Outcome.ERROR),
         (b"HTTP/1.1 200 OK\r\n\r\nno length", Outcome.ERROR),
-        (b"HTTP/1.1 200 OK\r\nContent-Length: 3000000000\r\n\r\n", Outcome.ERROR),  # at the head
+        (b"HTTP/1.1 200 OK\r\nContent-Length: 3000000000\r\n\r\n", Outcome.ERROR),  # rejected by its head
         (b"HTTP/1.1 200 OK\r\nX-Long: " + b"x" * 40_000, Outcome.ERROR),
         (b"HTTP/1.1 200 OK\r\n" + b"X-Pad: p\r\n" * 4000, Outcome.ERROR),
         (b"HTTP/1.1 102 X\r\n\r\n" * 2000, Outcome.ERROR),
@@ -67,7 +67,7 @@
         (CHUNKED + b"0\r\nX: " + b"x" * 2_200_000, Outcome.ERROR),
     ],
 )
-def test_outcome_of_what_comes_back(data: bytes, outcome: Outcome) -> None:
+def test_outcome_of_each_response(data: bytes, outcome: Outcome) -> None:
     async def main() -> None:
         peer = await Peer(replies(data)).start()
         module = send_once()
@@ -87,8 +87,8 @@
     [b"", b"HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nhalf"],
 )
 @pytest.mark.parametrize("hard", [True, False])
-def test_a_connection_that_ends_after_the_last_byte_is_a_reset(part: bytes, hard: bool) -> None:
-    """A part of a 200 is no answer."""
+def test_a_connection_closed_after_the_request_was_written_is_a_reset(part: bytes, hard: bool) -> None:
+    """Part of a 200 is not a response."""
 
     async def script(_: object, writer: asyncio.StreamWriter) -> None:
         writer.write(part)
@@ -109,7 +109,7 @@
     run(main())
 
 
-def test_a_refused_connection_could_not_connect() -> None:
+def test_a_refused_connection_is_a_connect_failure() -> None:
     async def main() -> None:
         peer = await Peer(silent).start()
         peer.server.close()
@@ -124,8 +124,8 @@
     run(main())
 
 
-def test_a_connection_that_never_comes_up_could_not_connect() -> None:
-    """A machine that is cut off says nothing: the connect time-out must end the wait."""
+def test_a_connect_timeout_is_a_connect_failure() -> None:
+    """A partitioned machine does not answer a connect: the connect timeout must end the wait."""
 
     async def main() -> None:
         with socket.socket() as deaf:
@@ -146,8 +146,8 @@
     run(main())
 
 
-def test_written_means_handed_to_the_kernel() -> None:
-    """Broken with bytes still in the transport: the last byte never went out, so it has not run."""
+def test_a_request_counts_as_written_when_the_kernel_has_it() -> None:
+    """If the connection breaks with bytes in the transport, the request was not sent and not executed."""
 
     async def main() -> None:
         async def never_reads(_: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
@@ -167,7 +167,7 @@
     run(main())
 
 
-def test_silence_times_out_at_the_actions_time_and_closes_the_connection() -> None:
+def test_no_response_times_out_at_the_actions_time_and_closes_the_connection() -> None:
     async def main() -> None:
         peer = await Peer(silent).start()
         untils: list[int] = []
@@ -190,8 +190,8 @@
     run(main())
 
 
-def test_what_cannot_be_sent_is_not_sent() -> None:
-    """To an upstream that the list dropped, past its time, beyond the cap: nothing goes out."""
+def test_an_attempt_that_cannot_be_sent_ends_as_not_sent() -> None:
+    """Nothing is sent to a removed upstream, after the deadline or beyond the maximum of attempts."""
 
     async def main() -> None:
         peer = await Peer(replies(answer(500))).start()
@@ -226,8 +226,8 @@
     run(main())
 
 
-def test_the_first_answer_is_the_only_one() -> None:
-    """A second copy's answer, or a refusal after the answer, must not reach the caller."""
+def test_a_caller_gets_only_the_first_answer() -> None:
+    """The response of a second attempt, or a refusal after the answer, must not reach the caller."""
 
     async def main() -> None:
         peer = await Peer(replies(answer(200, b"one"))).start()
@@ -253,7 +253,7 @@
     run(main())
 
 
-def test_a_refusal_goes_out_at_once_with_its_advice() -> None:
+def test_a_refusal_is_sent_at_once_with_retry_after() -> None:
     async def main() -> None:
         def act(event: api.Event) -> list[api.Action]:
             return [api.Refuse(event.request, 1_250_000)] if isinstance(event, api.Request) else []
@@ -267,7 +267,7 @@
     run(main())
 
 
-def test_a_request_that_the_module_holds_for_ever_is_answered_at_its_deadline() -> None:
+def test_a_request_without_a_decision_is_answered_at_its_deadline() -> None:
     async def main() -> None:
         module = Module(lambda event: [])
         bench = Bench(module)
@@ -281,7 +281,7 @@
     run(main())
 
 
-def test_a_failing_module_fails_its_request_and_the_process_lives_on(
+def test_an_exception_in_the_module_fails_only_its_request(
     caplog: pytest.LogCaptureFixture,
 ) -> None:
     async def main() -> None:
@@ -301,8 +301,8 @@
     assert "a fault in the module" in caplog.text
 
 
-def test_an_outcome_found_while_acting_waits_its_turn() -> None:
-    """A send that fails at once must not enter the module while its actions are carried out."""
+def test_an_outcome_during_an_action_is_queued() -> None:
+    """A send that fails at once must not call the module while its actions are executed."""
 
     async def main() -> None:
         def act(event: api.Event) -> list[api.Action]:
@@ -353,19 +353,19 @@
 
 
 class Stalling(asyncio.Protocol):
-    """An upstream that answers and then stops the whole loop, in the midst of its reading."""
+    """An upstream that responds and then blocks the event loop, in its read callback."""
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         self.transport = cast(asyncio.Transport, transport)
-        self.transport.set_write_buffer_limits(high=0)  # the answer is out before the stall
+        self.transport.set_write_buffer_limits(high=0)  # the response is sent before the stall
 
     def data_received(self, data: bytes) -> None:
         self.transport.write(answer())
         time.sleep(0.25)
 
 
-def test_an_answer_that_came_during_a_stall_is_served() -> None:
-    """The process stood still past the attempt's time while the answer lay unread: it is read first."""
+def test_a_response_received_during_a_stall_is_served() -> None:
+    """The process was paused past the attempt's timeout while the response was unread: it is read first."""
 
     async def main() -> None:
         server = await asyncio.get_running_loop().create_server(Stalling, "127.0.0.1", 0)
@@ -376,7 +376,7 @@
     run(main())
 
 
-def test_a_caller_that_closes_has_gone_and_its_attempt_is_cancelled() -> None:
+def test_the_attempt_of_a_caller_that_disconnects_is_cancelled() -> None:
     async def main() -> None:
         peer = await Peer(silent).start()
         bench = Bench()
@@ -391,7 +391,7 @@
     run(main())
 
 
-def test_connections_are_kept_and_one_carries_one_request_at_a_time(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_connections_are_reused_and_carry_one_request_at_a_time(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(upstream_module, "SETTLE_US", 0)
 
     async def main() -> None:
@@ -414,7 +414,7 @@
 
 
 def test_an_idle_connection_that_the_upstream_closed_is_not_used() -> None:
-    """Sending on it would be a reset, after which a request that must not run twice is lost."""
+    """Sending on it would end in a reset, after which an unsafe request cannot be retried."""
 
     async def main() -> None:
         peer = await Peer(replies(answer())).start()
@@ -425,7 +425,7 @@
             peer.writers[0].get_extra_info("socket").fileno(), socket.AF_INET, socket.SOCK_STREAM
         ) as end:
             end.shutdown(socket.SHUT_WR)
-        # In the same turn of the loop, which has not met the end yet.
+        # In the same iteration of the event loop, which has not seen the end yet.
         ended: asyncio.Future[Result] = asyncio.get_running_loop().create_future()
         payload = b"GET / HTTP/1.1\r\n\r\n"
         bench.pool.start("u0", ("127.0.0.1", peer.port), payload, ended.set_result)
@@ -440,9 +440,9 @@
 
 
 class DeadAfterIdle:
-    """An upstream whose connections are lost unseen while idle: a second request on one meets a reset.
+    """An upstream whose idle connections are lost silently: a second request on one is reset.
 
-    It answers 1 to a probe, and `done` to a request.
+    It reports a load of 1 to a probe, and responds `done` to a request.
     """
 
     def __init__(self) -> None:
@@ -458,8 +458,8 @@
             writer.write(answer(200, b"inflight=1" if "/status/load" in message[0] else b"done"))
 
 
-def test_a_probe_lost_with_an_idle_connection_goes_on_a_new_one() -> None:
-    """It would say that an upstream is down of which only a connection was."""
+def test_a_probe_lost_with_an_idle_connection_is_retried_on_a_new_one() -> None:
+    """Otherwise an upstream would count as down although only a connection was lost."""
 
     async def main() -> None:
         peer = await Peer(DeadAfterIdle()).start()
@@ -483,7 +483,7 @@
 
 
 @pytest.mark.parametrize(("lost", "outcome"), [(1, Outcome.OK), (2, Outcome.RESET)])
-def test_a_probe_is_sent_a_second_time_and_no_more(lost: int, outcome: Outcome) -> None:
+def test_a_probe_is_retried_only_once(lost: int, outcome: Outcome) -> None:
     async def main() -> None:
         async def script(message: tuple[str, dict[str, str], bytes], writer: asyncio.StreamWriter) -> None:
             if len(peer.requests) <= lost:
@@ -501,8 +501,8 @@
     run(main())
 
 
-def test_a_connection_lost_while_idle_is_no_failure_of_its_upstream(monkeypatch: pytest.MonkeyPatch) -> None:
-    """Two failures would make it rest, and its calls wait in vain: it is the only one."""
+def test_a_stale_idle_connection_is_no_failure_of_its_upstream(monkeypatch: pytest.MonkeyPatch) -> None:
+    """Two failures would eject the only upstream, and its requests would wait in vain."""
     monkeypatch.setattr(upstream_module, "SETTLE_US", 0)
     monkeypatch.setattr(upstream_module, "MIN_TRUSTED_IDLE_US", 2**60)  # or no connection would be used again
 
@@ -518,7 +518,7 @@
 
 
 @pytest.mark.parametrize("fresh", [True, False])
-def test_only_a_loss_at_once_on_a_kept_connection_is_stale(
+def test_only_an_immediate_loss_on_a_reused_connection_is_stale(
     fresh: bool, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     monkeypatch.setattr(upstream_module, "SETTLE_US", 0)
@@ -542,10 +542,10 @@
     run(main())
 
 
-def test_idle_times_at_which_connections_were_lost_are_trusted_again_slowly(
+def test_trust_in_idle_times_recovers_slowly_after_a_loss(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """What may not run twice is lost with each such connection, so the next ones go on new ones."""
+    """Each lost connection fails an unsafe request, so the next requests use new connections."""
     times = [1_000_000_000]
     monkeypatch.setattr(upstream_module, "monotonic_us", lambda: times[0])
 
@@ -563,7 +563,7 @@
             return status, peer.connections
 
         assert await ask("a0", 0.0) == (200, 1)
-        assert await ask("a1", 4.0) == (502, 1)  # lost: half of 4 s is trusted from here on
+        assert await ask("a1", 4.0) == (502, 1)  # lost: only half of 4 s is trusted from here on
         assert (await module.next(api.AttemptEnded)).stale is False
         assert (await module.next(api.AttemptEnded)).stale is True
         assert await ask("a2", 0.0) == (200, 2)
@@ -573,12 +573,12 @@
         dead.used.clear()
         assert await ask("a5", 20.0) == (200, 4)
         dead.used.clear()
-        assert await ask("a6", 5.0) == (200, 4)  # 2 s have doubled twice and more
+        assert await ask("a6", 5.0) == (200, 4)  # the 2 s have doubled more than twice
 
     run(main())
 
 
-def test_bytes_that_nobody_asked_for_end_the_connection_only() -> None:
+def test_bytes_without_a_request_close_only_the_connection() -> None:
     async def main() -> None:
         peer = await Peer(replies(answer() + answer(200, b"extra"))).start()
         bench = Bench(send_once())
@@ -594,13 +594,12 @@
 @pytest.mark.parametrize(
     "more", [answer(200, b"another's"), b"\x00noise\r\n\r\n", b"HTTP/1.1 200 OK\r\nX-Half: "]
 )
-def test_what_comes_a_moment_after_an_answer_is_not_the_next_answer(
+def test_stray_bytes_after_a_response_are_not_taken_for_the_next_one(
     more: bytes, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """Used again at once, the connection would bring it as the answer to the next request."""
-    monkeypatch.setattr(
-        upstream_module, "SETTLE_US", 1_000_000
-    )  # a busy machine may stand still for its 5 ms
+    """If the connection were used again at once, they would be read as the next response."""
+    # A busy machine may stall for longer than the real 5 ms.
+    monkeypatch.setattr(upstream_module, "SETTLE_US", 1_000_000)
 
     async def main() -> None:
         async def script(_: object, writer: asyncio.StreamWriter) -> None:
@@ -618,8 +617,8 @@
     run(main())
 
 
-def test_nothing_is_kept_of_upstreams_that_have_gone() -> None:
-    """Names are ever new: a connection put back after its upstream left, or an empty list, would pile up."""
+def test_no_state_is_kept_for_removed_upstreams() -> None:
+    """There are always new names: returned connections or empty lists of removed ones would accumulate."""
 
     async def main() -> None:
         hold = asyncio.Event()
@@ -644,7 +643,7 @@
 
 
 def test_an_answer_of_more_than_64_kib_is_served() -> None:
-    """Upstreams do send them: taken for spoilt, they failed one request in eight of a day."""
+    """Upstreams do send them: when they counted as invalid, one request in eight of a day failed."""
 
     async def main() -> None:
         peer = await Peer(replies(answer(200, b"x" * 200_000))).start()
@@ -675,8 +674,8 @@
     run(main())
 
 
-def test_idle_connections_make_room_where_sockets_are_short() -> None:
-    """At the limit of descriptors connects would fail: the idle ones go first."""
+def test_idle_connections_are_evicted_when_sockets_run_out() -> None:
+    """At the limit of file descriptors connects would fail: idle connections are closed first."""
 
     async def main() -> None:
         peers = [await Peer(replies(answer())).start() for _ in range(6)]
@@ -696,7 +695,7 @@
     run(main())
 
 
-def test_out_of_sockets_is_a_failed_connect_and_waiting_callers_are_taken_later() -> None:
+def test_without_sockets_connects_fail_and_callers_are_accepted_later() -> None:
     async def main() -> None:
         module = send_once()
         peer = await Peer(replies(answer())).start()
@@ -704,7 +703,7 @@
         bench.list(peer.port)
         first = await bench.caller()
         first.send("a1")
-        second = await bench.caller()  # stays with the kernel
+        second = await bench.caller()  # stays in the kernel's backlog
         second.send("a2")
         assert (await first.read())[0] == 502
         assert (await module.next(api.AttemptEnded)).outcome is Outcome.CONNECT_FAILED
@@ -714,7 +713,7 @@
     run(main())
 
 
-def test_the_request_goes_on_unchanged() -> None:
+def test_the_request_is_forwarded_unchanged() -> None:
     async def main() -> None:
         peer = await Peer(replies(answer())).start()
         bench = Bench(send_once())
@@ -752,7 +751,7 @@
         (answer(200, b"inflight=7,queue=2,util=0.61"), Outcome.OK, api.LoadReport(7.0, 2.0, 0.61)),
         (answer(200, b'{"inflight": 7}'), Outcome.OK, api.LoadReport(7.0)),
         (answer(200, b"", "X-Pressure: queue=1"), Outcome.OK, api.LoadReport(None, 1.0)),
-        (answer(200, b"inflight=x,=,\xff"), Outcome.ERROR, None),  # no word must not pass for 'idle'
+        (answer(200, b"inflight=x,=,\xff"), Outcome.ERROR, None),  # an invalid report must not count as idle
         (answer(200, b"inflight=-3,queue=0"), Outcome.ERROR, None),
         (answer(200, b""), Outcome.OK, None),
         (answer(503), Outcome.ERROR, None),
@@ -792,7 +791,7 @@
         "{" * 9999,
     ],
 )
-def test_an_unreadable_load_report_is_none(text: str) -> None:
+def test_an_invalid_load_report_is_ignored(text: str) -> None:
     assert parse_load_report(text) is None
 
 
@@ -800,10 +799,10 @@
     ("lane", "held", "copies", "status"),
     [("read", 0, 2, 200), ("bid", 0, 2, 200), ("buy", 0, 1, 502), ("read", 1, 1, 503)],
 )
-def test_a_request_that_its_upstream_does_not_hold_is_sent_again(
+def test_a_request_that_its_upstream_does_not_know_is_sent_again(
     lane: str, held: int, copies: int, status: int
 ) -> None:
-    """Lost without a word, it would wait until its deadline, which a word of the upstream's can spare it."""
+    """A request lost silently would wait until its deadline, unless the upstream reports it as unknown."""
     taken: list[str] = []
 
     async def script(message: tuple[str, dict[str, str], bytes], writer: asyncio.StreamWriter) -> None:
@@ -828,7 +827,7 @@
 
 
 def test_a_keyed_or_unsafe_request_is_not_resent_by_the_host() -> None:
-    """Nothing but the module sends again: after a reset there is one copy, and a failure, not a refusal."""
+    """Only the module retries: after a reset there is one attempt, and a failure rather than a refusal."""
 
     async def main() -> None:
         async def dies(_: object, writer: asyncio.StreamWriter) -> None:
--- a/tests/net/test_bodies.py
+++ b/tests/net/test_bodies.py
@@ -1,4 +1,4 @@
-"""Long bodies over loopback sockets: every form, slow and broken ends, and what the upstream executed."""
+"""Long bodies over loopback sockets: all framings, slow and broken peers, and what the upstream executed."""
 
 from __future__ import annotations
 
@@ -34,7 +34,7 @@
 
 
 class Reader:
-    """One message off a stream, with its framing taken off: digest and size of its body."""
+    """Reads one message from a stream and removes its framing: digest and size of its body."""
 
     def __init__(self, stream: asyncio.StreamReader) -> None:
         self.stream = stream
@@ -48,18 +48,18 @@
         pairs = (line.partition(":") for line in lines[1:-2])
         self.headers = {name.lower(): value.strip() for name, _, value in pairs}
 
-    async def body(self, most: int | None = None) -> None:
-        """All of it, or its first `most` bytes."""
+    async def body(self, max_bytes: int | None = None) -> None:
+        """All of it, or its first `max_bytes` bytes."""
         if self.headers.get("transfer-encoding") == "chunked":
             while size := int((await self.stream.readline()).split(b";")[0], 16):
                 await self._take(size)
                 await self.stream.readexactly(2)
-                if most is not None and self.size >= most:
+                if max_bytes is not None and self.size >= max_bytes:
                     return
             assert await self.stream.readline() == b"\r\n"
         elif "content-length" in self.headers:
             left = int(self.headers["content-length"])
-            await self._take(left if most is None else min(left, most))
+            await self._take(left if max_bytes is None else min(left, max_bytes))
         elif self.headers.get("connection") == "close":
             while data := await self.stream.read(1 << 16):
                 self._add(data)
@@ -80,18 +80,18 @@
 Act = Callable[["Upstream", Reader, asyncio.StreamWriter], Awaitable[None]]
 
 
-async def whole(upstream: Upstream, reader: Reader, writer: asyncio.StreamWriter) -> None:
+async def execute(upstream: Upstream, reader: Reader, writer: asyncio.StreamWriter) -> None:
     await reader.body()
-    upstream.ran.append(reader)
+    upstream.executed.append(reader)
     writer.write(answer(200, b"done"))
 
 
 class Upstream:
-    """`act` does what an upstream does with a request whose head has come; `ran` is what it has executed."""
+    """An upstream; `act` handles a request after its head was read, `executed` lists those executed."""
 
-    def __init__(self, act: Act = whole) -> None:
+    def __init__(self, act: Act = execute) -> None:
         self.act = act
-        self.ran: list[Reader] = []
+        self.executed: list[Reader] = []
         self.seen: asyncio.Queue[Reader] = asyncio.Queue()
         self.ended: asyncio.Queue[None] = asyncio.Queue()
 
@@ -113,7 +113,7 @@
 
 
 async def send(writer: asyncio.StreamWriter, length: int) -> bytes:
-    """That many bytes; their digest."""
+    """Send `length` bytes; returns their digest."""
     digest = hashlib.sha256()
     while length:
         block = BLOCK[: min(length, len(BLOCK))]
@@ -124,15 +124,15 @@
     return digest.digest()
 
 
-async def received(caller: Caller, most: int | None = None) -> Reader:
+async def received(caller: Caller, max_bytes: int | None = None) -> Reader:
     reader = Reader(caller.reader)
     await reader.head()
-    await reader.body(most)
+    await reader.body(max_bytes)
     return reader
 
 
-async def until(true: Callable[[], bool]) -> None:
-    while not true():
+async def until(condition: Callable[[], bool]) -> None:
+    while not condition():
         await asyncio.sleep(0.001)
 
 
@@ -147,18 +147,18 @@
         assert await caller.reader.readline() == b"\r\n"
         digest = await send(caller.writer, LONG)
         assert (await caller.read())[::2] == (200, b"done")
-        ran = upstream.ran
-        assert [(r.size, r.digest.digest(), r.headers["content-length"]) for r in ran] == [
+        executed = upstream.executed
+        assert [(r.size, r.digest.digest(), r.headers["content-length"]) for r in executed] == [
             (LONG, digest, str(LONG))
         ]
-        assert "expect" not in ran[0].headers
-        assert bench.bytes.in_use == 0 and bench.bytes.peak <= bench.bytes.limit
+        assert "expect" not in executed[0].headers
+        assert bench.byte_budget.in_use == 0 and bench.byte_budget.peak <= bench.byte_budget.limit
         assert (await caller.ask("a2"))[0] == 200  # the connection is still good
 
     run(main())
 
 
-def test_a_body_in_chunks_with_extensions_and_trailers_goes_on_in_chunks() -> None:
+def test_a_chunked_body_with_extensions_and_trailers_is_forwarded_in_chunks() -> None:
     async def main() -> None:
         upstream = await Upstream().start()
         bench = Bench()
@@ -174,24 +174,24 @@
             await caller.writer.drain()
         caller.writer.write(b"0;last\r\nX-Sum: 1\r\nX-Lane: none\r\n\r\n")
         assert (await caller.read())[0] == 200
-        (ran,) = upstream.ran
-        assert (ran.size, ran.digest.digest()) == (size, digest.digest())
-        assert ran.headers["transfer-encoding"] == "chunked" and "content-length" not in ran.headers
-        assert bench.bytes.in_use == 0
+        (executed,) = upstream.executed
+        assert (executed.size, executed.digest.digest()) == (size, digest.digest())
+        assert executed.headers["transfer-encoding"] == "chunked" and "content-length" not in executed.headers
+        assert bench.byte_budget.in_use == 0
 
     run(main())
 
 
 @pytest.mark.parametrize("form", ["length", "chunks", "close"])
-def test_a_long_answer_is_passed_on_as_it_comes(form: str) -> None:
-    """Its first bytes are with the caller while the upstream still holds the rest back."""
+def test_a_long_response_is_streamed(form: str) -> None:
+    """The caller has the first bytes while the upstream has not sent the rest."""
 
     async def main() -> None:
         on = asyncio.Event()
         framing = {"length": b"Content-Length: %d" % (4 << 20), "chunks": b"Transfer-Encoding: chunked"}
 
         async def act(upstream: Upstream, reader: Reader, writer: asyncio.StreamWriter) -> None:
-            upstream.ran.append(reader)
+            upstream.executed.append(reader)
             writer.write(b"HTTP/1.1 200 OK\r\n" + framing.get(form, b"Connection: close") + b"\r\n\r\n")
             for number in range(4):
                 writer.write(chunk(BLOCK) if form == "chunks" else BLOCK)
@@ -216,16 +216,16 @@
         on.set()
         await reader.body()
         assert (reader.size, reader.digest.digest()) == (4 << 20, hashlib.sha256(BLOCK * 4).digest())
-        assert len(upstream.ran) == 1
+        assert len(upstream.executed) == 1
         await until(lambda: bench.node.unfinished_count() == 0)
-        assert bench.bytes.in_use == 0
+        assert bench.byte_budget.in_use == 0
         assert (await caller.ask("a2", lane="none"))[0] == 400  # the connection is still good
 
     run(main())
 
 
-def test_a_second_long_answer_comes_on_the_same_connections() -> None:
-    """A reader that was slow to the last must not leave the upstream's connection held back."""
+def test_a_second_long_response_uses_the_same_connections() -> None:
+    """A reader that was slow until the end must not leave the upstream's connection paused."""
 
     async def main() -> None:
         data = b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n" % (8 << 20) + BLOCK * 8
@@ -237,19 +237,19 @@
             caller.send(f"a{number}")
             reader = Reader(caller.reader)
             await reader.head()
-            while bench.node.unfinished_count():  # all of it lies between the balancer and us
-                if reader.size < (8 << 20) - http_module.MAX_UNSENT_BYTES:  # the rest of it the kernel takes
+            while bench.node.unfinished_count():  # until all of it is between the balancer and the caller
+                if reader.size < (8 << 20) - http_module.MAX_UNSENT_BYTES:  # the kernel takes the rest
                     await reader._take(1 << 14)
                 else:
                     await asyncio.sleep(0.001)
             await reader._take((8 << 20) - reader.size)
-            await asyncio.sleep(0.01)  # past the time in which a used connection settles
+            await asyncio.sleep(0.01)  # longer than a used connection takes to settle
         assert upstream.connections == 1
 
     run(main())
 
 
-def test_a_caller_of_http_1_0_has_a_long_answer_in_chunks_till_the_end() -> None:
+def test_an_http_1_0_caller_gets_a_chunked_response_until_the_close() -> None:
     async def main() -> None:
         data = b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n" + chunk(BLOCK) + b"0\r\n\r\n"
         upstream = await Peer(replies(data)).start()
@@ -266,8 +266,8 @@
 
 @pytest.mark.parametrize("lane", ["buy", "bid"])
 @pytest.mark.parametrize("length", [200_000, LONG])
-def test_an_upstream_that_dies_in_the_middle_of_an_upload_has_not_run_it(lane: str, length: int) -> None:
-    """While the pieces are held it goes again, else it is refused; the other runs it once or never."""
+def test_an_upload_interrupted_by_its_upstream_was_not_executed(lane: str, length: int) -> None:
+    """It is retried while its pieces are held, else refused; the other upstream executes it once or never."""
 
     async def main() -> None:
         async def dies(upstream: Upstream, reader: Reader, writer: asyncio.StreamWriter) -> None:
@@ -278,7 +278,7 @@
         broken, sound = await Upstream(dies).start(), await Upstream().start()
 
         def act(event: api.Event) -> list[api.Action]:
-            """First u0, then u1 where that can be."""
+            """First u0, then u1 if possible."""
             if isinstance(event, api.Request):
                 return [api.Send(event.request, "u0", 0)]
             if isinstance(event, api.AttemptEnded) and not event.request_ended:
@@ -288,7 +288,7 @@
                 return [api.Refuse(event.request)]
             return []
 
-        bench = Bench(Module(act), bytes_=2 << 20)  # a share of 256 KiB: handed on with half of that
+        bench = Bench(Module(act), byte_limit=2 << 20)  # a share of 256 KiB: delivered at half of that
         bench.list(broken.port, sound.port)
         caller = await bench.caller()
         caller.writer.write(head(length, lane))
@@ -300,21 +300,21 @@
             await send(caller.writer, 50_000)
         status, headers, _ = await caller.read()
         if length == LONG:
-            assert (status, headers["connection"], len(sound.ran)) == (503, "close", 0)
+            assert (status, headers["connection"], len(sound.executed)) == (503, "close", 0)
             sending.cancel()
             caller.writer.close()
         else:
-            assert (status, len(sound.ran)) == (200, 1)
+            assert (status, len(sound.executed)) == (200, 1)
             want = hashlib.sha256(BLOCK[:150_000] + BLOCK[:50_000])
-            assert sound.ran[0].digest.digest() == want.digest()
-        assert broken.ran == []
-        await until(lambda: bench.bytes.in_use == 0 and bench.node.unfinished_count() == 0)
+            assert sound.executed[0].digest.digest() == want.digest()
+        assert broken.executed == []
+        await until(lambda: bench.byte_budget.in_use == 0 and bench.node.unfinished_count() == 0)
 
     run(main())
 
 
-def test_the_decision_module_itself_sends_a_held_body_again_and_refuses_one_that_is_not() -> None:
-    """The same with the real module: an unsafe request is served once, or refused and never run."""
+def test_the_balancer_retries_a_held_body_and_refuses_one_that_was_released() -> None:
+    """The same with the real module: an unsafe request is served once, or refused and never executed."""
 
     async def main() -> None:
         deaths = [1]
@@ -325,33 +325,35 @@
                 await reader.body(50_000)
                 reset(writer)
                 raise ConnectionResetError
-            await whole(upstream, reader, writer)
+            await execute(upstream, reader, writer)
 
         upstream = await Upstream(dies_once).start()
-        bench = Bench(bytes_=2 << 20)
+        bench = Bench(byte_limit=2 << 20)
         bench.list(upstream.port)
         caller = await bench.caller()
         caller.writer.write(head(200_000))
         await send(caller.writer, 150_000)
         await upstream.ended.get()
         await send(caller.writer, 50_000)
-        assert ((await caller.read())[0], len(upstream.ran)) == (200, 1)
+        assert ((await caller.read())[0], len(upstream.executed)) == (200, 1)
         deaths.append(1)
         caller.writer.write(head(LONG).replace(b"a1", b"a2"))
         sending = asyncio.create_task(send(caller.writer, LONG))
-        assert ((await caller.read())[0], len(upstream.ran)) == (503, 1)
+        assert ((await caller.read())[0], len(upstream.executed)) == (503, 1)
         sending.cancel()
 
     run(main())
 
 
 @pytest.mark.parametrize(("lane", "status", "runs"), [("buy", 502, 1), ("bid", 200, 2), ("read", 200, 2)])
-def test_an_upstream_that_dies_after_the_last_byte_may_have_run_it(lane: str, status: int, runs: int) -> None:
+def test_an_upstream_that_breaks_after_the_last_byte_may_have_executed(
+    lane: str, status: int, runs: int
+) -> None:
     async def main() -> None:
         async def dies_once(upstream: Upstream, reader: Reader, writer: asyncio.StreamWriter) -> None:
             await reader.body()
-            upstream.ran.append(reader)
-            if len(upstream.ran) == 1:
+            upstream.executed.append(reader)
+            if len(upstream.executed) == 1:
                 reset(writer)
                 raise ConnectionResetError
             writer.write(answer())
@@ -366,8 +368,8 @@
             caller.writer.write(head(300_000, lane))
             await send(caller.writer, 300_000)
         assert (await caller.read())[0] == status
-        assert len(upstream.ran) == runs
-        assert len({ran.digest.digest() for ran in upstream.ran}) == 1
+        assert len(upstream.executed) == runs
+        assert len({executed.digest.digest() for executed in upstream.executed}) == 1
 
     run(main())
 
@@ -375,15 +377,15 @@
 @pytest.mark.parametrize(
     "form", [b"Content-Length: 4000000", b"Transfer-Encoding: chunked", b"Connection: close"]
 )
-def test_an_answer_that_breaks_in_its_middle_is_cut_and_not_asked_for_again(form: bytes) -> None:
+def test_a_response_that_breaks_midway_is_truncated_and_not_retried(form: bytes) -> None:
     async def main() -> None:
         async def dies(upstream: Upstream, reader: Reader, writer: asyncio.StreamWriter) -> None:
             await reader.body()
-            upstream.ran.append(reader)
+            upstream.executed.append(reader)
             writer.write(b"HTTP/1.1 200 OK\r\n" + form + b"\r\n\r\n")
             writer.write(chunk(BLOCK) if b"chunked" in form else BLOCK)
             await writer.drain()
-            await asyncio.sleep(0.05)  # so that the reset does not wipe out what came before it
+            await asyncio.sleep(0.05)  # so that the reset does not discard the bytes before it
             reset(writer)
             raise ConnectionResetError
 
@@ -394,22 +396,22 @@
         caller.send()
         with pytest.raises((asyncio.IncompleteReadError, ConnectionResetError, ValueError)):
             await received(caller)
-        assert len(upstream.ran) == 1
-        await until(lambda: bench.bytes.in_use == 0 and bench.node.unfinished_count() == 0)
+        assert len(upstream.executed) == 1
+        await until(lambda: bench.byte_budget.in_use == 0 and bench.node.unfinished_count() == 0)
 
     run(main())
 
 
-def test_a_caller_that_leaves_in_the_middle_of_either_body_ends_the_attempt() -> None:
+def test_a_caller_that_disconnects_during_either_body_ends_the_attempt() -> None:
     async def main() -> None:
         async def gives(upstream: Upstream, reader: Reader, writer: asyncio.StreamWriter) -> None:
             await reader.body()
-            upstream.ran.append(reader)
+            upstream.executed.append(reader)
             writer.write(b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n" % LONG)
             await send(writer, LONG)
 
         upstream = await Upstream(gives).start()
-        bench = Bench(bytes_=1 << 20)
+        bench = Bench(byte_limit=1 << 20)
         bench.list(upstream.port)
         up = await bench.caller()
         up.writer.write(head(LONG))
@@ -417,18 +419,18 @@
         await upstream.seen.get()
         reset(up.writer)
         await upstream.ended.get()
-        assert upstream.ran == []
+        assert upstream.executed == []
         down = await bench.caller()
         down.send("a2")
         await received(down, 1 << 20)
         reset(down.writer)
         await upstream.ended.get()
-        await until(lambda: bench.bytes.in_use == 0 and bench.node.unfinished_count() == 0)
+        await until(lambda: bench.byte_budget.in_use == 0 and bench.node.unfinished_count() == 0)
 
     run(main())
 
 
-def test_a_caller_that_stops_reading_for_ever_is_ended_and_holds_little(
+def test_a_caller_that_stops_reading_is_disconnected_and_holds_little_memory(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     monkeypatch.setattr(caller_module, "STALL_TIMEOUT_US", 300_000)
@@ -444,15 +446,15 @@
         stuck = socket.create_connection(("127.0.0.1", bench.port))
         stuck.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4096)
         stuck.sendall(request("a1"))
-        await upstream.ended.get()  # the balancer gave it up
-        assert bench.bytes.peak <= http_module.MAX_UNSENT_BYTES + 2 * READ_BYTES
-        await until(lambda: bench.bytes.in_use == 0 and bench.server.connections() == 0)
+        await upstream.ended.get()  # the balancer closed the connection
+        assert bench.byte_budget.peak <= http_module.MAX_UNSENT_BYTES + 2 * READ_BYTES
+        await until(lambda: bench.byte_budget.in_use == 0 and bench.server.connections() == 0)
         stuck.close()
 
     run(main())
 
 
-def test_an_upstream_that_stands_still_in_its_answer_is_given_up(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_an_upstream_that_stalls_in_its_response_is_disconnected(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(upstream_machine, "STALL_TIMEOUT_US", 200_000)
     monkeypatch.setattr(upstream_module, "SWEEP_INTERVAL_S", 0.05)
 
@@ -481,24 +483,24 @@
         (head(None) + chunk(b"x" * 100_000) + b"0\r\nX: " + b"y" * 100_000, 431),
     ],
 )
-def test_framing_that_cannot_be_is_answered_and_runs_nowhere(data: bytes, status: int) -> None:
+def test_invalid_framing_is_rejected_and_not_executed(data: bytes, status: int) -> None:
     async def main() -> None:
         upstream = await Upstream().start()
-        bench = Bench(bytes_=1)  # each is handed on while its body still comes
+        bench = Bench(byte_limit=1)  # each is delivered while its body is still received
         bench.list(upstream.port)
         caller = await bench.caller()
         caller.writer.write(data)
         got, headers, _ = await caller.read()
         assert (got, headers["connection"]) == (status, "close")
-        assert upstream.ran == []
-        await until(lambda: bench.bytes.in_use == 0 and bench.node.unfinished_count() == 0)
+        assert upstream.executed == []
+        await until(lambda: bench.byte_budget.in_use == 0 and bench.node.unfinished_count() == 0)
         assert (await (await bench.caller()).ask("a2"))[0] == 200
 
     run(main())
 
 
-def test_a_length_that_is_too_long_or_too_short() -> None:
-    """Too long: it ends with its connection, and nothing ran.  Too short: the surplus is no request."""
+def test_a_content_length_that_is_too_long_or_too_short() -> None:
+    """Too long: it ends with its connection and is not executed.  Too short: the surplus is no request."""
 
     async def main() -> None:
         upstream = await Upstream().start()
@@ -509,7 +511,7 @@
         await send(longer.writer, 199_999)
         longer.writer.write_eof()
         assert await longer.ended()
-        assert upstream.ran == []
+        assert upstream.executed == []
         shorter = await bench.caller()
         shorter.writer.write(head(200_000).replace(b"a1", b"a2"))
         await send(shorter.writer, 200_000)
@@ -517,7 +519,7 @@
         assert (await shorter.read())[0] == 200
         assert (await shorter.read())[0] == 400
         assert await shorter.ended()
-        assert [ran.size for ran in upstream.ran] == [200_000]
+        assert [executed.size for executed in upstream.executed] == [200_000]
 
     run(main())
 
@@ -529,10 +531,10 @@
         async def act(upstream: Upstream, reader: Reader, writer: asyncio.StreamWriter) -> None:
             if reader.headers["x-txn"] == "first":
                 await go.wait()
-            await whole(upstream, reader, writer)
+            await execute(upstream, reader, writer)
 
         upstream = await Upstream(act).start()
-        bench = Bench(bytes_=1)
+        bench = Bench(byte_limit=1)
         bench.list(upstream.port)
         caller = await bench.caller()
         caller.send("first", ms=1000)
@@ -542,23 +544,23 @@
         held = next(iter(bench.server._connections)).machine
         await until(
             lambda: held.buffered_bytes() > caller_module.MAX_READ_AHEAD_BYTES
-        )  # it lies unread, and reading has stopped
+        )  # it is unread, and reading is paused
         assert (
             held.buffered_bytes() <= caller_module.MAX_READ_AHEAD_BYTES + READ_BYTES
-            and bench.bytes.in_use == 0
+            and bench.byte_budget.in_use == 0
         )
         go.set()
         assert (await caller.read())[0] == 200
         assert (await caller.read())[0] == 200
-        assert upstream.ran[1].digest.digest() == await sending
-        assert [ran.size for ran in upstream.ran] == [0, 300_000]
+        assert upstream.executed[1].digest.digest() == await sending
+        assert [executed.size for executed in upstream.executed] == [0, 300_000]
 
     run(main())
 
 
 @pytest.mark.alone
-def test_fifty_bodies_of_32_mb_at_once_hold_no_more_than_the_bound_and_small_ones_pass() -> None:
-    """The upstream takes none of them for now; small requests beside them are answered."""
+def test_fifty_bodies_of_32_mb_stay_within_the_budget_and_small_requests_pass() -> None:
+    """The upstream reads none of them for now; small requests beside them are answered."""
 
     async def main() -> None:
         go = asyncio.Event()
@@ -569,14 +571,14 @@
                 and int(reader.headers["content-length"]) > MAX_UNSTREAMED_BYTES
             ):
                 await go.wait()
-            await whole(upstream, reader, writer)
+            await execute(upstream, reader, writer)
 
         upstream = await Upstream(act).start()
         limit = 8 << 20
         everywhere = Module(
             lambda event: [api.Send(event.request, "u0", 0)] if isinstance(event, api.Request) else []
         )
-        bench = Bench(everywhere, sockets=200, bytes_=limit)
+        bench = Bench(everywhere, sockets=200, byte_limit=limit)
         bench.list(upstream.port)
         callers = [await bench.caller() for _ in range(50)]
         sending = []
@@ -584,12 +586,12 @@
             caller.writer.write(head(LONG).replace(b"a1", b"long%d" % number))
             sending.append(asyncio.create_task(send(caller.writer, LONG)))
         for _ in range(50):
-            await upstream.seen.get()  # each is on its way
+            await upstream.seen.get()  # each is in transfer
         small = await bench.caller()
         for number in range(20):
             assert (await small.ask(f"small{number}"))[0] == 200
-        assert bench.bytes.peak <= limit + 50 * (MIN_SHARE_BYTES + 2 * READ_BYTES)
-        assert bench.bytes.in_use <= limit + 50 * (MIN_SHARE_BYTES + 2 * READ_BYTES)
+        assert bench.byte_budget.peak <= limit + 50 * (MIN_SHARE_BYTES + 2 * READ_BYTES)
+        assert bench.byte_budget.in_use <= limit + 50 * (MIN_SHARE_BYTES + 2 * READ_BYTES)
         for task, caller in zip(sending[3:], callers[3:], strict=True):
             task.cancel()
             reset(caller.writer)
@@ -597,8 +599,8 @@
         for task, caller in zip(sending[:3], callers[:3], strict=True):
             assert (await caller.read())[0] == 200
             await task
-        await until(lambda: bench.bytes.in_use == 0 and bench.node.unfinished_count() == 0)
-        assert sum(ran.size == LONG for ran in upstream.ran) == 3
+        await until(lambda: bench.byte_budget.in_use == 0 and bench.node.unfinished_count() == 0)
+        assert sum(executed.size == LONG for executed in upstream.executed) == 3
 
     run(main())
 
@@ -609,10 +611,10 @@
     st.lists(st.integers(1, 40_000), min_size=1, max_size=12),
     st.booleans(),
 )
-def test_the_cuts_of_a_body_change_neither_its_bytes_nor_its_verdict(
+def test_splitting_a_body_changes_neither_its_bytes_nor_the_result(
     chunks: list[int], cuts: list[int], chunked: bool
 ) -> None:
-    """The same request in one piece and in arbitrary pieces: the upstream has the same bytes of both."""
+    """The same request in one piece and in arbitrary pieces: the upstream receives the same bytes."""
     body = b"".join(BLOCK[n : n + size] for n, size in enumerate(chunks))
     parts = b"".join(chunk(BLOCK[n : n + size]) for n, size in enumerate(chunks)) + b"0\r\n\r\n"
     data = head(None) + parts if chunked else head(len(body)) + body
@@ -632,14 +634,14 @@
             await asyncio.sleep(0)
         assert await in_pieces.read() == first
         want = hashlib.sha256(body).digest()
-        assert [ran.digest.digest() for ran in upstream.ran] == [want, want]
+        assert [executed.digest.digest() for executed in upstream.executed] == [want, want]
         upstream.server.close()
 
     run(main())
 
 
-def test_figures_after_long_bodies_that_went_wrong() -> None:
-    """A cut answer has failed, a refused upload is busy, whoever left counts under none."""
+def test_metrics_after_long_bodies_that_failed() -> None:
+    """A truncated answer counts as failed, a refused upload as busy, a disconnected caller as nothing."""
 
     async def main() -> None:
         async def act(upstream: Upstream, reader: Reader, writer: asyncio.StreamWriter) -> None:
@@ -648,8 +650,8 @@
                 reset(writer)
                 raise ConnectionResetError
             await reader.body()
-            upstream.ran.append(reader)
-            size = LONG if reader.headers["x-txn"] == "leaves" else 4 << 20  # more than the kernels hold
+            upstream.executed.append(reader)
+            size = LONG if reader.headers["x-txn"] == "leaves" else 4 << 20  # more than the kernels buffer
             writer.write(b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n" % size)
             writer.write(BLOCK)
             if reader.headers["x-txn"] == "cut":
@@ -660,7 +662,7 @@
             await send(writer, size - len(BLOCK))
 
         upstream = await Upstream(act).start()
-        bench = Bench(bytes_=1)
+        bench = Bench(byte_limit=1)
         figures = bench.node.observer = RequestMetrics()
         bench.list(upstream.port)
         good = await bench.caller()
@@ -690,6 +692,6 @@
             (ResultKind.FAILED, "read"): 1,
             (ResultKind.BUSY, "buy"): 1,
         }
-        assert figures.attempts_written == 3  # what never was there whole is no attempt
+        assert figures.attempts_written == 3  # an incomplete request is no attempt
 
     run(main())
--- a/tests/net/test_callers.py
+++ b/tests/net/test_callers.py
@@ -39,7 +39,7 @@
         (GOOD.replace(b"X-Lane: read", b"X-Lane: buy"), 400, True),
         (POST.replace(b"buy", b"read") + b"Content-Length: 0\r\n\r\n", 400, True),
         (POST.replace(b"buy", b"bid") + b"Content-Length: 0\r\n\r\n", 400, True),
-        (GOOD.replace(b"a1", b"g1"), 400, True),  # another's, answered before
+        (GOOD.replace(b"a1", b"g1"), 400, True),  # another caller's id, already answered
         (GOOD.replace(b"X-Remaining-Ms: 900\r\n", b""), 400, True),
         (GOOD.replace(b": 900", b": -5"), 400, True),
         (GOOD.replace(b": 900", b": 1e3"), 400, True),
@@ -63,7 +63,7 @@
         (b"POST /ready HTTP/1.1\r\nHost: x\r\nContent-Length: 0\r\n\r\n", 405, True),
     ],
 )
-def test_bad_input_is_answered_and_nobody_else_suffers(data: bytes, status: int, kept: bool) -> None:
+def test_bad_input_is_answered_and_other_callers_are_unaffected(data: bytes, status: int, kept: bool) -> None:
     async def main() -> None:
         peer = await Peer(replies(answer())).start()
         module = send_once()
@@ -77,7 +77,7 @@
         if kept:
             assert (await bad.ask("a2"))[0] == 200
         else:
-            bad.writer.write(GOOD)  # what comes after is not read as a request
+            bad.writer.write(GOOD)  # later bytes are not parsed as a request
             assert await bad.ended()
         assert (await good.ask("g2"))[0] == 200
         requests = [event.request for event in module.events if isinstance(event, api.Request)]
@@ -99,7 +99,7 @@
     run(main())
 
 
-def test_what_the_module_is_told_of_a_request() -> None:
+def test_the_request_event_that_the_module_receives() -> None:
     async def main() -> None:
         module = refuse_all()
         bench = Bench(module)
@@ -122,7 +122,7 @@
         data = request("a1", "buy", 800, b"body")
         caller.writer.write(data[:-1])
         await caller.writer.drain()
-        await asyncio.sleep(0.05)  # that it is late is what is tested; how late does not matter
+        await asyncio.sleep(0.05)  # any delay will do
         last = bench.clock.now()
         caller.writer.write(data[-1:])
         assert (await caller.read())[0] == 503
@@ -131,7 +131,7 @@
     run(main())
 
 
-def test_requests_in_pieces_chunked_and_in_a_row() -> None:
+def test_split_chunked_and_pipelined_requests() -> None:
     async def main() -> None:
         peer = await Peer(replies(answer())).start()
         bench = Bench(send_once())
@@ -156,8 +156,8 @@
     run(main())
 
 
-def test_a_trailer_does_not_stand_in_for_a_header() -> None:
-    """A second X-Txn after the body would go on to the upstream, past the check that it stands once."""
+def test_a_trailer_does_not_replace_a_header() -> None:
+    """A second X-Txn after the body would reach the upstream, bypassing the check that it occurs once."""
 
     async def main() -> None:
         peer = await Peer(replies(answer())).start()
@@ -172,8 +172,8 @@
     run(main())
 
 
-def test_what_follows_bytes_that_cannot_be_read_is_dropped() -> None:
-    """The answer to the request before them still comes, then theirs, once."""
+def test_bytes_after_invalid_input_are_discarded() -> None:
+    """The request before them is still answered, then the invalid input, once."""
 
     async def main() -> None:
         module = Module(lambda event: [])
@@ -219,7 +219,7 @@
     run(main())
 
 
-def test_ready_tells_whether_requests_can_be_served() -> None:
+def test_ready_reports_whether_requests_can_be_served() -> None:
     async def main() -> None:
         bench = Bench(refuse_all())
         caller = await bench.caller()
@@ -244,8 +244,8 @@
 
 
 @pytest.mark.parametrize("data", [b"", GOOD[:30], POST + b"Content-Length: 9\r\n\r\n12", b"\r\n"])
-def test_a_caller_that_says_nothing_or_drips_is_ended(data: bytes, monkeypatch: pytest.MonkeyPatch) -> None:
-    """Its time counts from the first byte or from connecting: no later byte renews it."""
+def test_a_silent_or_slow_caller_is_disconnected(data: bytes, monkeypatch: pytest.MonkeyPatch) -> None:
+    """The timeout counts from the first byte or from the connect; later bytes do not extend it."""
     monkeypatch.setattr(caller_module, "HEAD_TIMEOUT_US", 300_000)
     monkeypatch.setattr(body_module, "RATE_GRACE_S", 0.3)
     monkeypatch.setattr(server_module, "FIRST_BYTE_TIMEOUT_US", 300_000)
@@ -261,11 +261,11 @@
                 await asyncio.sleep(0.05)  # well within the limit, each
 
         dripping = asyncio.create_task(drip())
-        begun = bench.clock.now()
+        started_at = bench.clock.now()
         if data:
             assert (await caller.read())[0] == 408
         assert await caller.ended()
-        assert bench.clock.now() - begun < 1_200_000  # 30 bytes would take 1.5 s
+        assert bench.clock.now() - started_at < 1_200_000  # 30 bytes would take 1.5 s
         dripping.cancel()
 
     run(main())
@@ -280,8 +280,8 @@
         POST + b"Transfer-Encoding: chunked\r\n\r\n1;",
     ],
 )
-def test_what_has_no_end_is_cut_off(head: bytes) -> None:
-    """The parser joins the pieces of one header and tells of it when it is whole: memory would fill."""
+def test_endless_heads_and_framing_are_rejected(head: bytes) -> None:
+    """The parser buffers a header until it is complete, so an endless one would fill the memory."""
 
     async def main() -> None:
         bench = Bench(refuse_all())
@@ -299,26 +299,26 @@
     run(main())
 
 
-@pytest.mark.parametrize(("sockets", "room", "most"), [(20, 1000, 20), (100, 5, 6)])
-def test_silent_callers_leave_sockets_for_others(sockets: int, room: int, most: int) -> None:
-    """More silent callers than sockets: a usual caller is still taken and its attempt gets a connection."""
+@pytest.mark.parametrize(("sockets", "max_callers", "max_sockets"), [(20, 1000, 20), (100, 5, 6)])
+def test_silent_callers_leave_sockets_for_others(sockets: int, max_callers: int, max_sockets: int) -> None:
+    """With more silent callers than sockets, a regular caller is served and its attempt gets a connection."""
 
     async def main() -> None:
         peer = await Peer(replies(answer())).start()
-        bench = Bench(send_once(), sockets=sockets, room=room)
+        bench = Bench(send_once(), sockets=sockets, max_callers=max_callers)
         bench.list(peer.port)
         silent = [await bench.caller() for _ in range(40)]
         caller = await bench.caller()
         assert (await caller.ask("a1", ms=1000))[0] == 200
-        assert bench.budget.in_use <= most
+        assert bench.budget.in_use <= max_sockets
         for one in silent:
             one.writer.close()
 
     run(main())
 
 
-def test_a_flood_of_requests_leaves_others_their_turns() -> None:
-    """One read holds hundreds: answered all at once, everybody else would wait for them."""
+def test_a_flood_of_pipelined_requests_does_not_delay_other_callers() -> None:
+    """One read contains hundreds: if all were answered at once, other callers would wait for them."""
 
     async def main() -> None:
         bench = Bench(refuse_all())
@@ -340,8 +340,8 @@
     run(main())
 
 
-def test_an_absurd_deadline_is_cut_to_its_class() -> None:
-    """It would hold a timer and the request's state for a day."""
+def test_an_excessive_deadline_is_limited_to_its_class() -> None:
+    """Otherwise a timer and the request's state would be kept for a day."""
 
     async def main() -> None:
         module = refuse_all()
@@ -352,8 +352,8 @@
     run(main())
 
 
-def test_a_caller_that_takes_no_answers_is_bounded(monkeypatch: pytest.MonkeyPatch) -> None:
-    """Its requests are not read any more, and after a while it is cut off."""
+def test_a_caller_that_reads_no_answers_is_limited(monkeypatch: pytest.MonkeyPatch) -> None:
+    """Its requests are not parsed any more, and after a while it is disconnected."""
     monkeypatch.setattr(caller_module, "UNREAD_RESPONSE_TIMEOUT_US", 200_000)
 
     async def main() -> None:
@@ -369,18 +369,18 @@
             loop = asyncio.get_running_loop()
             with pytest.raises(OSError):
                 await loop.sock_sendall(sock, data)
-                while True:  # reads nothing; the cut shows on writing
+                while True:  # it reads nothing, so the disconnect shows when writing
                     await loop.sock_sendall(sock, b"x")
                     await asyncio.sleep(0.01)
-        begun = sum(isinstance(event, api.Request) for event in module.events)
-        assert 0 < begun < 1000
+        started = sum(isinstance(event, api.Request) for event in module.events)
+        assert 0 < started < 1000
         assert bench.node.pending_count() == 0
 
     run(main())
 
 
-def test_requests_that_were_read_are_answered_also_when_leaving() -> None:
-    """Closing after the first answer would lose those that were read behind it."""
+def test_requests_already_received_are_answered_while_draining() -> None:
+    """Closing after the first answer would lose the requests received after it."""
 
     async def main() -> None:
         module = Module(lambda event: [])
@@ -409,9 +409,8 @@
         idle, busy = await bench.caller(), await bench.caller()
         busy.send("b1", ms=1500)
         await module.next(api.Request)
-        await asyncio.sleep(
-            server_module.FRESH_CONNECTION_US / 1e6 + 0.05
-        )  # a fresh connection is left to send
+        # A fresh connection is not evicted.
+        await asyncio.sleep(server_module.FRESH_CONNECTION_US / 1e6 + 0.05)
         third = await Caller.to(bench.port)
         third.send("c1", ms=500)
         assert await idle.ended()
@@ -421,19 +420,19 @@
     run(main())
 
 
-def test_one_network_holds_no_more_connections_than_its_bound_and_others_come_in() -> None:
-    """What it opens beyond that is closed as it comes; what it closes makes room again."""
+def test_a_networks_connections_are_limited_and_other_networks_are_admitted() -> None:
+    """Connections over the limit are closed on arrival; closing one makes room again."""
 
     async def main() -> None:
-        crowd = ConnectionAdmission(3, lambda address: address)
-        bench, upstream = Bench(send_once(), crowd=crowd), await Peer(replies(answer())).start()
+        admission = ConnectionAdmission(3, lambda address: address)
+        bench, upstream = Bench(send_once(), admission=admission), await Peer(replies(answer())).start()
         bench.list(upstream.port)
         held = [await bench.caller() for _ in range(3)]
         for number, caller in enumerate(held):
             assert (await caller.ask(f"a{number}"))[0] == 200
         over = await bench.caller()
         assert await over.ended()
-        assert crowd.rejected == 1
+        assert admission.rejected == 1
         other = Caller(*await asyncio.open_connection("127.0.0.1", bench.port, local_addr=("127.0.0.2", 0)))
         assert (await other.ask("b0"))[0] == 200
         held[0].writer.close()
@@ -445,22 +444,22 @@
     run(main())
 
 
-def test_heads_that_stand_still_make_room_and_one_that_is_still_written_does_not(
+def test_stalled_heads_are_evicted_and_slow_ones_are_not(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """A crowd that begins requests and never ends them: a slow writer and a new caller both come through."""
+    """Beside many callers that never finish a head, a slow caller and a new one are both served."""
     monkeypatch.setattr(server_module, "STUCK_HEAD_US", 200_000)
-    monkeypatch.setattr(caller_module, "HEAD_TIMEOUT_US", 15_000_000)  # it is not time that ends them
+    monkeypatch.setattr(caller_module, "HEAD_TIMEOUT_US", 15_000_000)  # no timeout ends them
 
     async def main() -> None:
         upstream = await Peer(replies(answer())).start()
-        bench = Bench(send_once(), sockets=20)  # twelve for callers, and one that is taken before it is known
+        bench = Bench(send_once(), sockets=20)  # twelve for callers, and one above the limit
         bench.list(upstream.port)
         slow = await bench.caller()
         data = request("slow1")
         slow.writer.write(data[:10])
-        crowd = [await bench.caller() for _ in range(12)]
-        for stuck in crowd:
+        stalled = [await bench.caller() for _ in range(12)]
+        for stuck in stalled:
             stuck.writer.write(b"GET /api HTTP/1.1\r\nX-")
         for number in range(10):
             await asyncio.sleep(0.05)
@@ -471,9 +470,9 @@
         slow.writer.write(data[60:])
         assert (await slow.read())[0] == 200
         assert bench.server.connections() in (12, 13)
-        ends = [asyncio.ensure_future(stuck.gone()) for stuck in crowd]
+        ends = [asyncio.ensure_future(stuck.closed()) for stuck in stalled]
         done, left = await asyncio.wait(ends, return_when=asyncio.FIRST_COMPLETED)
-        assert all(end.result() for end in done) and len(left) >= 10  # no more than make the room
+        assert all(end.result() for end in done) and len(left) >= 10  # only as many as necessary
         for end in left:
             end.cancel()
 
@@ -481,7 +480,7 @@
 
 
 def test_a_connection_with_unread_bytes_is_not_closed_as_idle() -> None:
-    """The close would reset a request that lies in the kernel: it is served, and told that it is the last."""
+    """Closing would reset a request that is still in the kernel: it is served, with `Connection: close`."""
 
     async def main() -> None:
         upstream = await Peer(replies(answer())).start()
@@ -494,11 +493,11 @@
         raw.send(request("a1"))
         assert (await loop.sock_recv(raw, 1000)).startswith(b"HTTP/1.1 200")
         bench.server.set_draining(True)
-        bench.server._draining_since -= 2 * server_module.DRAIN_NOTICE_US  # the front has had its time
-        raw.send(request("b1"))  # it is with the balancer's kernel before the loop can read it
+        bench.server._draining_since -= 2 * server_module.DRAIN_NOTICE_US  # the notice period has passed
+        raw.send(request("b1"))  # the kernel has it before the event loop can read it
         bench.server._close_idle(0)
-        told = await loop.sock_recv(raw, 1000)
-        assert told.startswith(b"HTTP/1.1 200") and b"Connection: close" in told
+        response = await loop.sock_recv(raw, 1000)
+        assert response.startswith(b"HTTP/1.1 200") and b"Connection: close" in response
         assert await idle.ended()
         raw.close()
         bench.server.set_draining(False)
@@ -507,8 +506,8 @@
     run(main())
 
 
-def test_white_space_behind_a_header_is_dropped_also_where_it_is_cut() -> None:
-    """From callers and from upstreams: the parser leaves it there when a read ends before the line does."""
+def test_trailing_whitespace_of_a_split_header_is_removed() -> None:
+    """From callers and upstreams: the parser keeps it if a read ends within the line."""
 
     async def main() -> None:
         async def turns_away(_: object, writer: asyncio.StreamWriter) -> None:
--- a/tests/net/test_dial.py
+++ b/tests/net/test_connect.py
@@ -1,4 +1,4 @@
-"""A connection that stands in the very turn in which it is given up is closed, not left behind."""
+"""A connection that is established just as its attempt is cancelled is closed, not leaked."""
 
 from __future__ import annotations
 
@@ -32,7 +32,7 @@
 
 
 class Loop:
-    """The running one, whose connections stand a turn before those who wait for them hear of it."""
+    """The running loop; its connections are established one iteration before the waiting task resumes."""
 
     def __init__(self) -> None:
         self._real, self.transport = asyncio.get_running_loop(), Transport()
@@ -47,12 +47,12 @@
         await asyncio.sleep(0)
 
 
-def test_a_dial_that_is_given_up_as_its_connection_stands_leaves_none_behind() -> None:
+def test_a_dial_cancelled_as_its_connection_is_established_leaves_none_open() -> None:
     async def main() -> None:
         loop, budget, found = Loop(), SocketBudget(10), list[Result]()
         pool = Pool(cast(Any, loop), budget, 1.0, 9.0, network=cast(Any, Wire()))
         job = pool.start("u", ("host", 1), b"x", found.append)
-        await asyncio.sleep(0)  # it stands
+        await asyncio.sleep(0)  # the connection is established
         job.give_up(Outcome.TIMEOUT)
         for _ in range(3):
             await asyncio.sleep(0)
--- a/tests/net/test_discovery.py
+++ b/tests/net/test_discovery.py
@@ -24,8 +24,8 @@
     return bench, module, discovery
 
 
-async def asked(peer: Peer) -> int:
-    """The version after which the next watch asks."""
+async def requested_version(peer: Peer) -> int:
+    """The version from which the next watch requests changes."""
     line = (await peer.got.get())[0]
     assert line.startswith("GET /v1/endpoints?watch=1&after=")
     return int(line.split("after=")[1].split(" ")[0])
@@ -37,7 +37,7 @@
             lines = watch_line(42, row("u1", 2, status="draining")) + chunk(b"\n")
             lines += watch_line(43, row("u1", 0, status="gone", address=""), row("u2", 3))
             whole = WATCH_HEAD + lines + watch_line(44, row("u9", 9, status="odd"), snapshot=True)
-            for start in range(0, len(whole), 37):  # pieces that end anywhere
+            for start in range(0, len(whole), 37):  # split at arbitrary positions
                 writer.write(whole[start : start + 37])
                 await writer.drain()
 
@@ -48,7 +48,7 @@
         assert (cached.kind, cached.version) == (api.ListKind.CACHED, 41)
         expected = api.Endpoint("u1", "a", "m", 3, api.Lifecycle.SERVING, 1.0, 5000)
         assert cached.endpoints[1] == expected
-        assert await asked(peer) == 41
+        assert await requested_version(peer) == 41
         states = []
         for _ in range(3):
             event = await module.next(api.UpstreamList)
@@ -64,16 +64,16 @@
     run(main())
 
 
-UNREAD = ("not json", "not a list")
+INVALID_LINES = ("not json", "not a list")
 
 
 @pytest.mark.parametrize(
     "end", ["close", "reset", "silent", "not http", "not json", "not a list", "503", "head", "chunked end"]
 )
-def test_a_watch_that_ends_is_begun_again_from_the_last_version(
+def test_a_watch_that_ends_is_restarted_from_the_last_version(
     end: str, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """Whatever ends it, the process lives, the last list stays and no change is missed."""
+    """Whatever ends it, the process continues, the last list stays in force and no change is missed."""
     monkeypatch.setattr(discovery_module, "WATCH_SILENCE_TIMEOUT_S", 0.3)
 
     async def main() -> None:
@@ -103,11 +103,11 @@
         peer = await Peer(script).start()
         bench, module, discovery = watching(peer)
         discovery.start(KNOWN)
-        assert await asked(peer) == 41
-        seen = await asked(peer)
-        # What a line that cannot be read had to tell comes with the whole list.
+        assert await requested_version(peer) == 41
+        seen = await requested_version(peer)
+        # The changes in an invalid line arrive with the complete list.
         assert seen in {"503": (41,), "head": (41,), "reset": (41, 42)}.get(
-            end, (0,) if end in UNREAD else (42,)
+            end, (0,) if end in INVALID_LINES else (42,)
         )
         while (await module.next(api.UpstreamList)).version != 50:
             pass
@@ -119,7 +119,7 @@
     run(main())
 
 
-def test_where_discovery_is_asked_the_module_starts_the_watch_and_hears_of_its_end() -> None:
+def test_with_lists_on_request_the_module_starts_the_watch_and_is_notified_of_its_end() -> None:
     async def main() -> None:
         async def script(_: object, writer: asyncio.StreamWriter) -> None:
             if len(peer.requests) == 2:
@@ -150,7 +150,7 @@
         _, module, discovery = watching(peer, on_request=True)
         module.act = lambda event: [api.WatchList(True)]
         discovery.start(KNOWN)
-        assert await asked(peer) == 41
+        assert await requested_version(peer) == 41
         module.act = lambda event: [api.WatchList(False)]
         discovery.apply({"index": 42, "snapshot": False, "endpoints": []})
         await peer.closed.get()
@@ -159,7 +159,7 @@
 
 
 @pytest.mark.parametrize(
-    "listed",
+    "message",
     [
         None,
         [],
@@ -169,9 +169,9 @@
         {"index": 1, "snapshot": True, "endpoints": 1},
     ],
 )
-def test_what_is_not_a_list_is_told_apart(listed: Any) -> None:
+def test_an_invalid_list_raises_an_error(message: Any) -> None:
     with pytest.raises(InvalidEndpointList):
-        parse_endpoint_list(listed)
+        parse_endpoint_list(message)
 
 
 @pytest.mark.parametrize(
@@ -185,8 +185,8 @@
         {"name": "bad"},
     ],
 )
-def test_a_bad_row_stops_no_other_and_gets_nothing(bad: dict[str, Any]) -> None:
-    """It would end the watch, which would meet it again; its upstream may be one that drains."""
+def test_an_invalid_row_affects_no_other_and_its_upstream_gets_no_requests(bad: dict[str, Any]) -> None:
+    """It would end each watch, as a new one receives it again; its upstream may be draining."""
     _, _, rows = parse_endpoint_list(
         {"index": 1, "snapshot": False, "endpoints": [1, None, bad, row("good", 1)]}
     )
--- a/tests/net/test_process.py
+++ b/tests/net/test_process.py
@@ -56,8 +56,8 @@
     raise AssertionError("it ended before it served")
 
 
-def test_it_serves_and_leaves_in_order(tmp_path: Path) -> None:
-    """After SIGTERM: what is held is answered, new connections are still taken, then it ends with 0."""
+def test_it_serves_and_shuts_down_gracefully(tmp_path: Path) -> None:
+    """After SIGTERM: pending requests are answered, new connections still accepted, then it exits with 0."""
 
     async def main() -> None:
         hold = asyncio.Event()
@@ -84,7 +84,7 @@
             process.send_signal(signal.SIGTERM)
             late = await Caller.to(port)
             status, headers, _ = await late.ask("late")
-            while headers.get("connection") != "close":  # the signal is taken a moment later
+            while headers.get("connection") != "close":  # the signal is handled a moment later
                 status, headers, _ = await late.ask(f"late{os.urandom(4).hex()}")
             assert status == 200
             assert await late.ended()
@@ -104,7 +104,7 @@
     run(main())
 
 
-def test_sigterm_ends_it_though_a_caller_hangs(tmp_path: Path) -> None:
+def test_sigterm_ends_it_although_a_caller_hangs(tmp_path: Path) -> None:
     async def main() -> None:
         discovery = await Peer(replies(WATCH_HEAD)).start()
         path = tmp_path / "config.json"
@@ -112,7 +112,7 @@
         process = await start(path)
         try:
             caller = await Caller.to(await port_of(process))
-            caller.writer.write(b"GET /api HTT")  # its rest never comes
+            caller.writer.write(b"GET /api HTT")  # the rest is never sent
             await caller.writer.drain()
             process.send_signal(signal.SIGTERM)
             assert await process.wait() == 0
@@ -171,8 +171,8 @@
 
 
 def test_sighup_moves_the_watch_and_drops_nothing(tmp_path: Path) -> None:
-    """Each SIGHUP under load: the request in hand is served, the new discovery's word counts, also where the
-    environment named the old one, and a bad file changes nothing.  SIGTERM still drains after it."""
+    """Each SIGHUP under load: the pending request is served and the new discovery's list applies, even if the
+    environment named the old discovery; a bad file changes nothing.  SIGTERM still drains afterwards."""
 
     async def main() -> None:
         hold = asyncio.Event()
@@ -184,7 +184,9 @@
 
         old, new = await Peer(script).start(), await Peer(replies(answer(200, b"new"))).start()
         first = await Peer(replies(WATCH_HEAD)).start()
-        listed = watch_line(1, row("u1", new.port), snapshot=True)  # counts anew, below what is known
+        listed = watch_line(
+            1, row("u1", new.port), snapshot=True
+        )  # versions start again, below the known one
         second = await Peer(replies(WATCH_HEAD + listed)).start()
         path = tmp_path / "config.json"
         known = {"index": 90, "snapshot": True, "endpoints": [row("u0", old.port)]}
@@ -207,7 +209,7 @@
             assert "after=0 " in line
             await first.closed.get()
             number, body = 0, b"old"
-            while body == b"old":  # until the list's line has been read
+            while body == b"old":  # until the new list was read
                 number += 1
                 status, _, body = await caller.ask(f"b{number}")
                 assert status == 200
@@ -230,11 +232,11 @@
         path = tmp_path / "config.json"
         path.write_text(json.dumps(config(discovery.port)))
         process = await start(path, **{name: "warning"})
-        await discovery.got.get()  # it runs
+        await discovery.got.get()  # it is running
         process.send_signal(signal.SIGTERM)
         _, errors = await process.communicate()
         assert process.returncode == 0
-        assert b"serving on" not in errors  # that line is of the level INFO
+        assert b"serving on" not in errors  # that line has level INFO
         assert (b"deprecated" in errors) is (name == "BIRCHLEAD_LOG")
 
     run(main())
--- a/tests/queues/test_queues_door.py
+++ b/tests/queues/test_queues_door.py
@@ -71,10 +71,10 @@
         self.bench = Bench(
             module,
             settings,
-            fronts=lambda node: {
+            frontends=lambda node: {
                 API_PATH: ApiFrontend(node, (lambda a, c: "same") if repeats else None, origin)
             },
-            door=door,
+            stage=door,
         )
 
     async def caller(self) -> Caller:
@@ -449,7 +449,7 @@
         return {b"/graphql": GraphqlFront(node, _Late(made), gqlkit.classifier(), None, told, None, origin)}
 
     settings = api.Settings(classes=tuple(gqlkit.CLASSES.values()), max_attempts=4)
-    return Bench(send_once(), settings, fronts=fronts, door=door), admission
+    return Bench(send_once(), settings, frontends=fronts, stage=door), admission
 
 
 async def graphql_send(bench: Bench, client: str, body: bytes) -> Caller:
--- a/tests/repeats/test_door.py
+++ b/tests/repeats/test_door.py
@@ -49,7 +49,7 @@
         def fronts(node: Node) -> dict[bytes, Frontend]:
             return {API_PATH: ApiFrontend(node, by_header)}
 
-        super().__init__(module, SETTINGS, fronts=fronts, door=door)
+        super().__init__(module, SETTINGS, frontends=fronts, stage=door)
 
 
 def bid(
@@ -359,7 +359,7 @@
             stages.append(stage)
             return {b"/graphql": GraphqlFront(node, stage, told, None, Options(), by_header)}
 
-        bench = Bench(None, SETTINGS, fronts=fronts, door=lambda _: stages[0])
+        bench = Bench(None, SETTINGS, frontends=fronts, stage=lambda _: stages[0])
         bench.list(up.port, zone="a")
 
         async def ask(key: str, client: str, znesek: int = 5) -> tuple[int, bytes]:
--- a/tests/test_long_bodies.py
+++ b/tests/test_long_bodies.py
@@ -1,4 +1,4 @@
-"""The module and long bodies: what counts as an upstream's work, when time begins, what may go again."""
+"""The decision module and long bodies: an upstream's load, the start of deadlines, and retries."""
 
 from __future__ import annotations
 
@@ -8,13 +8,13 @@
 
 
 def opened(world: World, cls: str = "buy") -> tuple[str, str]:
-    """A request whose body still comes, and where it was sent."""
+    """A request whose body is still being received, and the upstream it was sent to."""
     name, actions = world.call(cls, whole=False)
     return name, sends(actions)[0].upstream
 
 
-def test_a_body_on_its_way_is_no_work_of_its_upstream() -> None:
-    """While it comes and while its answer goes, its upstream is idle; between the two it is not."""
+def test_a_body_in_transfer_does_not_count_as_work_of_its_upstream() -> None:
+    """While the body is received and while the answer is sent, the upstream is idle; between, it is busy."""
     world = World(rows(2))
     name, upstream = opened(world)
     assert world.balancer.upstreams[upstream].own == 0
@@ -27,8 +27,8 @@
     assert world.balancer.upstreams[upstream].own == 0 and name not in world.balancer.calls
 
 
-def test_time_begins_when_the_body_is_whole() -> None:
-    """The body takes three seconds, beyond its class's deadline: an attempt that failed goes again."""
+def test_the_deadline_starts_when_the_body_is_complete() -> None:
+    """The body takes three seconds, longer than its class's deadline: a failed attempt is retried."""
     world = World(rows(2))
     name, upstream = opened(world)
     world.wait(3_000_000)
@@ -38,7 +38,7 @@
     assert again.until == world.now + int(0.99 * ONCE.aim)
 
 
-def test_an_attempt_whose_body_is_no_longer_held_is_refused_and_not_sent_again() -> None:
+def test_a_request_whose_body_was_released_is_refused_and_not_retried() -> None:
     world = World(rows(2))
     name, upstream = opened(world)
     world.wait(3_000_000)
@@ -46,7 +46,7 @@
     assert sends(actions) == [] and [type(a) for a in endings(actions)] == [api.Refuse]
 
 
-def test_one_that_is_held_goes_again_while_the_body_still_comes() -> None:
+def test_a_held_body_is_retried_while_it_is_still_received() -> None:
     world = World(rows(2))
     name, upstream = opened(world)
     world.wait(3_000_000)
@@ -54,8 +54,8 @@
     assert again.upstream != upstream
 
 
-def test_an_answer_that_has_begun_ends_the_choice() -> None:
-    """No second attempt after a break, and nothing else is said to the client."""
+def test_a_streamed_answer_allows_no_retry() -> None:
+    """There is no second attempt after a break, and the client gets no other answer."""
     world = World(rows(2))
     name, upstream = world.sent("read")
     world.tell(api.AnswerStarted(name, 0, upstream, 50_000))
@@ -64,7 +64,7 @@
     assert name not in world.balancer.calls
 
 
-def test_what_an_answer_takes_is_the_time_to_its_first_bytes() -> None:
+def test_the_latency_of_a_streamed_answer_is_measured_to_its_first_bytes() -> None:
     world = World(rows(1))
     name, upstream = world.sent("read")
     world.wait(50_000)
