--- a/benchmarks/scale/site.py
+++ b/benchmarks/scale/site.py
@@ -14,7 +14,7 @@
 import msgspec
 
 from benchmarks.scale.orders import CHANGED_ROUTE, HOST, End, HollowPlan, Order, Report
-from brackengate.meshctl.ask import Bridge
+from brackengate.meshctl.ask import MeshClient
 from brackengate.protocol.messages import Standing
 from brackengate.proxy.failure_detector import LATE
 from standins.mesh import ROOT, Machine, Ports, Upstream, call
@@ -192,7 +192,7 @@
         self.log = folder / "log.txt"
         self._log: IO[bytes] | None = None
         self._version = 1
-        self.bridge = Bridge([(one.machine.ip, self.ports.internal) for one in self.replicas])
+        self.client = MeshClient([(one.machine.ip, self.ports.internal) for one in self.replicas])
 
     @property
     def seeds(self) -> list[str]:
@@ -218,7 +218,7 @@
         """Until all replicas hold a seat."""
         while True:
             try:
-                standings, _ = await self.bridge.standings()
+                standings, _ = await self.client.statuses()
             except ExceptionGroup:
                 standings = []
             if len(standings) == len(self.replicas) and all(
@@ -229,7 +229,7 @@
 
     async def standings(self) -> list[Standing]:
         """Of the members, from the head to the tail; then of those that have lost their seat."""
-        standings, _ = await self.bridge.standings()
+        standings, _ = await self.client.statuses()
         order = [member.addr for member in max(standings, key=lambda one: one.epoch).members]
         return sorted(standings, key=lambda one: order.index(one.addr) if one.addr in order else len(order))
 
--- a/brackengate/mesh.py
+++ b/brackengate/mesh.py
@@ -1,7 +1,9 @@
-"""The two roles of the mesh as commands: `brackengate pilot` and `brackengate lighthouse`.
+"""The commands of the two roles of the mesh.
 
-Exit codes: 0 stopped in order; 1 an address could not be had, or the disk's file broke while in use;
-2 bad settings or usage, or the disk's file is of a newer program.
+`brackengate pilot` is a sidecar proxy, `brackengate lighthouse` a control replica.
+
+Exit codes: 0 stopped in order; 1 an address is not available, or the store's file failed while in use;
+2 invalid settings or usage, or the store's file was written by a newer program.
 """
 
 from __future__ import annotations
@@ -18,7 +20,7 @@
 from brackengate.protocol.settings import LIGHTHOUSE, PILOT, VARIABLE, BadSettings, Settings, load
 from brackengate.protocol.settings import check as check_settings
 
-LEVELS = ("DEBUG", "INFO", "WARNING", "ERROR")
+LOG_LEVELS = ("DEBUG", "INFO", "WARNING", "ERROR")
 
 settings_option = click.option(
     "--settings",
@@ -30,7 +32,7 @@
 )
 check_option = click.option("--check", is_flag=True, help="Read and check the settings, and end.")
 level_option = click.option(
-    "--log-level", type=click.Choice(LEVELS), envvar="BRACKENGATE_LOG", default="INFO", show_default=True
+    "--log-level", type=click.Choice(LOG_LEVELS), envvar="BRACKENGATE_LOG", default="INFO", show_default=True
 )
 
 
@@ -40,6 +42,7 @@
 
 
 def _read(path: str, level: str, needed: tuple[str, ...]) -> Settings:
+    """Set up logging, then read and check the settings file; exits with code 2 if it is invalid."""
     logging.basicConfig(
         stream=sys.stderr,
         level=level,
@@ -55,12 +58,13 @@
 
 
 def fail(text: str, code: int) -> NoReturn:
+    """Print an error line and exit with the code."""
     click.echo(f"brackengate: {text}", err=True)
     raise SystemExit(code)
 
 
 def _run(work: Coroutine[Any, Any, int], refusals: tuple[type[Exception], ...] = (BadSettings,)) -> NoReturn:
-    """`refusals`: errors of this role that say in a sentence why it can't run as it was told to."""
+    """Run a role and exit.  `refusals`: errors whose text explains why it cannot run, for exit code 2."""
     try:
         code = uvloop.run(work)
     except refusals as error:
@@ -68,7 +72,7 @@
     except OSError as error:
         fail(f"an address could not be had: {error}", 1)
     logging.shutdown()
-    os._exit(code)  # threads that wait for a disk in trouble must not hold up an end in order
+    os._exit(code)  # threads that wait for a failing disk must not delay an orderly exit
 
 
 @main.command()
--- a/brackengate/meshctl/__init__.py
+++ b/brackengate/meshctl/__init__.py
@@ -1,1 +1,1 @@
-"""Operating a running mesh from a command line: it asks lighthouses, and decides nothing for them."""
+"""Command line operation of a running mesh: queries and commands to its control replicas."""
--- a/brackengate/meshctl/__main__.py
+++ b/brackengate/meshctl/__main__.py
@@ -1,4 +1,4 @@
-"""`python -m brackengate.meshctl`: the same commands where only the mesh's own libraries are installed."""
+"""`python -m brackengate.meshctl`: the same commands where only the libraries of the mesh are installed."""
 
 from brackengate.meshctl.commands import mesh
 
--- a/brackengate/meshctl/ask.py
+++ b/brackengate/meshctl/ask.py
@@ -1,4 +1,4 @@
-"""Questions to lighthouses, a connection each, at their internal port.  Decides nothing."""
+"""Queries and commands to control replicas at their internal port, over one connection each."""
 
 from __future__ import annotations
 
@@ -28,26 +28,26 @@
     Standing,
 )
 
-CONNECT_S = 1.0
-ANSWER_S = 2.0  # of one lighthouse about itself and its pilots
-CHAIN_S = 14.0  # of the chain: a lighthouse gives up after 12 s
-ROUNDS = 3  # members name members: a core that is being exchanged is known after as many
-Question = Stand | Held | Leave | Rejoin | Explain | Amend | Read
-QuestionResult = CommandResult | InquiryResult | None
+CONNECT_TIMEOUT_S = 1.0
+ANSWER_TIMEOUT_S = 2.0  # for the status of one replica and its followers
+CHAIN_TIMEOUT_S = 14.0  # through the chain: a replica gives up after 12 s
+DISCOVERY_ROUNDS = 3  # members name further members: so many find a control plane that is being replaced
+Query = Stand | Held | Leave | Rejoin | Explain | Amend | Read
+QueryResult = CommandResult | InquiryResult | None
 
 
 class Unanswered(Exception):
-    """One lighthouse, the step that failed there, and why."""
+    """A control replica that did not answer, the step that failed, and why."""
 
     def __init__(self, step: str, peer: Address, why: str) -> None:
         super().__init__(f"step {step}, lighthouse {peer[0]}:{peer[1]}: {why}")
         self.peer, self.why = peer, why
 
 
-async def ask(address: Address, what: Question, within_s: float = ANSWER_S) -> QuestionResult:
-    """The answer; `Unanswered` where there is none."""
+async def ask(address: Address, what: Query, within_s: float = ANSWER_TIMEOUT_S) -> QueryResult:
+    """Send one query; its answer.  Raises Unanswered."""
     loop = asyncio.get_running_loop()
-    answer: asyncio.Future[QuestionResult] = loop.create_future()
+    answer: asyncio.Future[QueryResult] = loop.create_future()
     name = type(what).__name__.lower()
 
     def on_line(lines: Lines, word: Line) -> None:
@@ -58,10 +58,10 @@
         if not answer.done():
             answer.set_exception(Unanswered(name, address, "it ended the connection; an older program?"))
 
-    made = Lines(on_line, lambda lines: lines.send(Inquire(1, what)), on_lost)
+    connection = Lines(on_line, lambda lines: lines.send(Inquire(1, what)), on_lost)
     try:
-        async with asyncio.timeout(CONNECT_S):
-            await loop.create_connection(lambda: made, *address)
+        async with asyncio.timeout(CONNECT_TIMEOUT_S):
+            await loop.create_connection(lambda: connection, *address)
     except OSError as error:  # TimeoutError is one
         raise Unanswered("connect", address, error.strerror or "no answer") from None
     try:
@@ -71,51 +71,51 @@
         raise Unanswered(name, address, f"no answer in {within_s:g} s") from None
     finally:
         answer.cancel()
-        made.close()
+        connection.close()
 
 
-class Bridge:
-    """A mesh by the address of a lighthouse, or of several that are tried in their order."""
+class MeshClient:
+    """A client of a mesh, by the addresses of control replicas, which are tried in their order."""
 
-    def __init__(self, at: Sequence[Address]) -> None:
-        self._at = list(at)
-        self._port = self._at[0][1]
+    def __init__(self, addresses: Sequence[Address]) -> None:
+        self._addresses = list(addresses)
+        self._port = self._addresses[0][1]
 
     def address(self, member: str) -> Address:
-        """Where a member hears the others: the port is the same on all machines."""
+        """The internal address of a member: its port is the same on all machines."""
         return parse_address(member)[0], self._port
 
     async def first(
         self,
-        what: Question,
-        within_s: float = ANSWER_S,
-        good: Callable[[QuestionResult], str] = lambda _: "",
-    ) -> QuestionResult:
-        """The first answer that will do; a group of `Unanswered` where there is none.
+        what: Query,
+        within_s: float = ANSWER_TIMEOUT_S,
+        reject: Callable[[QueryResult], str] = lambda _: "",
+    ) -> QueryResult:
+        """The first acceptable answer.  Raises a group of Unanswered if there is none.
 
-        `good`: why an answer will not do; empty: it does.
+        `reject`: why an answer is not acceptable; empty: it is.
         """
         failed: list[Unanswered] = []
-        for address in self._at:
+        for address in self._addresses:
             try:
                 answer = await ask(address, what, within_s)
             except Unanswered as error:
                 failed.append(error)
                 continue
-            why = good(answer)
+            why = reject(answer)
             if not why:
                 return answer
             failed.append(Unanswered(type(what).__name__.lower(), address, why))
         raise ExceptionGroup("no lighthouse answered", failed)
 
-    async def standings(self) -> tuple[list[Standing], list[Unanswered]]:
-        """Everybody whom those that are asked know of; a group of `Unanswered` where nobody answers."""
+    async def statuses(self) -> tuple[list[Standing], list[Unanswered]]:
+        """The status of every replica that can be found.  Raises a group of Unanswered if none answers."""
         found: dict[Address, Standing] = {}
         failed: dict[Address, Unanswered] = {}
-        wanted = self._at
-        for _ in range(ROUNDS):
-            answers = await asyncio.gather(*(ask(one, Stand()) for one in wanted), return_exceptions=True)
-            for address, answer in zip(wanted, answers, strict=True):
+        pending = self._addresses
+        for _ in range(DISCOVERY_ROUNDS):
+            answers = await asyncio.gather(*(ask(one, Stand()) for one in pending), return_exceptions=True)
+            for address, answer in zip(pending, answers, strict=True):
                 if isinstance(answer, Unanswered):
                     failed[address] = answer
                 elif isinstance(answer, BaseException):
@@ -127,12 +127,12 @@
                 self.address(addr)
                 for one in found.values()
                 for addr in (
-                    *(seat.addr for seat in one.members),
+                    *(member.addr for member in one.members),
                     *(near.addr for near in one.neighbours if near.heard),
                 )
             }
-            wanted = sorted(known - found.keys() - failed.keys())
-            if not wanted:
+            pending = sorted(known - found.keys() - failed.keys())
+            if not pending:
                 break
         if not found:
             raise ExceptionGroup("no lighthouse answered", list(failed.values()))
@@ -140,36 +140,38 @@
         return [by_name[addr] for addr in sorted(by_name)], list(failed.values())
 
     async def items(self) -> Items:
-        """The operator's items, by a lighthouse that is in touch with the others."""
+        """The configuration items, from a replica that is connected to the others."""
 
-        def good(answer: QuestionResult) -> str:
+        def reject(answer: QueryResult) -> str:
             serves = isinstance(answer, Items) and answer.serves
             return "" if serves else "it is out of touch with the others"
 
-        found = await self.first(Held(), good=good)
+        found = await self.first(Held(), reject=reject)
         assert isinstance(found, Items)
         return found
 
-    async def of_members(self, what: Question, members: Sequence[str]) -> list[QuestionResult]:
-        """The answers of those who answer."""
-        asked = (ask(self.address(member), what) for member in members)
-        answers = await asyncio.gather(*asked, return_exceptions=True)
+    async def of_members(self, what: Query, members: Sequence[str]) -> list[QueryResult]:
+        """The answers of those members that answer."""
+        queries = (ask(self.address(member), what) for member in members)
+        answers = await asyncio.gather(*queries, return_exceptions=True)
         return [answer for answer in answers if not isinstance(answer, BaseException)]
 
-    async def amend(self, body: bytes) -> QuestionResult:
-        """Through the chain; asked again elsewhere where its fate is not known, which does no harm."""
-        return await self.first(Amend(body.decode()), CHAIN_S, _agreed)
+    async def amend(self, body: bytes) -> QueryResult:
+        """Commit a change; it is idempotent, so it is repeated elsewhere if its result is unknown."""
+        return await self.first(Amend(body.decode()), CHAIN_TIMEOUT_S, _not_committed)
 
     async def read(self) -> dict[str, Any]:
-        found = await self.first(Read(), CHAIN_S, _agreed)
+        """The newest committed configuration."""
+        found = await self.first(Read(), CHAIN_TIMEOUT_S, _not_committed)
         assert isinstance(found, Configuration)
         return found.content
 
     async def explain(self, attempt: str, members: Sequence[str]) -> list[Follows]:
+        """What the followers of these members recorded of one request."""
         answers = await self.of_members(Explain(attempt), members)
-        told = [answer for answer in answers if isinstance(answer, Followers)]
-        return [one for answer in told for one in answer.pilots]
+        answered = [answer for answer in answers if isinstance(answer, Followers)]
+        return [one for answer in answered for one in answer.pilots]
 
 
-def _agreed(answer: QuestionResult) -> str:
+def _not_committed(answer: QueryResult) -> str:
     return "the core did not agree in time" if answer is None else ""
--- a/brackengate/meshctl/changes.py
+++ b/brackengate/meshctl/changes.py
@@ -1,8 +1,8 @@
-"""What a call of the operator would do, item by item, before it is sent.  Pure.
+"""The effect of a configuration change, item by item, computed before it is sent.
 
-The lighthouses' own checker says what is sound (`protocol/config_items.py`) and what has effect
-(`control/orders.py`); here it is only asked about each item on its own too, so that a call with several
-faults shows them all.  What was acknowledged of versions that do not hold any more is not known here.
+The control plane's own code decides what is valid (`protocol/config_items.py`) and what has an effect; here
+it is also applied to each item on its own, so that a change with several faults shows them all.  Versions
+that were acknowledged but do not hold any more are not known here.
 """
 
 from __future__ import annotations
@@ -21,7 +21,7 @@
 
 
 class Change(msgspec.Struct, frozen=True, omit_defaults=True):
-    """What becomes of one item.  `kind` is `call` where the items do not go together."""
+    """What happens to one item; `kind` is `call` where the items conflict with each other."""
 
     kind: str
     name: str
@@ -31,39 +31,41 @@
 
     @property
     def text(self) -> str:
+        """A line for operators."""
         version = f" r{self.version}" if self.version else ""
         name = f" {self.name}" if self.name else ""
         return f"{self.what:9}  {self.kind}{name}{version}{': ' if self.why else ''}{self.why}"
 
 
 def as_call(data: bytes) -> bytes:
-    """A file's text as a call: what `config show` prints is one that applies all of it."""
+    """A file's content as a change; the output of `config show` is one that applies all of it."""
     try:
         found = msgspec.json.decode(data)
     except (msgspec.DecodeError, UnicodeDecodeError, RecursionError):
-        return data  # the checker says what is wrong with it
-    layout = isinstance(found, dict) and not found.keys() & {"Apply", "Remove"}
-    if layout and found.keys() & {"Plants", "Hosts", "Limits"}:
+        return data  # the validation reports what is wrong with it
+    is_object = isinstance(found, dict) and not found.keys() & {"Apply", "Remove"}
+    if is_object and found.keys() & {"Plants", "Hosts", "Limits"}:
         return msgspec.json.encode({"Apply": found})
     return data
 
 
 def items_of(held: Iterable[HeldItem]) -> dict[Name, Item]:
+    """Stored items by kind and name."""
     return {(one.kind, one.name): Item(one.version, one.host, one.body) for one in held}
 
 
 def compare(call: bytes, held: Mapping[Name, Item]) -> list[Change]:
-    """Every item of the call, in its order; faults of the whole call come last."""
+    """The effect of every item of the change, in its order; faults of the whole change come last."""
     try:
         read = read_call(call)
     except Invalid as error:
         faults = list(_faults(call))
-        told = any(one.why == str(error) for one in faults)
-        return faults if told else [*faults, Change("call", "", INVALID, why=str(error))]
-    out: list[Change] = []
+        reported = any(one.why == str(error) for one in faults)
+        return faults if reported else [*faults, Change("call", "", INVALID, why=str(error))]
+    conflicts: list[Change] = []
     result = decide(read, ItemIndex.of(held.items()), lambda _: History()).result
     if not isinstance(result, CommandDone):
-        out.append(Change("call", "", INVALID, why=result.reason))
+        conflicts.append(Change("call", "", INVALID, why=result.reason))
     highest = _highest(read)
     found = []
     for (kind, name), item in read:
@@ -79,7 +81,7 @@
             if before.body is None:
                 why += " as dropped"
         found.append(Change(kind, name, what, item.version, why))
-    return found + out
+    return found + conflicts
 
 
 def _highest(order: Order) -> dict[Name, int]:
@@ -94,7 +96,7 @@
 
 
 def _faults(call: bytes) -> Iterator[Change]:
-    """Each item of an invalid call that is not sound on its own."""
+    """Each item of an invalid change that is invalid on its own."""
     try:
         found: Any = msgspec.json.decode(call)
         apply = found.get("Apply") or {}
@@ -105,7 +107,7 @@
             for raw in host.get("Paths") or ()
         ]
     except (msgspec.DecodeError, UnicodeDecodeError, RecursionError, AttributeError, TypeError):
-        return  # not even laid out as a call
+        return  # not even the structure of a change
     for kind, raw, alone in singles:
         try:
             read_call(msgspec.json.encode({"Apply": alone}))
@@ -114,9 +116,10 @@
             yield Change(kind, str(name or "?"), INVALID, why=str(why))
 
 
-def sound(changes: Iterable[Change]) -> bool:
+def is_valid(changes: Iterable[Change]) -> bool:
     return all(one.what != INVALID for one in changes)
 
 
 def effective(changes: Iterable[Change]) -> list[Change]:
+    """Those that set or remove an item."""
     return [one for one in changes if one.what in (SET, DROPPED)]
--- a/brackengate/meshctl/commands.py
+++ b/brackengate/meshctl/commands.py
@@ -1,7 +1,7 @@
-"""`brackengate mesh`: a running mesh, by the address of one of its lighthouses.
+"""`brackengate mesh`: operation of a running mesh, by the address of one of its control replicas.
 
-Exit codes: 0 done; 1 no lighthouse answered; 2 bad file or usage, or a configuration that is not valid;
-3 the mesh refused it; 4 not all is as it should be, or not within the time that was given.
+Exit codes: 0 done; 1 no control replica answered; 2 invalid file, usage or configuration; 3 refused by
+the mesh; 4 something is not as it should be, or not within the given time.
 """
 
 from __future__ import annotations
@@ -20,12 +20,12 @@
 from brackengate.mesh import fail
 
 if TYPE_CHECKING:
-    from brackengate.meshctl.ask import Bridge
+    from brackengate.meshctl.ask import MeshClient
     from brackengate.meshctl.changes import Change
     from brackengate.protocol.messages import Standing
 
-FAILED, BAD, REFUSED, INCOMPLETE = 1, 2, 3, 4
-LOOK_S = 0.1  # between two looks at what is waited for
+UNANSWERED, INVALID, REFUSED, INCOMPLETE = 1, 2, 3, 4
+POLL_INTERVAL_S = 0.1
 
 at_option = click.option(
     "--at",
@@ -53,25 +53,25 @@
 
 @click.group(context_settings={"help_option_names": ["-h", "--help"], "max_content_width": 100})
 def mesh() -> None:
-    """A running mesh: how it stands, its configuration, its core, what became of a request.
+    """Operate a running mesh: its status, its configuration, its control plane, the trace of a request.
 
     Exit codes: 0 done; 1 no lighthouse answered; 2 bad file or usage, or a configuration that is not valid;
     3 the mesh refused it; 4 not all is as it should be, or not within the time that was given.
     """
 
 
-def _run(at: Sequence[str], use: Callable[[Bridge], Coroutine[Any, Any, int]]) -> NoReturn:
-    """Do it, and end with its exit code; every lighthouse that did not answer gets a line."""
-    from brackengate.meshctl.ask import Bridge, Unanswered
+def _run(at: Sequence[str], use: Callable[[MeshClient], Coroutine[Any, Any, int]]) -> NoReturn:
+    """Run `use` and exit with its code; prints a line for every control replica that did not answer."""
+    from brackengate.meshctl.ask import MeshClient, Unanswered
     from brackengate.net.sockets import parse_address
 
     try:
         addresses = [parse_address(one) for one in at]
     except ValueError as error:
-        fail(f"--at: {error}", BAD)
-    code = FAILED
+        fail(f"--at: {error}", INVALID)
+    code = UNANSWERED
     try:
-        code = asyncio.run(use(Bridge(addresses)))
+        code = asyncio.run(use(MeshClient(addresses)))
     except* Unanswered as group:
         for one in group.exceptions:
             click.echo(f"brackengate: {one}", err=True)
@@ -98,17 +98,17 @@
     """
     from brackengate.meshctl import figures
 
-    async def use(bridge: Bridge) -> int:
-        standings, failed = await bridge.standings()
-        names = {bridge.address(seat.addr): seat.addr for one in standings for seat in one.members}
+    async def use(client: MeshClient) -> int:
+        statuses, failed = await client.statuses()
+        names = {client.address(seat.addr): seat.addr for one in statuses for seat in one.members}
         lost = [(names.get(e.peer, f"{e.peer[0]}:{e.peer[1]}"), e.why) for e in failed]
-        view = figures.newest(standings)
+        view = figures.newest(statuses)
         parts = {
-            "member": figures.members(standings, lost),
-            "pilot": figures.pilots(standings),
-            "service": figures.services(standings),
+            "member": figures.members(statuses, lost),
+            "pilot": figures.pilots(statuses),
+            "service": figures.services(statuses),
         }
-        unseen, spare = figures.unseen(standings), figures.spare(standings)
+        unseen, spare = figures.machines_without_follower(statuses), figures.spare_members(statuses)
         if as_json:
             seats = [seat.addr for seat in view.members]
             row = {"view": view.epoch, "chain": seats, "needs": view.min_replicas, "spare": spare}
@@ -126,7 +126,7 @@
                     click.echo("\n" + figures.table(parts[kind], columns.split()))
             if unseen:
                 click.echo(f"\nno pilot follows from: {' '.join(unseen)}")
-        return 0 if figures.complete(standings) else INCOMPLETE
+        return 0 if figures.all_members_serve(statuses) else INCOMPLETE
 
     _run(at, use)
 
@@ -143,7 +143,7 @@
 
 @mesh.group()
 def config() -> None:
-    """The operator's configuration: read, compared, brought in."""
+    """The operator's configuration: show, compare, apply."""
 
 
 @config.command()
@@ -155,14 +155,14 @@
     Example: brackengate mesh config show --at 10.0.0.1:7000 > now.json
     """
 
-    async def use(bridge: Bridge) -> int:
-        click.echo(json.dumps(await bridge.read(), indent=1))
+    async def use(client: MeshClient) -> int:
+        click.echo(json.dumps(await client.read(), indent=1))
         return 0
 
     _run(at, use)
 
 
-def _tell(changes: Sequence[Change], as_json: bool) -> None:
+def _print_changes(changes: Sequence[Change], as_json: bool) -> None:
     for one in changes:
         if as_json:
             _line("item", {"kind": one.kind, "name": one.name, "what": one.what, "why": one.why})
@@ -170,14 +170,14 @@
             click.echo(one.text)
 
 
-def _call_in(file: str) -> bytes:
+def _read_call(file: str) -> bytes:
     from brackengate.meshctl.changes import as_call
 
     try:
         with click.open_file(file, "rb") as opened:
             return as_call(opened.read())
     except OSError as error:
-        fail(f"step read, file {file}: {error.strerror}", BAD)
+        fail(f"step read, file {file}: {error.strerror}", INVALID)
 
 
 @config.command()
@@ -185,64 +185,64 @@
 @at_option
 @json_option
 def diff(file: str, at: tuple[str, ...], as_json: bool) -> None:
-    """Tell what a call would do, item by item; nothing is sent. FILE may be - for standard input.
+    """Show what a change would do, item by item; nothing is sent. FILE may be - for standard input.
 
     A call as the operator sends it ({"Apply": ..., "Remove": ...}), or what `show` prints.
 
     \b
     Example: brackengate mesh config diff next.json --at 10.0.0.1:7000
     """
-    from brackengate.meshctl.changes import compare, items_of, sound
+    from brackengate.meshctl.changes import compare, is_valid, items_of
 
-    call = _call_in(file)
+    call = _read_call(file)
 
-    async def use(bridge: Bridge) -> int:
-        changes = compare(call, items_of((await bridge.items()).items))
-        _tell(changes, as_json)
-        return 0 if sound(changes) else BAD
+    async def use(client: MeshClient) -> int:
+        changes = compare(call, items_of((await client.items()).items))
+        _print_changes(changes, as_json)
+        return 0 if is_valid(changes) else INVALID
 
     _run(at, use)
 
 
-async def _bring_in(bridge: Bridge, call: bytes, wait: float, as_json: bool) -> int:
-    """Check a call, send it, and wait for the pilots."""
-    from brackengate.meshctl.changes import compare, effective, items_of, sound
+async def _apply(client: MeshClient, call: bytes, wait: float, as_json: bool) -> int:
+    """Validate a change, send it, and wait until the proxies have it."""
+    from brackengate.meshctl.changes import compare, effective, is_valid, items_of
     from brackengate.protocol.messages import CommandDone
 
-    changes = compare(call, items_of((await bridge.items()).items))
+    changes = compare(call, items_of((await client.items()).items))
     if not changes:
         click.echo("brackengate: step check: the file names no items under Apply or Remove", err=True)
-        return BAD
-    _tell(changes, as_json)
-    if not sound(changes):
+        return INVALID
+    _print_changes(changes, as_json)
+    if not is_valid(changes):
         click.echo("brackengate: step check: nothing was sent", err=True)
-        return BAD
-    answer = await bridge.amend(call)
-    if not isinstance(answer, CommandDone):  # the configuration has changed since it was looked at
+        return INVALID
+    answer = await client.amend(call)
+    if not isinstance(answer, CommandDone):  # the configuration has changed since it was read
         click.echo(f"brackengate: step amend: {getattr(answer, 'reason', answer)}", err=True)
         return REFUSED
-    news = effective(changes)
-    click.echo(f"agreed: {len(news)} of {len(changes)} items have effect", err=as_json)
-    return await _until_pilots_have(bridge, changes, wait, as_json)
+    effects = effective(changes)
+    click.echo(f"agreed: {len(effects)} of {len(changes)} items have effect", err=as_json)
+    return await _wait_for_proxies(client, changes, wait, as_json)
 
 
-async def _until_pilots_have(bridge: Bridge, changes: Sequence[Change], wait: float, as_json: bool) -> int:
+async def _wait_for_proxies(client: MeshClient, changes: Sequence[Change], wait: float, as_json: bool) -> int:
     from brackengate.meshctl import figures
     from brackengate.protocol.messages import Held, Items
 
     names = [((one.kind, one.name), one.version) for one in changes]
     until, late, place = time.monotonic() + wait, ["nobody could be asked"], None
     while True:
-        with contextlib.suppress(ExceptionGroup):  # nobody answered this time: the word stands as it was
-            standings, _ = await bridge.standings()
+        with contextlib.suppress(ExceptionGroup):  # nobody answered this time: the last state is kept
+            statuses, _ = await client.statuses()
             if place is None:
-                told = await bridge.of_members(Held(), [one.addr for one in standings])
-                place = figures.place_of(names, [one for one in told if isinstance(one, Items)])
+                answers = await client.of_members(Held(), [one.addr for one in statuses])
+                place = figures.index_of(names, [one for one in answers if isinstance(one, Items)])
             if place is not None:
-                late = figures.behind(standings, place)
-                count = sum(len(one.pilots) for one in standings)
+                late = figures.lagging_proxies(statuses, place)
+                count = sum(len(one.pilots) for one in statuses)
                 if not late:
-                    unseen = figures.unseen(standings)
+                    unseen = figures.machines_without_follower(statuses)
                     if as_json:
                         _line("followed", {"place": place, "pilots": count, "unseen": unseen})
                     else:
@@ -252,7 +252,7 @@
                     return 0
         if time.monotonic() >= until:
             break
-        await asyncio.sleep(LOOK_S)
+        await asyncio.sleep(POLL_INTERVAL_S)
     click.echo(
         f"brackengate: step follow: not within {wait:g} s at place {place}: {' '.join(late)}", err=True
     )
@@ -265,37 +265,39 @@
 @wait_option(5.0)
 @json_option
 def apply(file: str, at: tuple[str, ...], wait: float, as_json: bool) -> None:
-    """Check a call, bring it in, and wait until all pilots that follow have it.
+    """Check a change, apply it, and wait until all pilots that follow have it.
 
-    Sent again it does no harm: what is no newer has no effect, and the wait is the same.
+    It may be repeated: an item that is no newer has no effect, and the wait is the same.
 
     \b
     Example: brackengate mesh config apply next.json --at 10.0.0.1:7000 --at 10.0.1.1:7000
     """
-    call = _call_in(file)
-    _run(at, lambda bridge: _bring_in(bridge, call, wait, as_json))
+    call = _read_call(file)
+    _run(at, lambda client: _apply(client, call, wait, as_json))
 
 
-# --- the core
+# --- membership of the control plane
 
 
-def _member(standings: Sequence[Standing], name: str) -> Standing:
-    found = [one for one in standings if name in (one.addr, one.addr.rpartition(":")[0])]
+def _member(statuses: Sequence[Standing], name: str) -> Standing:
+    found = [one for one in statuses if name in (one.addr, one.addr.rpartition(":")[0])]
     if not found:
-        fail(f"no lighthouse {name} answered; there are {' '.join(one.addr for one in standings)}", REFUSED)
+        fail(f"no lighthouse {name} answered; there are {' '.join(one.addr for one in statuses)}", REFUSED)
     return found[0]
 
 
-async def _seat(bridge: Bridge, name: str, what: Any, wait: float, seated: bool, warn: bool = False) -> int:
-    """Tell a member to leave or to come back, and wait for the view that says so."""
+async def _change_membership(
+    client: MeshClient, name: str, what: Any, wait: float, is_member: bool, warn: bool = False
+) -> int:
+    """Command a member to leave or to rejoin, and wait for the view with that change."""
     from brackengate.meshctl import figures
     from brackengate.meshctl.ask import Unanswered, ask
     from brackengate.protocol.messages import SeatAnswer
 
-    standings, _ = await bridge.standings()
-    member = _member(standings, name)
+    statuses, _ = await client.statuses()
+    member = _member(statuses, name)
     try:
-        answer = await ask(bridge.address(member.addr), what)
+        answer = await ask(client.address(member.addr), what)
     except Unanswered as error:
         raise ExceptionGroup("a member did not answer", [error]) from None
     assert isinstance(answer, SeatAnswer)
@@ -305,21 +307,21 @@
     until = time.monotonic() + wait
     while True:
         with contextlib.suppress(ExceptionGroup):
-            standings, _ = await bridge.standings()
-            view = figures.newest([one for one in standings if one.addr != member.addr] or standings)
-            if any(seat.addr == member.addr for seat in view.members) is seated:
+            statuses, _ = await client.statuses()
+            view = figures.newest([one for one in statuses if one.addr != member.addr] or statuses)
+            if any(seat.addr == member.addr for seat in view.members) is is_member:
                 break
         if time.monotonic() >= until:
             click.echo(
-                f"brackengate: step view: told, but no view {'with' if seated else 'without'}"
+                f"brackengate: step view: told, but no view {'with' if is_member else 'without'}"
                 f" {member.addr} within {wait:g} s; its wish stands",
                 err=True,
             )
             return INCOMPLETE
-        await asyncio.sleep(LOOK_S)
+        await asyncio.sleep(POLL_INTERVAL_S)
     click.echo(f"view {view.epoch}: {' '.join(seat.addr for seat in view.members)}")
-    spare = figures.spare(standings)
-    if not seated and spare < view.min_replicas - 1:
+    spare = figures.spare_members(statuses)
+    if not is_member and spare < view.min_replicas - 1:
         click.echo(f"brackengate: {max(0, spare)} more may be lost before writes wait", err=True)
     return 0
 
@@ -329,7 +331,7 @@
 @at_option
 @wait_option(10.0)
 def drain(member: str, at: tuple[str, ...], wait: float) -> None:
-    """Have a member of the core give up its seat; it stays up, and takes none until readmitted or restarted.
+    """Remove a member from the control plane; it keeps running and rejoins once readmitted or restarted.
 
     Refused where fewer than Tolerance.Machines + 1 members would be left.
 
@@ -338,7 +340,7 @@
     """
     from brackengate.protocol.messages import Leave
 
-    _run(at, lambda bridge: _seat(bridge, member, Leave(), wait, seated=False))
+    _run(at, lambda client: _change_membership(client, member, Leave(), wait, is_member=False))
 
 
 @mesh.command()
@@ -356,7 +358,7 @@
     """
     from brackengate.protocol.messages import Leave
 
-    _run(at, lambda bridge: _seat(bridge, member, Leave(replaced=True), wait, seated=False))
+    _run(at, lambda client: _change_membership(client, member, Leave(replaced=True), wait, is_member=False))
 
 
 @mesh.command()
@@ -364,14 +366,14 @@
 @at_option
 @wait_option(10.0)
 def readmit(member: str, at: tuple[str, ...], wait: float) -> None:
-    """Let a lighthouse that was drained take a seat again.
+    """Let a lighthouse that was drained become a member again.
 
     \b
     Example: brackengate mesh readmit 10.0.0.1 --at 10.0.1.1:7000
     """
     from brackengate.protocol.messages import Rejoin
 
-    _run(at, lambda bridge: _seat(bridge, member, Rejoin(), wait, seated=True))
+    _run(at, lambda client: _change_membership(client, member, Rejoin(), wait, is_member=True))
 
 
 # --- a request
@@ -391,9 +393,9 @@
     """
     from brackengate.meshctl import hops
 
-    async def use(bridge: Bridge) -> int:
-        standings, _ = await bridge.standings()
-        pilots = await bridge.explain(attempt, [one.addr for one in standings])
+    async def use(client: MeshClient) -> int:
+        statuses, _ = await client.statuses()
+        pilots = await client.explain(attempt, [one.addr for one in statuses])
         found = hops.in_order(pilots)
         for pilot, hop in found:
             if as_json:
@@ -424,20 +426,20 @@
     """
     from brackengate.meshctl import archive
 
-    async def use(bridge: Bridge) -> int:
-        held = await bridge.items()
+    async def use(client: MeshClient) -> int:
+        held = await client.items()
         data = archive.pack(held, time.strftime("%Y-%m-%dT%H:%M:%SZ", time.gmtime()))
         path = Path(file)
-        part = path.with_name(path.name + ".part")
+        temporary = path.with_name(path.name + ".part")
         try:
-            with part.open("wb") as out:
+            with temporary.open("wb") as out:
                 out.write(data)
                 out.flush()
                 os.fsync(out.fileno())
-            part.replace(path)  # an earlier backup stands until this one is whole
+            temporary.replace(path)  # an earlier backup stays until this one is complete
         except OSError as error:
-            part.unlink(missing_ok=True)
-            fail(f"step write, file {file}: {error.strerror}", BAD)
+            temporary.unlink(missing_ok=True)
+            fail(f"step write, file {file}: {error.strerror}", INVALID)
         click.echo(f"{file}: {len(held.items)} items at place {held.commit_index}")
         return 0
 
@@ -450,7 +452,7 @@
 @wait_option(5.0)
 @json_option
 def restore(file: str, at: tuple[str, ...], wait: float, as_json: bool) -> None:
-    """Bring a backup's items in as an ordinary call: what the mesh holds at a newer version stays.
+    """Apply a backup's items as an ordinary change: items that the mesh has at a newer version stay.
 
     \b
     Example: brackengate mesh restore mesh.json --at 10.0.0.1:7000
@@ -460,8 +462,8 @@
     try:
         content = archive.unpack(Path(file).read_bytes())
     except OSError as error:
-        fail(f"step read, file {file}: {error.strerror}", BAD)
-    except archive.Unusable as error:
-        fail(f"step read, file {file}: {error}", BAD)
-    call = archive.call_of(content)
-    _run(at, lambda bridge: _bring_in(bridge, call, wait, as_json))
+        fail(f"step read, file {file}: {error.strerror}", INVALID)
+    except archive.InvalidBackup as error:
+        fail(f"step read, file {file}: {error}", INVALID)
+    call = archive.restoring_call(content)
+    _run(at, lambda client: _apply(client, call, wait, as_json))
--- a/brackengate/meshctl/hops.py
+++ b/brackengate/meshctl/hops.py
@@ -1,4 +1,4 @@
-"""What pilots tell of one attempt, in the order in which it happened, as lines.  Pure."""
+"""The proxies' records of one request, in order of time and formatted as text."""
 
 from __future__ import annotations
 
@@ -11,23 +11,24 @@
 Hop = dict[str, Any]
 
 
-def in_order(pilots: Iterable[Follows]) -> list[tuple[str, Hop]]:
-    """By the pilots' own clocks, which may differ between machines; a way out before its gates."""
-    found = [(one.addr, hop) for one in pilots for hop in one.wake]
+def in_order(proxies: Iterable[Follows]) -> list[tuple[str, Hop]]:
+    """All records by the clocks of the proxies, which may differ; egress before ingress."""
+    found = [(one.addr, hop) for one in proxies for hop in one.wake]
     return sorted(found, key=lambda one: (one[1]["at"], one[1]["hop"] == "gate"))
 
 
-def text(pilot: str, hop: Hop) -> str:
+def text(proxy: str, hop: Hop) -> str:
+    """One record as text for operators."""
     at = hop["at"]
     clock = time.strftime("%H:%M:%S", time.gmtime(at // 1_000_000)) + f".{at // 1000 % 1000:03d}"
     if hop["hop"] == "gate":
         key = f", key {hop['key']}" if hop["key"] else ""
         why = f" ({hop['why']})" if hop["why"] else ""
         where = f"route {hop['route']}{key}, for {hop['upstream']}"
-        return f"{clock}  gate {pilot}  {where}: {hop['said']}{why} after {hop['took_ms']:.1f} ms"
+        return f"{clock}  gate {proxy}  {where}: {hop['said']}{why} after {hop['took_ms']:.1f} ms"
     if not hop["route"]:
-        return f"{clock}  out  {pilot}  answered {hop['status']}: {hop['why']}"
-    lines = [f"{clock}  out  {pilot}  route {hop['route']} to {hop['service']}, {hop['limit_ms']:.0f} ms"]
+        return f"{clock}  out  {proxy}  answered {hop['status']}: {hop['why']}"
+    lines = [f"{clock}  out  {proxy}  route {hop['route']} to {hop['service']}, {hop['limit_ms']:.0f} ms"]
     for step in hop["steps"]:
         took = f", {step['took_ms']:.1f} ms" if step["outcome"] != "still out" else ""
         lines.append(f"    +{step['after_ms']:.1f} ms  sent to {step['upstream']}: {step['outcome']}{took}")
--- a/tests/control/test_admin_commands.py
+++ b/tests/control/test_admin_commands.py
@@ -40,7 +40,7 @@
     standings = [standing(member, (), core.now) for member in members]
     rows = figures.members(standings)
     found = [(row["chain"], " ".join(row.get("duties", "?")), row["state"]) for row in rows]
-    return figures.spare(standings), found
+    return figures.spare_members(standings), found
 
 
 def test_each_member_says_what_it_does_and_what_it_lacks() -> None:
--- a/tests/meshctl/test_commands.py
+++ b/tests/meshctl/test_commands.py
@@ -1,4 +1,4 @@
-"""The operating commands against a real mesh on loopback: each as a process, as an operator runs it."""
+"""The operating commands, each run as a process against a real mesh on loopback."""
 
 from __future__ import annotations
 
@@ -16,11 +16,11 @@
 ROUTE = {"PathPrefix": "/new/", "SignalKind": "idempotent", "Cutoff": "2s", "Plant": "p"}
 
 
-async def command(at: list[str], *args: str) -> tuple[int, list[str], str]:
-    """Exit code, lines of output, and what was said of errors."""
-    asked = [part for one in at for part in ("--at", one)]
+async def run_command(at: list[str], *args: str) -> tuple[int, list[str], str]:
+    """Run a command; its exit code, the lines of its output and its error output."""
+    addresses = [part for one in at for part in ("--at", one)]
     process = await asyncio.create_subprocess_exec(
-        *(sys.executable, "-m", "brackengate.meshctl", *args, *asked),
+        *(sys.executable, "-m", "brackengate.meshctl", *args, *addresses),
         cwd=ROOT,
         stdout=asyncio.subprocess.PIPE,
         stderr=asyncio.subprocess.PIPE,
@@ -40,14 +40,14 @@
     assert old == new
 
 
-def test_a_mesh_is_looked_at_changed_drained_and_backed_up(tmp_path: Path) -> None:
-    async def play() -> None:
+def test_the_commands_show_change_drain_and_back_up_a_mesh(tmp_path: Path) -> None:
+    async def scenario() -> None:
         mesh = Mesh(tmp_path, pilots=3, first_port=FIRST_PORT)
         a, b, c = (f"{one.ip}:{mesh.ports.internal}" for one in mesh.core)
         nobody = f"127.10.9.9:{mesh.ports.internal}"
 
         async def rows(*at: str) -> dict[str, list[dict[str, Any]]]:
-            _, lines, _ = await command(list(at), "status", "--json")
+            _, lines, _ = await run_command(list(at), "status", "--json")
             out: dict[str, list[dict[str, Any]]] = {}
             for line in lines:
                 row = json.loads(line)
@@ -56,67 +56,67 @@
 
         try:
             await mesh.start()
-            # Status: the second address is tried, and tells of all members and pilots.
+            # Status: the second address is tried and reports all members and proxies.
             found = await rows(nobody, b)
             while (
                 len(found.get("pilot", ())) < 3
                 or len(found["view"][0]["chain"]) < 3
                 or sum(row["ready"] for row in found.get("service", ())) < 3
-            ):  # a machine under load may lose a seat, and takes it again; upstreams beat at their own time
+            ):  # under load a replica may lose and regain its membership; heartbeats arrive later
                 found = await rows(nobody, b)
             assert [row["chain"] for row in found["member"]][:3] == ["head", "2", "tail"]
             assert found["service"] == [
                 {"is": "service", "service": "p", "ready": 3, "draining": 0, "away": 0, "gone": 0}
             ]
-            code, _, err = await command([nobody], "status")
+            code, _, err = await run_command([nobody], "status")
             assert (code, err.startswith(f"brackengate: step connect, lighthouse {nobody}: ")) == (1, True)
 
-            # Explain: the way out and the gate of one request, from two machines' pilots.
+            # Explain: egress and ingress of one request, from the proxies of two machines.
             assert (await mesh.request(mesh.sides[0], "/bid/x", key="k", attempt="id-1"))[0] == 200
-            _, lines, _ = await command([a], "explain", "id-1", "--json")
+            _, lines, _ = await run_command([a], "explain", "id-1", "--json")
             hops = [json.loads(line) for line in lines]
             out, gate = hops[0], hops[-1]
             assert [(hop["hop"], hop["route"]) for hop in (out, gate)] == [("out", "bid"), ("gate", "bid")]
             assert (out["pilot"], out["status"], out["service"]) == (mesh.sides[0].ip, 200, "p")
             assert (gate["said"], gate["key"]) == ("ran", "k")
             assert gate["upstream"] == out["steps"][-1]["upstream"]
-            assert (await command([a], "explain", "id-2"))[0] == 4
+            assert (await run_command([a], "explain", "id-2"))[0] == 4
 
-            # A change: told item by item, and once apply ends, every pilot handles by it.
+            # A change: shown item by item; once apply ends, every proxy uses it.
             saved, file = tmp_path / "saved.json", tmp_path / "next.json"
-            assert (await command([c], "backup", str(saved)))[0] == 0
+            assert (await run_command([c], "backup", str(saved)))[0] == 0
             paths = [{**ROUTE, "Name": "new", "Revision": "r5"}]
             change = {"Hosts": [{"Host": "h.example", "Paths": paths}]}
-            drop = {"Routes": [{"Name": "read", "Revision": "r1"}]}  # which was set under r1
+            drop = {"Routes": [{"Name": "read", "Revision": "r1"}]}  # which was set as r1
             file.write_text(json.dumps({"Apply": change, "Remove": drop}))
-            code, told, _ = await command([b], "config", "diff", str(file))
-            assert (code, [line.split()[0] for line in told]) == (2, ["set", "no", "invalid"])
+            code, effects, _ = await run_command([b], "config", "diff", str(file))
+            assert (code, [line.split()[0] for line in effects]) == (2, ["set", "no", "invalid"])
             drop["Routes"][0]["Revision"] = "r0"
             file.write_text(json.dumps({"Apply": change, "Remove": drop}))
-            code, told, _ = await command([b], "config", "diff", str(file))
-            assert (code, [line.split()[0] for line in told]) == (0, ["set", "no"])
-            code, lines, err = await command([b], "config", "apply", str(file), "--wait", "30")
-            assert (code, lines[:2], err) == (0, told, "")
+            code, effects, _ = await run_command([b], "config", "diff", str(file))
+            assert (code, [line.split()[0] for line in effects]) == (0, ["set", "no"])
+            code, lines, err = await run_command([b], "config", "apply", str(file), "--wait", "30")
+            assert (code, lines[:2], err) == (0, effects, "")
             assert lines[-1].startswith("all 3 pilots that follow have place ")
             for side in mesh.sides:
                 assert (await mesh.request(side, "/new/x"))[0] == 200
             paths[0]["Plant"] = "nobody"
             file.write_text(json.dumps({"Apply": change}))
-            code, _, err = await command([b], "config", "apply", str(file))
+            code, _, err = await run_command([b], "config", "apply", str(file))
             assert (code, err) == (2, "brackengate: step check: nothing was sent\n")
-            _, lines, _ = await command([a], "config", "show")
+            _, lines, _ = await run_command([a], "config", "show")
             routes = json.loads("\n".join(lines))["Hosts"][0]["Paths"]
             assert [one["Name"] for one in routes] == ["bid", "new", "read"]
 
-            # A backup brings back what is missing, and nothing that is older.
-            code, lines, _ = await command([a], "restore", str(saved))
+            # A restore sets what is missing, and nothing that is older.
+            code, lines, _ = await run_command([a], "restore", str(saved))
             assert (code, "agreed: 0 of 3 items have effect" in lines) == (0, True)
             saved.write_bytes(saved.read_bytes().replace(b'"r1"', b'"r7"', 1))
-            code, _, err = await command([a], "restore", str(saved))
+            code, _, err = await run_command([a], "restore", str(saved))
             assert (code, "it is damaged: its checksum" in err) == (2, True)
 
-            # The head gives up its seat, works on as a process, and comes back when told.
-            code, _, err = await command([b], "replace", mesh.core[0].ip)
+            # The head gives up its membership, keeps running, and rejoins on command.
+            code, _, err = await run_command([b], "replace", mesh.core[0].ip)
             assert (
                 code,
                 err.startswith("brackengate: step leave: 2 members would be left and no other"),
@@ -124,17 +124,17 @@
                 3,
                 True,
             )
-            code, lines, err = await command([b], "drain", mesh.core[0].ip)
+            code, lines, err = await run_command([b], "drain", mesh.core[0].ip)
             assert (code, mesh.core[0].ip in lines[-1]) == (0, False), err
             left, state = f"{mesh.core[0].ip}:{mesh.ports.control}", ""
             while state != "left":
                 found = await rows(a)
                 state = next(row["state"] for row in found["member"] if row["member"] == left)
             assert found["view"][0]["spare"] == 0
-            assert (await command([b], "drain", mesh.core[1].ip))[0] == 3
+            assert (await run_command([b], "drain", mesh.core[1].ip))[0] == 3
             assert (await mesh.request(mesh.sides[1], "/bid/x", key="k2", attempt="id-3"))[0] == 200
-            assert (await command([a], "readmit", mesh.core[0].ip))[0] == 0
+            assert (await run_command([a], "readmit", mesh.core[0].ip))[0] == 0
         finally:
             await mesh.stop()
 
-    asyncio.run(asyncio.wait_for(play(), 90))
+    asyncio.run(asyncio.wait_for(scenario(), 90))
--- a/tests/meshctl/test_meshctl_pure.py
+++ b/tests/meshctl/test_meshctl_pure.py
@@ -1,4 +1,4 @@
-"""What the operating commands work out without a socket: changes, backups, figures, a request's hops."""
+"""The operating commands without sockets: changes, backups, status, and the records of a request."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 from brackengate.control.orders import History, decide
 from brackengate.interface import Outcome, Request
 from brackengate.meshctl import archive, figures, hops
-from brackengate.meshctl.changes import as_call, compare, items_of, sound
+from brackengate.meshctl.changes import as_call, compare, is_valid, items_of
 from brackengate.protocol.config_items import read_call
 from brackengate.protocol.messages import (
     CommandDone,
@@ -48,7 +48,7 @@
 
 
 class Changes(TestCase):
-    def test_each_item_is_told_apart(self) -> None:
+    def test_each_item_has_its_own_result(self) -> None:
         body = call(route("new", 1), route("a", 3), route("b", 8), remove=[{"Name": "a2", "Revision": "r4"}])
         self.assertThat(
             [(one.what, one.name, one.why) for one in compare(body, items_of(HELD))],
@@ -62,12 +62,12 @@
             ),
         )
 
-    def test_every_fault_is_named_and_not_the_first_alone(self) -> None:
+    def test_every_fault_is_reported(self) -> None:
         found = compare(call(route("x", 1, prefix="x"), route("y", 1), route("z", 1, plant="")), {})
         self.assertThat([(one.what, one.name) for one in found], Equals([("invalid", "x"), ("invalid", "z")]))
-        self.assertThat(sound(found), Equals(False))
+        self.assertThat(is_valid(found), Equals(False))
 
-    def test_what_does_not_go_together_is_a_fault_of_the_call(self) -> None:
+    def test_conflicting_items_are_a_fault_of_the_call(self) -> None:
         found = compare(call(route("c", 4, prefix="/a/")), items_of(HELD))
         self.assertThat(
             [(one.kind, one.what, one.why) for one in found],
@@ -76,7 +76,7 @@
         for damaged in (b"\xff", b"[1]", b'{"Apply":{"Plants":7}}', b'{"Apply":{"Hosts":[7]}}'):
             self.assertThat([one.what for one in compare(damaged, {})], Equals(["invalid"]), repr(damaged))
 
-    def test_other_contents_under_a_held_version_are_a_fault_of_the_call(self) -> None:
+    def test_other_content_with_a_stored_version_is_a_fault_of_the_call(self) -> None:
         other = {**route("a", 3), "Cutoff": "2s"}
         for body in (call(other), call(remove=[{"Name": "a", "Revision": "r3"}])):
             found = compare(body, items_of(HELD))
@@ -85,31 +85,31 @@
             )
             self.assertThat(found[-1].why, Equals("acknowledged with other content before: route 'a' r3"))
 
-    def test_what_show_prints_can_be_applied(self) -> None:
+    def test_the_output_of_show_can_be_applied(self) -> None:
         layout = b'{"Plants":[{"Name":"q","Revision":"r1"}],"Hosts":[]}'
         self.assertThat([one.name for one in compare(as_call(layout), {})], Equals(["q"]))
-        whole = call(route("a", 3))
-        self.assertThat(as_call(whole), Equals(whole))
+        complete = call(route("a", 3))
+        self.assertThat(as_call(complete), Equals(complete))
 
 
 class Backups(TestCase):
-    def test_an_empty_mesh_gets_all_of_it_and_a_newer_one_keeps_its_own(self) -> None:
-        body = archive.call_of(archive.unpack(archive.pack(ITEMS, "now")))
+    def test_a_restore_sets_all_items_of_an_empty_mesh_and_no_newer_ones(self) -> None:
+        body = archive.restoring_call(archive.unpack(archive.pack(ITEMS, "now")))
         first = decide(read_call(body), ItemIndex(), lambda _: History())
         self.assertThat((first.result, first.items), Equals((CommandDone(), items_of(HELD))))
         newer = items_of([*HELD[:1], HeldItem("route", "a", 9, 8), *HELD[2:]])
-        again = decide(read_call(body), ItemIndex.of(newer.items()), lambda _: History())
-        self.assertThat((again.result, again.items), Equals((CommandDone(), {})))
+        second = decide(read_call(body), ItemIndex.of(newer.items()), lambda _: History())
+        self.assertThat((second.result, second.items), Equals((CommandDone(), {})))
 
-    def test_a_damaged_or_newer_file_is_turned_down(self) -> None:
-        whole = archive.pack(ITEMS, "now")
-        with ExpectedException(archive.Unusable, "it is damaged: its checksum .*"):
-            archive.unpack(whole.replace(b'"r3"', b'"r4"', 1))
-        with ExpectedException(archive.Unusable, "it is no backup, or a damaged one: .*"):
-            archive.unpack(whole[:-20])
-        with ExpectedException(archive.Unusable, "it is of form 2, written by a newer program; .*"):
-            archive.unpack(whole.replace(b'"form": 1', b'"form": 2'))
-        self.assertThat(archive.unpack(whole).place, Equals(7))
+    def test_a_damaged_or_newer_file_is_rejected(self) -> None:
+        complete = archive.pack(ITEMS, "now")
+        with ExpectedException(archive.InvalidBackup, "it is damaged: its checksum .*"):
+            archive.unpack(complete.replace(b'"r3"', b'"r4"', 1))
+        with ExpectedException(archive.InvalidBackup, "it is no backup, or a damaged one: .*"):
+            archive.unpack(complete[:-20])
+        with ExpectedException(archive.InvalidBackup, "it is of form 2, written by a newer program; .*"):
+            archive.unpack(complete.replace(b'"form": 1', b'"form": 2'))
+        self.assertThat(archive.unpack(complete).place, Equals(7))
 
 
 def standing(addr: str, commit_index: int, seats: str = "ABC", **more: Any) -> Standing:
@@ -136,13 +136,13 @@
 
 
 class Figures(TestCase):
-    def test_members_stand_in_the_chains_order_and_the_lost_are_named(self) -> None:
-        told = [
+    def test_members_are_in_chain_order_with_those_that_did_not_answer(self) -> None:
+        statuses = [
             standing("A", 9, "BAC", neighbours=(Neighbour("C", "zC", True),)),
             standing("B", 12, "BAC", duties=("mend",)),
             standing("D", 3, "BAC", epoch=3, serves=False, leaves=True),
         ]
-        rows = figures.members(told, [("C", "no answer")])
+        rows = figures.members(statuses, [("C", "no answer")])
         self.assertThat(
             [(row["member"], row["zone"], row["chain"], row.get("lag"), row["state"]) for row in rows],
             Equals(
@@ -154,40 +154,40 @@
                 ]
             ),
         )
-        self.assertThat(figures.complete(told), Equals(False))
-        self.assertThat(figures.complete([*told, standing("C", 12, "BAC")]), Equals(True))
+        self.assertThat(figures.all_members_serve(statuses), Equals(False))
+        self.assertThat(figures.all_members_serve([*statuses, standing("C", 12, "BAC")]), Equals(True))
 
-    def test_how_many_may_be_lost(self) -> None:
+    def test_the_number_of_members_that_may_fail(self) -> None:
         spare = [
-            figures.spare([standing(one, 1, seats) for one in seats])
+            figures.spare_members([standing(one, 1, seats) for one in seats])
             for seats in ("AB", "ABC", "ABCD", "ABCDE", "A")
         ]
         self.assertThat(spare, Equals([0, 1, 1, 2, -1]))
         unfit = [standing("A", 1), standing("B", 1, disk_healthy=False)]  # and C does not answer
-        self.assertThat(figures.spare(unfit), Equals(-1))
+        self.assertThat(figures.spare_members(unfit), Equals(-1))
 
-    def test_a_pilot_that_does_not_say_how_far_it_is_counts_as_late(self) -> None:
-        told = [
+    def test_a_proxy_that_does_not_report_its_index_counts_as_lagging(self) -> None:
+        statuses = [
             standing("A", 9, pilots=(Follows("p1", 9, 9), Follows("p2", 9))),
             standing(
                 "B", 9, pilots=(Follows("p3", 9, 6),), upstreams=(("p4", Instance("i", "s", "z", "ready")),)
             ),
         ]
-        self.assertThat(figures.behind(told, 7), Equals(["p2", "p3"]))
-        self.assertThat([row["behind"] for row in figures.pilots(told)], Equals([0, None, 3]))
-        self.assertThat(figures.unseen(told[1:]), Equals(["p4"]))
+        self.assertThat(figures.lagging_proxies(statuses, 7), Equals(["p2", "p3"]))
+        self.assertThat([row["behind"] for row in figures.pilots(statuses)], Equals([0, None, 3]))
+        self.assertThat(figures.machines_without_follower(statuses[1:]), Equals(["p4"]))
 
-    def test_the_earliest_place_of_an_item_counts(self) -> None:
+    def test_the_earliest_index_of_an_item_counts(self) -> None:
         late = Items(True, 9, 2, tuple(msgspec.structs.replace(one, index=9) for one in HELD))
         names = [(("plant", "p"), 3), (("route", "a"), 3)]
-        self.assertThat(figures.place_of(names, [late, ITEMS]), Equals(2))
-        self.assertThat(figures.place_of([*names, (("route", "b"), 10)], [late, ITEMS]), Equals(None))
+        self.assertThat(figures.index_of(names, [late, ITEMS]), Equals(2))
+        self.assertThat(figures.index_of([*names, (("route", "b"), 10)], [late, ITEMS]), Equals(None))
 
 
-class Waking(TestCase):
-    """What pilots remember of their requests."""
+class RequestRecords(TestCase):
+    """The proxies' records of their requests."""
 
-    def test_a_request_is_told_hop_by_hop(self) -> None:
+    def test_a_request_is_shown_hop_by_hop(self) -> None:
         wake, request = Wake(), Request("7", "r", 0)
         wake.begins("7", b"id-1", 1_000_000, "r", "s", 500_000)
         wake.attempt_began(request, 0, "i-1", 1_000_300)
@@ -212,7 +212,7 @@
             hops.text("p", wake.about("id-2")[0]), MatchesRegex(r".* out  p  answered 404: no route")
         )
 
-    def test_odd_ones_outlast_plain_ones_and_all_is_bounded(self) -> None:
+    def test_unusual_requests_are_kept_longer_and_all_records_are_bounded(self) -> None:
         wake = Wake(most=3, odd=2)
         for n in range(MOST_OPEN + 50):
             name, request = b"id-%d" % n, Request(str(n), "r", 0)
