--- a/brackengate/interface.py
+++ b/brackengate/interface.py
@@ -82,7 +82,7 @@
     """A tenant and its quota."""
 
     name: str
-    fraction: float = 0.0
+    fraction: float = 0.0  # its share of all requests; the balancer does not use it
     quota_per_s: float = 0.0  # requests, over all balancers together; 0 = no quota
 
 
@@ -102,7 +102,7 @@
     release_within: int = 0  # idle connections to a leaving upstream close within this; 0 = no such rule
     cold_share: float = 0.1  # of its capacity, that a just started upstream has
     cold_time: int = 30_000_000  # until it has all of its capacity
-    fall_multiple: float = 3.0  # times what it can bear at which a cold upstream fails
+    fall_multiple: float = 3.0  # a cold upstream that receives this many times what it can bear fails
     probes: bool = False  # upstreams answer probes with a load report
     cancel: bool = True  # attempts in flight can be cancelled
     max_attempts: int = 3  # of one request
@@ -132,9 +132,9 @@
     upstream: str
     zone: str = ""
     kind: str = ""
-    cell: int = 0
+    cell: int = 0  # below 0: unknown
     state: Lifecycle = Lifecycle.SERVING
-    weight: float = 1.0
+    weight: float = 1.0  # relative capacity
     started_at: int = 0  # 0 = long ago
 
 
--- a/brackengate/policy/arrivals.py
+++ b/brackengate/policy/arrivals.py
@@ -19,6 +19,8 @@
 
 
 class Arrivals(Probes):
+    """Handles new requests and the end of their bodies."""
+
     def _on_request(self, event: api.Request) -> None:
         time_left = event.deadline - self.now
         # A class that the settings do not name is handled as the most restrictive one.
--- a/brackengate/policy/cold.py
+++ b/brackengate/policy/cold.py
@@ -14,6 +14,8 @@
 
 
 class Cold(State):
+    """Paces what cold upstreams receive and positions new ones in the order."""
+
     def _pace_cold_upstream(self, upstream: Upstream, low: float, high: float) -> None:
         """Set when a cold upstream may be sent its next request.
 
--- a/brackengate/policy/failures.py
+++ b/brackengate/policy/failures.py
@@ -15,6 +15,8 @@
 
 
 class Failures(Order):
+    """Demotes and ejects upstreams that fail, and closes connections to leaving ones."""
+
     def _is_fast_error(self, request: TrackedRequest, attempt: Attempt) -> bool:
         """Whether it failed much faster than answers come, although it had time enough.
 
--- a/brackengate/policy/lists.py
+++ b/brackengate/policy/lists.py
@@ -8,6 +8,8 @@
 
 
 class Lists(Probes):
+    """Keeps the upstreams in line with the upstream list."""
+
     def _on_upstream_list(self, event: api.UpstreamList) -> None:
         self.closing = event.final
         self.list_failures = self.list_failures + 1 if event.kind is api.ListKind.BROKEN else 0
--- a/brackengate/policy/order.py
+++ b/brackengate/policy/order.py
@@ -18,6 +18,8 @@
 
 
 class Order(Cold):
+    """Keeps the order of the upstreams and picks from it by the rules."""
+
     def _update_order(self, upstream: Upstream) -> None:
         """Enter it in the order: idle first, then fewest own in flight by weight, then first assigned."""
         if self.upstreams.get(upstream.id) is not upstream:
--- a/brackengate/policy/outcomes.py
+++ b/brackengate/policy/outcomes.py
@@ -8,6 +8,8 @@
 
 
 class Outcomes(Probes):
+    """Handles started answers and ended attempts."""
+
     def _on_answer_started(self, event: api.AnswerStarted) -> None:
         """Its answer has started: the request is done, and every other attempt is cancelled."""
         request = self.requests.get(event.request)
--- a/brackengate/policy/overload.py
+++ b/brackengate/policy/overload.py
@@ -16,6 +16,8 @@
 
 
 class Overload(State):
+    """Learns latencies and recognizes requests that would be answered too late."""
+
     def _usable_time_share(self, request: TrackedRequest) -> float:
         """The share of the time left that its expected latency may take; 1 for the highest value."""
         return ZERO_VALUE_TIME_SHARE + (1 - ZERO_VALUE_TIME_SHARE) * request.value / self.max_value
--- a/brackengate/policy/probes.py
+++ b/brackengate/policy/probes.py
@@ -19,6 +19,8 @@
 
 
 class Probes(Sends, Failures, Overload):
+    """Assigns a request to an upstream, after probes where they help, and probes silent attempts."""
+
     def _assign(self, request: TrackedRequest) -> None:
         """Send the request to the first in the order; where that one is idle, probe a few before."""
         request.probed, request.probed_busy, request.probes_pending = [], [], 0
--- a/brackengate/policy/retries.py
+++ b/brackengate/policy/retries.py
@@ -8,6 +8,8 @@
 
 
 class Retries(Overload):
+    """Ends requests and grants retries."""
+
     def _spend_retry(self, request: TrackedRequest, ended: Attempt) -> bool:
         """Whether it may be retried; takes a token from the retry budget unless unsent attempts are free."""
         free = self.settings.unsent_attempts_free and ended.outcome in UNSENT
--- a/brackengate/policy/sends.py
+++ b/brackengate/policy/sends.py
@@ -17,6 +17,8 @@
 
 
 class Sends(Order, Retries):
+    """Sends attempts, and keeps requests that have to wait."""
+
     def _wait_for_upstream(self, request: TrackedRequest) -> None:
         """Keep a request without an attempt in flight until the next recheck; end it if that is too late."""
         if self.closing or self.now + self.recheck_interval >= request.answer_by:
--- a/brackengate/policy/state.py
+++ b/brackengate/policy/state.py
@@ -83,7 +83,7 @@
 
     id: str
     request_class: api.RequestClass
-    answer_by: int
+    answer_by: int  # when its attempts time out
     target_by: int  # when its target latency is over
     value: float
     expected_work: int  # its hint, or without one a figure common to its class
@@ -99,6 +99,7 @@
     probed_busy: list[Upstream] = field(default_factory=list)  # of these, answered but not idle
 
     def may_have_run(self) -> bool:
+        """Whether any attempt, of this request or an earlier one with its key, may have had an effect."""
         return bool(self.earlier) or any(a.outcome not in NEVER_RAN for a in self.attempts)
 
 
