--- a/brackengate/mesh.py
+++ b/brackengate/mesh.py
@@ -1,7 +1,9 @@
-"""The two roles of the mesh as commands: `brackengate pilot` and `brackengate lighthouse`.
+"""The commands of the two roles of the mesh.
 
-Exit codes: 0 stopped in order; 1 an address could not be had, or the disk's file broke while in use;
-2 bad settings or usage, or the disk's file is of a newer program.
+`brackengate pilot` is a sidecar proxy, `brackengate lighthouse` a control replica.
+
+Exit codes: 0 stopped in order; 1 an address is not available, or the store's file failed while in use;
+2 invalid settings or usage, or the store's file was written by a newer program.
 """
 
 from __future__ import annotations
@@ -25,7 +27,7 @@
 )
 from brackengate.protocol.settings import check_required as check_settings
 
-LEVELS = ("DEBUG", "INFO", "WARNING", "ERROR")
+LOG_LEVELS = ("DEBUG", "INFO", "WARNING", "ERROR")
 
 settings_option = click.option(
     "--settings",
@@ -37,7 +39,7 @@
 )
 check_option = click.option("--check", is_flag=True, help="Read and check the settings, and end.")
 level_option = click.option(
-    "--log-level", type=click.Choice(LEVELS), envvar="BRACKENGATE_LOG", default="INFO", show_default=True
+    "--log-level", type=click.Choice(LOG_LEVELS), envvar="BRACKENGATE_LOG", default="INFO", show_default=True
 )
 
 
@@ -47,6 +49,7 @@
 
 
 def _read(path: str, level: str, needed: tuple[str, ...]) -> Settings:
+    """Set up logging, then read and check the settings file; exits with code 2 if it is invalid."""
     logging.basicConfig(
         stream=sys.stderr,
         level=level,
@@ -62,6 +65,7 @@
 
 
 def fail(text: str, code: int) -> NoReturn:
+    """Print an error line and exit with the code."""
     click.echo(f"brackengate: {text}", err=True)
     raise SystemExit(code)
 
@@ -69,7 +73,7 @@
 def _run(
     work: Coroutine[Any, Any, int], refusals: tuple[type[Exception], ...] = (InvalidSettings,)
 ) -> NoReturn:
-    """`refusals`: errors of this role that say in a sentence why it can't run as it was told to."""
+    """Run a role and exit.  `refusals`: errors whose text explains why it cannot run, for exit code 2."""
     try:
         code = uvloop.run(work)
     except refusals as error:
@@ -77,7 +81,7 @@
     except OSError as error:
         fail(f"an address could not be had: {error}", 1)
     logging.shutdown()
-    os._exit(code)  # threads that wait for a disk in trouble must not hold up an end in order
+    os._exit(code)  # threads that wait for a failing disk must not delay an orderly exit
 
 
 @main.command()
--- a/tests/control/test_admin_commands.py
+++ b/tests/control/test_admin_commands.py
@@ -48,7 +48,7 @@
     standings = [replica_status(member, (), core.now) for member in members]
     rows = figures.members(standings)
     found = [(row["chain"], " ".join(row.get("duties", "?")), row["state"]) for row in rows]
-    return figures.spare(standings), found
+    return figures.spare_members(standings), found
 
 
 def test_each_member_says_what_it_does_and_what_it_lacks() -> None:
