--- a/benchmarks/scale/units.py
+++ b/benchmarks/scale/units.py
@@ -17,7 +17,7 @@
 from brackengate.control.orders import History, decide
 from brackengate.control.recent import RecentEntries
 from brackengate.control.rows import CommittedRows
-from brackengate.control.transfer import NOTHING, next_piece
+from brackengate.control.transfer import EMPTY_POSITION, next_piece
 from brackengate.protocol.config_items import read_call
 from brackengate.protocol.messages import Changes, CopyPiece, CopyRequest, Instance, Line, Row
 from brackengate.proxy.copy import PublicCopy
@@ -69,7 +69,7 @@
 
 def pieces(rows: CommittedRows, recent: RecentEntries) -> list[bytes]:
     """A whole copy, as it goes over the wire."""
-    position, sent = NOTHING, list[bytes]()
+    position, sent = EMPTY_POSITION, list[bytes]()
     while True:
         piece = next_piece(rows, recent, 1, CopyRequest(1, position))
         assert piece is not None
--- a/brackengate/control/actions.py
+++ b/brackengate/control/actions.py
@@ -10,11 +10,11 @@
 
 
 @dataclass(slots=True)
-class Tell:
+class Send:
     """Say it to another lighthouse; lost where there is no connection."""
 
     addr: str
-    word: Line
+    message: Line
 
 
 @dataclass(slots=True)
@@ -33,7 +33,7 @@
     cut: bool = False  # all entries that were there before go
     committed: int = -1  # entries up to there go: what they say is among the rows
     entries: list[Entry] = field(default_factory=list)
-    tells: list[Tell] = field(default_factory=list)
+    sends: list[Send] = field(default_factory=list)
     index: int = -1
     generation: int = 0
 
@@ -63,7 +63,7 @@
 
 
 @dataclass(slots=True)
-class Restart:
+class ResetFollowers:
     """What was published is no longer a prefix of what is held: followers take a snapshot."""
 
 
@@ -72,4 +72,4 @@
     """There is work that is done in slices: call `proceed` in the next step of the loop."""
 
 
-Action = Tell | Store | Answer | Publish | Deliver | Restart | Continue
+Action = Send | Store | Answer | Publish | Deliver | ResetFollowers | Continue
--- a/brackengate/control/ages.py
+++ b/brackengate/control/ages.py
@@ -9,10 +9,10 @@
 from collections import deque
 from dataclasses import dataclass, field
 
-from brackengate.control.rows import BUCKETS, KEY, CommittedRows
+from brackengate.control.rows import BUCKETS, KEY_KIND, CommittedRows
 
-MARKS = 16  # for each window
-LOOK_BYTES = 1 << 20  # of rows that one step looks through
+MARKS_PER_WINDOW = 16  # for each window
+SCAN_BYTES = 1 << 20  # of rows that one step looks through
 
 
 @dataclass
@@ -24,28 +24,28 @@
     cutoff: int = -1  # keys with rows up to this index are too old
     bucket: int = BUCKETS  # where the look through the rows goes on; BUCKETS: it is done
 
-    def mark(self, now: int, index: int) -> None:
+    def record(self, now: int, index: int) -> None:
         if self.marks:
             at, held = self.marks[-1]
-            if index == held or now - at < self.window // MARKS:
+            if index == held or now - at < self.window // MARKS_PER_WINDOW:
                 return
         self.marks.append((now, index))
 
-    def too_old(self, rows: CommittedRows, now: int, most: int) -> list[str]:
+    def expired_keys(self, rows: CommittedRows, now: int, max_keys: int) -> list[str]:
         """Some of the keys that are too old, and not many more than `most`; the next call looks further."""
         while self.marks and now - self.marks[0][0] > 2 * self.window:
             index = self.marks.popleft()[1]
             if index > self.cutoff:
                 self.cutoff = index
-                self.bucket = self.bucket if self.looking else 0
+                self.bucket = self.bucket if self.scanning else 0
         found: list[str] = []
         seen = 0
-        while self.looking and len(found) < most and seen < LOOK_BYTES:
+        while self.scanning and len(found) < max_keys and seen < SCAN_BYTES:
             seen += len(rows.buckets.get(self.bucket, b""))
-            found += rows.old_names(self.bucket, KEY, self.cutoff)
+            found += rows.names_up_to(self.bucket, KEY_KIND, self.cutoff)
             self.bucket += 1
         return found
 
     @property
-    def looking(self) -> bool:
+    def scanning(self) -> bool:
         return self.bucket < BUCKETS
--- a/brackengate/control/ballots.py
+++ b/brackengate/control/ballots.py
@@ -10,16 +10,16 @@
 
 from brackengate.protocol.messages import Ballot, Member, Promise, View
 
-NOBODY: Ballot = (0, "")
+NO_BALLOT: Ballot = (0, "")
 
 
 @dataclass(slots=True)
 class Acceptor:
     """What a member has promised and accepted for the next view."""
 
-    promised: Ballot = NOBODY
-    taken_at: Ballot | None = None
-    taken: View | None = None
+    promised: Ballot = NO_BALLOT
+    accepted_ballot: Ballot | None = None
+    accepted_view: View | None = None
 
     def promise(self, ballot: Ballot) -> bool:
         if ballot < self.promised:
@@ -30,13 +30,13 @@
     def accept(self, ballot: Ballot, view: View) -> bool:
         if ballot < self.promised:
             return False
-        self.promised = self.taken_at = ballot
-        self.taken = view
+        self.promised = self.accepted_ballot = ballot
+        self.accepted_view = view
         return True
 
     def meta(self) -> dict[str, object]:
         """As it is stored."""
-        return {"promised": self.promised, "taken_at": self.taken_at, "taken": self.taken}
+        return {"promised": self.promised, "taken_at": self.accepted_ballot, "taken": self.accepted_view}
 
 
 @dataclass(slots=True)
@@ -45,17 +45,17 @@
 
     ballot: Ballot
     view: View  # what it proposes, unless another view may have been agreed
-    at: int
+    started_at: int
     quorum: int  # as of its beginning; see `quorum`
     promises: dict[str, Promise] = field(default_factory=dict)
     accepted: set[str] = field(default_factory=set)
-    second: bool = False  # the view is fixed, and asked to be accepted
+    accepting: bool = False  # the view is fixed, and asked to be accepted
 
     def proposal(self) -> View | None:
         """The view to be accepted by all; None: wait for more promises."""
         votes = [one for one in self.promises.values() if one.taken is not None]
         if votes:  # it may have been agreed: the one that was accepted last
-            return max(votes, key=lambda one: one.taken_at or NOBODY).taken
+            return max(votes, key=lambda one: one.taken_at or NO_BALLOT).taken
         return self._with_complete_head()
 
     def _with_complete_head(self) -> View | None:
--- a/brackengate/control/chain.py
+++ b/brackengate/control/chain.py
@@ -20,10 +20,10 @@
 from collections.abc import Iterable, Iterator, Mapping
 from typing import Any
 
-from brackengate.control.actions import Action, Continue, Deliver, Publish, Restart, Tell
+from brackengate.control.actions import Action, Continue, Deliver, Publish, ResetFollowers, Send
 from brackengate.control.ages import KeyAges
 from brackengate.control.commands import (
-    GIVE_UP_AFTER,
+    GIVE_UP_AFTER_US,
     Decision,
     PendingCommands,
     PendingReply,
@@ -31,12 +31,12 @@
 )
 from brackengate.control.head_orders import EnterNow, Examining, HeadOrders, Outcome, Wait
 from brackengate.control.item_index import ItemIndex
-from brackengate.control.learning import Learner, keep_committed, take_piece
+from brackengate.control.learning import Learner, apply_piece, restart_from_committed
 from brackengate.control.log import PublicChanges, ReplicaLog, public_changes
 from brackengate.control.prepared_rows import NO_ROUTES, item_of
-from brackengate.control.rows import KEY, LatestRows, State
+from brackengate.control.rows import KEY_KIND, CommittedState, LatestRows
 from brackengate.control.staging import Delivery, StagedOrder, StagedOrders, Submission
-from brackengate.control.transfer import COMPLETE, next_piece
+from brackengate.control.transfer import COMPLETE_BUCKET, next_piece
 from brackengate.control.view import LogStatus
 from brackengate.protocol.config_items import Name, Route, layout
 from brackengate.protocol.messages import (
@@ -61,9 +61,12 @@
     View,
 )
 
-HAVE = 200_000  # a member that has not met the one before it says again what it has
-PRUNE_AT_ONCE = 500
-PRUNE, PRUNE_ON = 1_000_000, 100_000  # between two looks for old keys, and while there are more
+POSITION_INTERVAL_US = 200_000  # a member that has not met the one before it says again what it has
+PRUNE_BATCH_KEYS = 500
+PRUNE_INTERVAL_US, PRUNE_CONTINUE_INTERVAL_US = (
+    1_000_000,
+    100_000,
+)  # between two looks for old keys, and while there are more
 
 
 class Chain:
@@ -76,20 +79,24 @@
         self.view = View(0, ())
         self.incarnation = ""
         self.epoch_closed = False
-        self.held = ReplicaLog(index)
+        self.replica_log = ReplicaLog(index)
         self.stored_index = index
         self.commit_index = -1  # on all disks of a view; -1: not known since the start
         self.caught_up_epoch = 0
         self.snapshot_epoch = snapshot_epoch
         self.learner = Learner()
-        self.ages = KeyAges(window)
-        self._loaded = index
-        self._fed = False  # a new member that is passed entries, and does not hold all that it owes yet
-        self._owed: int | None = None  # the index from which on it does
-        self._next_from: int | None = None  # the index up to which the next one was sent; None: it has to say
+        self.key_ages = KeyAges(window)
+        self._ready_index = index
+        self._catching_up = (
+            False  # a new member that is passed entries, and does not hold all that it owes yet
+        )
+        self._owed_index: int | None = None  # the index from which on it does
+        self._sent_until: int | None = (
+            None  # the index up to which the next one was sent; None: it has to say
+        )
         self._now = now  # of the last event
-        self._said_have = self._pruned = 0
-        self._pruned_to = 0  # the last entry that frees old keys
+        self._position_sent_at = self._last_prune_at = 0
+        self._prune_index = 0  # the last entry that frees old keys
         self._commands = PendingCommands(now)
         self.staged = StagedOrders()
         self._orders = HeadOrders()
@@ -107,43 +114,43 @@
         now: int,
     ) -> None:
         """What is on disk at the start: committed rows, and entries of which some may not have been."""
-        self.held.load(rows, entries, base)
-        if self.snapshot_epoch and self.held.firm:
-            bucket = COMPLETE
+        self.replica_log.load(rows, entries, base)
+        if self.snapshot_epoch and self.replica_log.rows_committed:
+            bucket = COMPLETE_BUCKET
         self.learner.position = CopyPosition(bucket, self.state.index)
-        self.ages.mark(now, self.index)
+        self.key_ages.record(now, self.index)
 
     # --- where it stands
 
-    def log(self) -> LogStatus:
+    def log_status(self) -> LogStatus:
         copied = -1 if self._chain_position() >= 0 or not self.learner.complete else self.state.index
-        committed = max(self.commit_index, self.state.index if self.held.firm else -1)
+        committed = max(self.commit_index, self.state.index if self.replica_log.rows_committed else -1)
         return LogStatus(self.stored_index, self.has_snapshot, self.caught_up_epoch, committed, copied)
 
     @property
     def index(self) -> int:
         """Of the last entry that is held."""
-        return self.held.index
+        return self.replica_log.index
 
     @property
     def generation(self) -> int:
-        return self.held.generation
+        return self.replica_log.generation
 
     @property
-    def state(self) -> State:
+    def state(self) -> CommittedState:
         """What is committed."""
-        return self.held.state
+        return self.replica_log.state
 
     @property
     def rows(self) -> LatestRows:
-        return self.held.rows
+        return self.replica_log.rows
 
     @property
     def items(self) -> ItemIndex:
         """The operator's, as in `rows`."""
-        return self.held.items
+        return self.replica_log.items
 
-    def deliver_within(self, time: int) -> None:
+    def set_delivery_timeout(self, time: int) -> None:
         """How long a large order waits for followers at the most, beside the time for its rows."""
         self._orders.deliver_within = time
 
@@ -170,28 +177,28 @@
     def head(self) -> str:
         return self.view.members[0].addr if self.view.members else ""
 
-    def _before(self) -> str:
+    def _predecessor(self) -> str:
         at = self._chain_position()
         return self.view.members[at - 1].addr if at > 0 else ""
 
-    def _after(self) -> str:
+    def _successor(self) -> str:
         at = self._chain_position()
         return self.view.members[at + 1].addr if 0 <= at < len(self.view.members) - 1 else ""
 
     @property
     def ready(self) -> bool:
         """Whether followers can be served: all that is held here has been agreed at some time."""
-        return self.has_snapshot and self.commit_index >= self._loaded and self.commit_index >= 0
+        return self.has_snapshot and self.commit_index >= self._ready_index and self.commit_index >= 0
 
     # --- the view
 
-    def viewed(self, view: View, incarnation: str, now: int) -> list[Action]:
+    def on_view(self, view: View, incarnation: str, now: int) -> list[Action]:
         """A view was agreed."""
         self._now = now
         self.view, self.incarnation, self.epoch_closed = view, incarnation, False
         self.caught_up_epoch = 0
-        self._next_from = self._owed = None
-        self._fed = False
+        self._sent_until = self._owed_index = None
+        self._catching_up = False
         self._pending_replies.clear()  # whoever asked asks again
         self._orders.begin_view()
         self.staged.forget_open()
@@ -200,9 +207,9 @@
             out += self._drop_entries()
         if self._chain_position() == 0 and self.has_snapshot:
             self.caught_up_epoch = view.epoch
-        out += self._say_have(now)
-        out += self._tail()
-        out += self._learn(now)
+        out += self._send_position(now)
+        out += self._commit_as_tail()
+        out += self._request_copy(now)
         out += self._give_up(now)
         for command_id in list(self._commands.by_id):
             out += self._submit(command_id, now)
@@ -214,100 +221,104 @@
         if (
             self._chain_position() > 0
             and self.caught_up_epoch != self.view.epoch
-            and now - self._said_have >= HAVE
+            and now - self._position_sent_at >= POSITION_INTERVAL_US
         ):
-            out += self._say_have(now)
+            out += self._send_position(now)
         out += self._give_up(now)
         for command_id in self._commands.due(now):
             out += self._submit(command_id, now)
-        out += self._enter_delivered(now)
-        self.ages.mark(now, self.state.index)
-        if now - self._pruned > (PRUNE_ON if self.ages.looking else PRUNE):
-            self._pruned = now
+        out += self._append_delivered(now)
+        self.key_ages.record(now, self.state.index)
+        if now - self._last_prune_at > (
+            PRUNE_CONTINUE_INTERVAL_US if self.key_ages.scanning else PRUNE_INTERVAL_US
+        ):
+            self._last_prune_at = now
             out += self._prune(now)
-        return out + self._learn(now) + list(self.held.fold_if_due(now))
+        return out + self._request_copy(now) + list(self.replica_log.flush_if_due(now))
 
-    def reconnected(self, addr: str, now: int) -> list[Action]:
+    def on_reconnected(self, addr: str, now: int) -> list[Action]:
         """A connection to that member is new: what was said on the one before may be lost."""
         out: list[Action] = []
-        if addr == self._after():
-            self._next_from = None
-        if addr == self._before():
-            out += self._say_have(now)
+        if addr == self._successor():
+            self._sent_until = None
+        if addr == self._predecessor():
+            out += self._send_position(now)
         if addr == self.learner.source:
-            self.learner.request = 0
-            out += self._learn(now)
+            self.learner.open_request = 0
+            out += self._request_copy(now)
         return out
 
-    def _say_have(self, now: int) -> list[Action]:
-        before = self._before()
-        self._said_have = now
+    def _send_position(self, now: int) -> list[Action]:
+        before = self._predecessor()
+        self._position_sent_at = now
         if not before or not (self.has_snapshot or self.learner.complete):
             return []
-        out: list[Action] = [Tell(before, Position(self.view.epoch, self.stored_index))]
+        out: list[Action] = [Send(before, Position(self.view.epoch, self.stored_index))]
         if (
             self.commit_index >= 0 and self.has_snapshot
         ):  # whoever has just started knows of nothing that is agreed
-            out.append(Tell(before, Ack(self.view.epoch, self.commit_index)))
+            out.append(Send(before, Ack(self.view.epoch, self.commit_index)))
         return out
 
     # --- commands
 
-    def ask(self, what: Command, local: int, now: int, give_up_after: int = GIVE_UP_AFTER) -> list[Action]:
+    def submit_command(
+        self, what: Command, request_id: int, now: int, give_up_after: int = GIVE_UP_AFTER_US
+    ) -> list[Action]:
         """Answered once, by `Answer(local, result)`."""
-        return self._submit(self._commands.add(what, local, now, give_up_after), now)
+        return self._submit(self._commands.add(what, request_id, now, give_up_after), now)
 
-    def withdraw(self, local: int) -> None:
+    def withdraw(self, request_id: int) -> None:
         """Whoever asked has gone."""
-        self._commands.withdraw(local)
+        self._commands.withdraw(request_id)
 
     def _give_up(self, now: int) -> list[Action]:
-        return [self._commands.settle(command_id, None) for command_id in self._commands.expired(now)]
+        return [self._commands.finish(command_id, None) for command_id in self._commands.expired(now)]
 
     def _submit(self, command_id: int, now: int) -> list[Action]:
         word = self._commands.submission(command_id, self.view.epoch, now)
         if self.head == self.me:
             return self._execute(self.me, word, now)
-        return [Tell(self.head, word)] if self.head else []
+        return [Send(self.head, word)] if self.head else []
 
-    def _resolved(self, word: Result) -> list[Action]:
-        answer = self._commands.resolved(word)
+    def _on_result(self, word: Result) -> list[Action]:
+        answer = self._commands.on_result(word)
         return [answer] if answer is not None else []
 
-    def _takes_commands(self) -> bool:
+    def _accepts_commands(self) -> bool:
         fit = self._chain_position() == 0 and self.has_snapshot and not self.epoch_closed
         return fit and len(self.view.members) >= self.min_replicas
 
     def _execute(self, addr: str, word: Submit, now: int) -> list[Action]:
         """At the head: its result is told once all that it was decided by is agreed."""
-        if not self._takes_commands() or word.epoch != self.view.epoch:
+        if not self._accepts_commands() or word.epoch != self.view.epoch:
             return []  # submitted again once its replica knows the view
         if isinstance(word.what, Amend):
             return self._execute_order(addr, word.id, word.what, now)
-        return self._enter_and_reply(addr, word.id, decide(word.what, self.rows, self.items), now)
+        return self._append_and_reply(addr, word.id, decide(word.what, self.rows, self.items), now)
 
     def _execute_order(self, addr: str, id_: int, what: Amend, now: int) -> list[Action]:
         """A large one is read in slices and delivered first."""
         match self._orders.submitted(what, addr, id_, self.rows, self.items, self._members(), now):
             case EnterNow(decision):
-                return self._enter_and_reply(addr, id_, decision, now)
+                return self._append_and_reply(addr, id_, decision, now)
             case Wait(delivery, begins):
                 out = self._begin_delivery(delivery) if begins else []
-                return out + self._say_underway(addr, id_)
+                return out + self._report_underway(addr, id_)
             case Examining():
-                return [*self._say_underway(addr, id_), Continue()]
+                return [*self._report_underway(addr, id_), Continue()]
         return []
 
     def _members(self) -> list[str]:
         return [member.addr for member in self.view.members]
 
-    def proceed(self, now: int) -> list[Action]:
+    def run_slice(self, now: int) -> list[Action]:
         """One slice of the work that is done beside everything else."""
         self._now = now
         out: list[Action] = []
         if self._orders.examining:
             outcome = self._orders.examine(self._members(), now)
-            if outcome is not None and self._takes_commands():
+            if outcome is not None and self._accepts_commands():
                 out += self._examined(outcome, now)
         elif self._preparations and next(self._preparations[0], self) is self:
             self._preparations.popleft()
@@ -317,7 +328,7 @@
     def _examined(self, outcome: Outcome, now: int) -> list[Action]:
         match outcome.taken:
             case EnterNow(decision):
-                return self._enter_and_reply_all(decision, outcome.submissions, now)
+                return self._append_and_reply_all(decision, outcome.submissions, now)
             case Wait(delivery, _):
                 return self._begin_delivery(delivery)
         return []
@@ -326,53 +337,53 @@
         order = delivery.order
         stage = Stage(self.view.epoch, order.id, order.pieces)
         others = [addr for addr in self._members() if addr != self.me]
-        return [*(Tell(other, stage) for other in others), *self._deliver(order, delivery.read.routes)]
+        return [*(Send(other, stage) for other in others), *self._deliver(order, delivery.read.routes)]
 
-    def _say_underway(self, addr: str, id_: int) -> list[Action]:
+    def _report_underway(self, addr: str, id_: int) -> list[Action]:
         if addr == self.me:
-            self._commands.underway(id_, self._now)
+            self._commands.on_underway(id_, self._now)
             return []
-        return [Tell(addr, Underway(id_))]
+        return [Send(addr, Underway(id_))]
 
     def _deliver(self, order: StagedOrder, read: Mapping[str, Route] = NO_ROUTES) -> list[Action]:
         """`read`: its routes, where they were read here."""
         self.staged.add(order)
-        self._preparations.append(self.held.prepared.prepare(order.id, order.rows(), read))
+        self._preparations.append(self.replica_log.prepared.prepare(order.id, order.rows(), read))
         return [Deliver(order), Continue()]
 
-    def delivered(self, id_: str, now: int) -> list[Action]:
+    def on_delivered(self, id_: str, now: int) -> list[Action]:
         """All followers of this member that are in touch hold that order."""
         self._now = now
         if self.head != self.me:
-            return [Tell(self.head, Delivered(self.view.epoch, id_))] if self.head else []
+            return [Send(self.head, Delivered(self.view.epoch, id_))] if self.head else []
         self._orders.delivered(id_, self.me)
-        return self._enter_delivered(now)
+        return self._append_delivered(now)
 
-    def _enter_delivered(self, now: int) -> list[Action]:
+    def _append_delivered(self, now: int) -> list[Action]:
         """All who wait for an order get its one result."""
         out: list[Action] = []
         if self._chain_position() != 0 or not self.has_snapshot or self.epoch_closed:
             return out
         while (due := self._orders.take_due(self.rows, self.items, now)) is not None:
             submissions = due.delivery.submissions
-            out += self._enter_and_reply_all(due.decision, submissions, now, due.delivery.order.id)
+            out += self._append_and_reply_all(due.decision, submissions, now, due.delivery.order.id)
         return out
 
-    def _enter(self, decision: Decision, now: int, staged: str = "") -> list[Action]:
+    def _append_decision(self, decision: Decision, now: int, staged: str = "") -> list[Action]:
         """`staged`: the order by which its rows were delivered."""
         entry = Entry(self.index + 1, decision.rows, staged if decision.rows else "")
-        return self._take((entry,), now)
+        return self._store_entries((entry,), now)
 
-    def _enter_and_reply(self, addr: str, id_: int, decision: Decision, now: int) -> list[Action]:
-        return self._enter_and_reply_all(decision, [Submission(addr, id_)], now)
+    def _append_and_reply(self, addr: str, id_: int, decision: Decision, now: int) -> list[Action]:
+        return self._append_and_reply_all(decision, [Submission(addr, id_)], now)
 
-    def _enter_and_reply_all(
+    def _append_and_reply_all(
         self, decision: Decision, submissions: Iterable[Submission], now: int, staged: str = ""
     ) -> list[Action]:
         """Where nothing is set, the last entry serves if it was not passed on yet: it will be agreed later
         than now, which shows that this is the head still.  Guards against a flood of commands that are sent
         again, each of which would cost all members a place on their disks."""
-        out = self._enter(decision, now, staged) if decision.rows or self._all_stored() else []
+        out = self._append_decision(decision, now, staged) if decision.rows or self._all_stored() else []
         for one in submissions:
             self._pending_replies.append(PendingReply(self.index, one.addr, one.id, decision.result))
         return out
@@ -384,10 +395,10 @@
     def _reply(self, reply: PendingReply) -> list[Action]:
         result = reply.result if reply.result is not None else self.configuration()
         word = Result(reply.id, result)
-        return self._resolved(word) if reply.addr == self.me else [Tell(reply.addr, word)]
+        return self._on_result(word) if reply.addr == self.me else [Send(reply.addr, word)]
 
-    def _append(self, rows: list[Row], now: int) -> list[Action]:
-        return self._take((Entry(self.index + 1, tuple(rows)),), now)
+    def _append_rows(self, rows: list[Row], now: int) -> list[Action]:
+        return self._store_entries((Entry(self.index + 1, tuple(rows)),), now)
 
     def _prune(self, now: int) -> list[Action]:
         """A duty of the head: keys that nobody may repeat any more."""
@@ -395,137 +406,137 @@
             self._chain_position() != 0
             or not self.has_snapshot
             or self.epoch_closed
-            or self.commit_index < self._pruned_to
+            or self.commit_index < self._prune_index
         ):
             return []
         rows, old = self.rows, list[Row]()
-        for key in self.ages.too_old(self.state.rows, now, PRUNE_AT_ONCE):
-            held = rows.get((KEY, key))
-            if held is not None and held[0] <= self.ages.cutoff:
-                old.append((KEY, key, None))
+        for key in self.key_ages.expired_keys(self.state.rows, now, PRUNE_BATCH_KEYS):
+            held = rows.get((KEY_KIND, key))
+            if held is not None and held[0] <= self.key_ages.cutoff:
+                old.append((KEY_KIND, key, None))
         if not old:
             return []
-        out = self._append(old, now)
-        self._pruned_to = self.index
+        out = self._append_rows(old, now)
+        self._prune_index = self.index
         return out
 
     # --- the log
 
-    def heard(self, addr: str, word: Line, now: int) -> list[Action]:
+    def on_message(self, addr: str, word: Line, now: int) -> list[Action]:
         self._now = now
         match word:
             case Submit():
                 return self._execute(addr, word, now)
             case Underway():
-                self._commands.underway(word.id, now)
+                self._commands.on_underway(word.id, now)
             case Stage():
                 if word.epoch == self.view.epoch and addr == self.head:
                     return self._deliver(StagedOrder(word.id, word.pieces))
             case Delivered():
                 if word.epoch == self.view.epoch:
                     self._orders.delivered(word.id, addr)
-                    return self._enter_delivered(now)
+                    return self._append_delivered(now)
             case Result():
-                return self._resolved(word)
+                return self._on_result(word)
             case Position():
-                return self._on_have(addr, word)
+                return self._on_position(addr, word)
             case Append():
-                return self._on_forward(addr, word, now)
+                return self._on_append(addr, word, now)
             case CopyRequest():
                 return self._on_copy_request(addr, word)
             case CopyPiece():
                 return self._on_copy_piece(addr, word)
             case Ack():
-                if word.epoch == self.view.epoch and addr == self._after():
+                if word.epoch == self.view.epoch and addr == self._successor():
                     return self._commit(min(word.index, self.stored_index))
         return []
 
-    def _on_have(self, addr: str, word: Position) -> list[Action]:
+    def _on_position(self, addr: str, word: Position) -> list[Action]:
         if (
             word.epoch != self.view.epoch
-            or addr != self._after()
+            or addr != self._successor()
             or not self.has_snapshot
             or self.epoch_closed
         ):
             return []
         if word.index > self.index:
             return []  # it can't have more: a line from another life
-        if not self.held.covers(word.index):
+        if not self.replica_log.has_entries_after(word.index):
             return []  # it has to copy
-        self._next_from = word.index
-        return self._feed_next(even_none=True)
+        self._sent_until = word.index
+        return self._send_new_entries(even_none=True)
 
-    def _feed_next(self, even_none: bool = False) -> list[Action]:
+    def _send_new_entries(self, even_none: bool = False) -> list[Action]:
         """Pass on what is stored here and was not sent yet."""
-        after = self._after()
-        if not after or self._next_from is None or self.epoch_closed:
+        after = self._successor()
+        if not after or self._sent_until is None or self.epoch_closed:
             return []
-        start, until = self._next_from, self.stored_index
+        start, until = self._sent_until, self.stored_index
         if start >= until and not even_none:
             return []
         out: list[Action] = []
-        for entries in self.held.after(start, until) or [()]:
-            out.append(Tell(after, Append(self.view.epoch, start, entries, until)))
+        for entries in self.replica_log.after(start, until) or [()]:
+            out.append(Send(after, Append(self.view.epoch, start, entries, until)))
             start = entries[-1].index if entries else start
-        self._next_from = max(start, until)
+        self._sent_until = max(start, until)
         return out
 
-    def _on_forward(self, addr: str, word: Append, now: int) -> list[Action]:
+    def _on_append(self, addr: str, word: Append, now: int) -> list[Action]:
         if (
             word.epoch != self.view.epoch
-            or addr != self._before()
+            or addr != self._predecessor()
             or self.epoch_closed
             or not (self.has_snapshot or self.learner.complete)
         ):
             return []
         if word.after > self.index:
-            return self._say_have(now)
+            return self._send_position(now)
         entries = tuple(entry for entry in word.entries if entry.index > self.index)
         if not self.has_snapshot:
-            return self._feed_new_member(entries, word.until)
+            return self._catch_up_new_member(entries, word.until)
         self.caught_up_epoch = self.view.epoch
-        out = self._take(entries, now)
-        return out or self._tail()
+        out = self._store_entries(entries, now)
+        return out or self._commit_as_tail()
 
-    def _feed_new_member(self, entries: tuple[Entry, ...], until: int) -> list[Action]:
+    def _catch_up_new_member(self, entries: tuple[Entry, ...], until: int) -> list[Action]:
         """It holds all that it owes once it has what the one before it had stored when they met."""
-        self._fed, self.learner.request = True, 0
-        if self._owed is None:
-            self._owed = until
+        self._catching_up, self.learner.open_request = True, 0
+        if self._owed_index is None:
+            self._owed_index = until
         for entry in entries:
-            self.held.take(entry)
-        if self.index < self._owed:
-            return [self.held.store(entries)] if entries else []
+            self.replica_log.append(entry)
+        if self.index < self._owed_index:
+            return [self.replica_log.store(entries)] if entries else []
         member = self.view.member(self.me)
         assert member is not None
-        self._fed, self.snapshot_epoch, self.caught_up_epoch = False, member.since, self.view.epoch
-        self._loaded = self.index
-        self.held.generation += 1  # nothing counts as stored until this one is
+        self._catching_up, self.snapshot_epoch, self.caught_up_epoch = False, member.since, self.view.epoch
+        self._ready_index = self.index
+        self.replica_log.generation += 1  # nothing counts as stored until this one is
         self.stored_index = -1
-        return [Restart(), self.held.store(entries, lineage=member.since)]
+        return [ResetFollowers(), self.replica_log.store(entries, lineage=member.since)]
 
-    def _take(self, entries: tuple[Entry, ...], now: int) -> list[Action]:
+    def _store_entries(self, entries: tuple[Entry, ...], now: int) -> list[Action]:
         if not entries:
             return []
         for entry in entries:
-            self.held.take(entry)
-        return [self.held.store(entries)]
+            self.replica_log.append(entry)
+        return [self.replica_log.store(entries)]
 
-    def stored(self, index: int, generation: int) -> list[Action]:
+    def on_stored(self, index: int, generation: int) -> list[Action]:
         """The disk holds everything up to there, of that generation."""
         if generation != self.generation:
             return []
-        if self.learner.storing:
-            self.learner.storing -= 1
+        if self.learner.unstored_pieces:
+            self.learner.unstored_pieces -= 1
             self.stored_index = index
-            return self._learn(self._now) + self._say_have(self._now)
+            return self._request_copy(self._now) + self._send_position(self._now)
         if index <= self.stored_index:
             return []
         self.stored_index = index
-        out = self._feed_next()
-        return out + self._tail()
+        out = self._send_new_entries()
+        return out + self._commit_as_tail()
 
-    def _tail(self) -> list[Action]:
+    def _commit_as_tail(self) -> list[Action]:
         """The tail's word that what it has stored is agreed."""
         at = self._chain_position()
         if (
@@ -541,17 +552,17 @@
         out: list[Action] = []
         if len(self.view.members) < self.min_replicas or not self.has_snapshot:
             return out
-        before = self._before()
+        before = self._predecessor()
         if before:
-            out.append(Tell(before, Ack(self.view.epoch, index)))
+            out.append(Send(before, Ack(self.view.epoch, index)))
         if index <= self.commit_index:
             return out
         was_ready = self.ready
         self.commit_index = index
-        changes = self.held.commit(index)
+        changes = self.replica_log.commit(index)
         if self.ready and not was_ready:
-            self.held.recent_public.begin(index)
-            out.append(Restart())
+            self.replica_log.recent_public.begin(index)
+            out.append(ResetFollowers())
         elif self.ready and changes.rows:
             out.append(Publish(index, changes.rows, changes.staged))
         while self._pending_replies and self._pending_replies[0].index <= index:
@@ -562,37 +573,37 @@
 
     def _on_copy_request(self, addr: str, word: CopyRequest) -> list[Action]:
         """Whatever has become of the view: what is sent is a prefix of what is committed."""
-        if not self.has_snapshot or not self.held.firm:
+        if not self.has_snapshot or not self.replica_log.rows_committed:
             return []
-        piece = next_piece(self.state.rows, self.held.recent, self.state.index, word)
-        return [Tell(addr, piece)] if piece is not None else []
+        piece = next_piece(self.state.rows, self.replica_log.recent, self.state.index, word)
+        return [Send(addr, piece)] if piece is not None else []
 
     def _drop_entries(self) -> list[Action]:
         """No member, or a new one: it goes on from the committed rows."""
         if not self.snapshot_epoch and self.index == self.state.index:
             return []
         self.snapshot_epoch, self.stored_index = 0, -1
-        return [Restart(), keep_committed(self.held, self.learner)]
+        return [ResetFollowers(), restart_from_committed(self.replica_log, self.learner)]
 
-    def _learn(self, now: int) -> list[Action]:
-        if self.has_snapshot or self._fed:
+    def _request_copy(self, now: int) -> list[Action]:
+        if self.has_snapshot or self._catching_up:
             return []
         request = self.learner.next_request(self._sources(), now)
-        return [Tell(self.learner.source, request)] if request is not None else []
+        return [Send(self.learner.source, request)] if request is not None else []
 
     def _sources(self) -> list[str]:
         """Who can send a copy, the best first: the one before it, else the tail: it has least to do."""
-        before = self._before()
+        before = self._predecessor()
         if before:
             return [before]
         return [member.addr for member in reversed(self.view.members) if member.addr != self.me]
 
     def _on_copy_piece(self, addr: str, piece: CopyPiece) -> list[Action]:
-        if self.has_snapshot or self._fed or not self.learner.answered(addr, piece):
+        if self.has_snapshot or self._catching_up or not self.learner.accepts(addr, piece):
             return []
-        store = take_piece(self.held, self.learner, piece)
-        self.commit_index = self._loaded = self.index
-        return [*([store] if store is not None else []), *self._learn(self._now)]
+        store = apply_piece(self.replica_log, self.learner, piece)
+        self.commit_index = self._ready_index = self.index
+        return [*([store] if store is not None else []), *self._request_copy(self._now)]
 
     # --- what followers get
 
@@ -618,9 +629,9 @@
         """None where a follower has to take a copy."""
         if index > self.commit_index:
             return PublicChanges(index, ())  # it has seen more than this member: nothing until there is news
-        entries = self.held.recent_public.all_after(index)
+        entries = self.replica_log.recent_public.all_after(index)
         return public_changes(self.commit_index, entries) if entries is not None else None
 
-    def public_piece(self, request: CopyRequest) -> CopyPiece | None:
+    def public_copy_piece(self, request: CopyRequest) -> CopyPiece | None:
         """Of a follower's copy."""
-        return next_piece(self.state.public, self.held.recent_public, self.commit_index, request)
+        return next_piece(self.state.public, self.replica_log.recent_public, self.commit_index, request)
--- a/brackengate/control/commands.py
+++ b/brackengate/control/commands.py
@@ -17,7 +17,7 @@
 from brackengate.control import orders
 from brackengate.control.actions import Answer
 from brackengate.control.item_index import ItemIndex
-from brackengate.control.rows import KEY
+from brackengate.control.rows import KEY_KIND
 from brackengate.control.staging import STAGED_BYTES
 from brackengate.protocol.config_items import Invalid, Name, Order, read_call
 from brackengate.protocol.messages import (
@@ -39,17 +39,19 @@
     UndecidedOrder,
 )
 
-RESUBMIT_AFTER = 400_000  # a command without a result is submitted again, microseconds
-RESUBMIT_DOUBLINGS = 2  # each time after twice as long, so often: a head that is too full is not made fuller
-FOLLOWER_PATIENCE = 5_000_000  # a follower waits no longer for the result of its command
-UNDERWAY = 1_600_000  # that much later, while the head is at work on it
-GIVE_UP_AFTER = 12_000_000  # and forgotten
-OPERATOR_PATIENCE = 2_000_000  # an operator goes elsewhere after a second: no longer is its call pursued
-PATIENCE_PER_BYTE = 20  # and longer with a large order, which is delivered first: 4 ms for each route
-HOLD_REFUSED = 4_000_000  # longer than that, and than its last submission can be under way; and for each
+RESUBMIT_AFTER_US = 400_000  # a command without a result is submitted again, microseconds
+MAX_RESUBMIT_DOUBLINGS = (
+    2  # each time after twice as long, so often: a head that is too full is not made fuller
+)
+FOLLOWER_TIMEOUT_US = 5_000_000  # a follower waits no longer for the result of its command
+UNDERWAY_EXTENSION_US = 1_600_000  # that much later, while the head is at work on it
+GIVE_UP_AFTER_US = 12_000_000  # and forgotten
+OPERATOR_TIMEOUT_US = 2_000_000  # an operator goes elsewhere after a second: no longer is its call pursued
+TIMEOUT_PER_BYTE_US = 20  # and longer with a large order, which is delivered first: 4 ms for each route
+HOLD_REFUSED_US = 4_000_000  # longer than that, and than its last submission can be under way; and for each
 # byte as much longer as its call is pursued
-MOST_REFUSED = 1_000  # orders whose refusal a head remembers
-HISTORY = "history"  # rows of what was acknowledged of an item, see `orders.py`
+MAX_REFUSED_ORDERS = 1_000  # orders whose refusal a head remembers
+HISTORY_KIND = "history"  # rows of what was acknowledged of an item, see `orders.py`
 REFUSALS = (HeldBy, InvalidOrder, ConflictingOrder, UndecidedOrder)
 
 DONE = CommandDone()
@@ -63,16 +65,16 @@
     """A command that came to this replica and waits for its result."""
 
     what: Command
-    at: int
-    sent: int
-    local: int  # the carrier's number
+    submitted_at: int
+    last_sent_at: int
+    request_id: int  # the carrier's number
     give_up_after: int
-    numbers: list[int] = field(default_factory=list)  # one for each time that it was submitted
+    submission_ids: list[int] = field(default_factory=list)  # one for each time that it was submitted
 
     def due(self, now: int) -> bool:
         """Whether it is to be submitted again."""
-        doublings = min(max(0, len(self.numbers) - 1), RESUBMIT_DOUBLINGS)
-        return now - self.sent > RESUBMIT_AFTER << doublings
+        doublings = min(max(0, len(self.submission_ids) - 1), MAX_RESUBMIT_DOUBLINGS)
+        return now - self.last_sent_at > RESUBMIT_AFTER_US << doublings
 
 
 @dataclass(slots=True)
@@ -95,69 +97,69 @@
 
     last_id: int
     by_id: dict[int, PendingCommand] = field(default_factory=dict)
-    command_of: dict[int, int] = field(default_factory=dict)  # by the number of a submission
+    command_of_submission: dict[int, int] = field(default_factory=dict)  # by the number of a submission
 
-    def add(self, what: Command, local: int, now: int, give_up_after: int = GIVE_UP_AFTER) -> int:
+    def add(self, what: Command, request_id: int, now: int, give_up_after: int = GIVE_UP_AFTER_US) -> int:
         self.last_id += 1
-        self.by_id[self.last_id] = PendingCommand(what, now, now, local, give_up_after)
+        self.by_id[self.last_id] = PendingCommand(what, now, now, request_id, give_up_after)
         return self.last_id
 
     def submission(self, command_id: int, epoch: int, now: int) -> Submit:
         """Under a new number, which tells this submission from the ones before."""
         pending = self.by_id[command_id]
-        pending.sent = now
+        pending.last_sent_at = now
         self.last_id += 1
-        pending.numbers.append(self.last_id)
-        self.command_of[self.last_id] = command_id
+        pending.submission_ids.append(self.last_id)
+        self.command_of_submission[self.last_id] = command_id
         return Submit(self.last_id, pending.what, epoch)
 
-    def underway(self, number: int, now: int) -> None:
+    def on_underway(self, number: int, now: int) -> None:
         """The head has it, and is at work on it."""
-        command_id = self.command_of.get(number)
+        command_id = self.command_of_submission.get(number)
         if command_id is not None:
-            self.by_id[command_id].sent = now + UNDERWAY
+            self.by_id[command_id].last_sent_at = now + UNDERWAY_EXTENSION_US
 
-    def resolved(self, word: Result) -> Answer | None:
+    def on_result(self, word: Result) -> Answer | None:
         """None: nobody waits for it, or it may still come to another end."""
-        command_id = self.command_of.get(word.id)
+        command_id = self.command_of_submission.get(word.id)
         if command_id is None:
             return None
-        latest = self.by_id[command_id].numbers[-1]
+        latest = self.by_id[command_id].submission_ids[-1]
         if word.id != latest and isinstance(word.result, REFUSALS):
             return None  # turned down, but it was submitted again
-        return self.settle(command_id, word.result)
+        return self.finish(command_id, word.result)
 
-    def settle(self, command_id: int, result: Any) -> Answer:
+    def finish(self, command_id: int, result: Any) -> Answer:
         pending = self.by_id.pop(command_id)
-        for number in pending.numbers:
-            del self.command_of[number]
-        return Answer(pending.local, result)
+        for number in pending.submission_ids:
+            del self.command_of_submission[number]
+        return Answer(pending.request_id, result)
 
-    def withdraw(self, local: int) -> None:
+    def withdraw(self, request_id: int) -> None:
         """Nobody waits for it any more, so it is not submitted again.
 
         Whoever asked may have been refused elsewhere meanwhile, and what was refused must not come into
         force by a late copy.
         """
         for command_id, pending in list(self.by_id.items()):
-            if pending.local == local:
-                self.settle(command_id, None)
+            if pending.request_id == request_id:
+                self.finish(command_id, None)
 
     def expired(self, now: int) -> list[int]:
-        return [number for number, one in self.by_id.items() if now - one.at > one.give_up_after]
+        return [number for number, one in self.by_id.items() if now - one.submitted_at > one.give_up_after]
 
     def due(self, now: int) -> list[int]:
         """Those that are to be submitted again."""
         return [number for number, one in self.by_id.items() if one.due(now)]
 
 
-def patience_for(body: str) -> int:
+def operator_timeout_us(body: str) -> int:
     """For how long the call of an operator is pursued."""
-    return OPERATOR_PATIENCE + _more_patience(body)
+    return OPERATOR_TIMEOUT_US + _extra_timeout_us(body)
 
 
-def _more_patience(body: str) -> int:
-    return PATIENCE_PER_BYTE * max(0, len(body) - STAGED_BYTES)
+def _extra_timeout_us(body: str) -> int:
+    return TIMEOUT_PER_BYTE_US * max(0, len(body) - STAGED_BYTES)
 
 
 @dataclass(slots=True)
@@ -175,13 +177,13 @@
         self.refused_at.pop(body, None)
         self.refused_at[body] = now
         for old in list(self.refused_at):
-            if self.holds(old, now) and len(self.refused_at) <= MOST_REFUSED:
+            if self.holds(old, now) and len(self.refused_at) <= MAX_REFUSED_ORDERS:
                 break
             del self.refused_at[old]
 
     def holds(self, body: str, now: int) -> bool:
         refused_at = self.refused_at.get(body)
-        return refused_at is not None and now - refused_at <= HOLD_REFUSED + _more_patience(body)
+        return refused_at is not None and now - refused_at <= HOLD_REFUSED_US + _extra_timeout_us(body)
 
 
 @dataclass(frozen=True, slots=True)
@@ -203,8 +205,8 @@
         case Claim():
             return _decide_claim(what, rows)
         case Unclaim(key, gate, attempt):
-            held = _value(rows, (KEY, key))
-            return Decision(((KEY, key, None),) if held == [gate, attempt] else ())
+            held = _value(rows, (KEY_KIND, key))
+            return Decision(((KEY_KIND, key, None),) if held == [gate, attempt] else ())
         case Report(name, value):
             changed = _value(rows, ("inst", name)) != value
             return Decision((("inst", name, value),) if changed else ())
@@ -232,7 +234,7 @@
         (kind, name, [item.version, item.host, item.body]) for (kind, name), item in decision.items.items()
     ]
     for name, history in decision.histories.items():
-        news.append((HISTORY, _history_name(name), msgspec.to_builtins(history)))
+        news.append((HISTORY_KIND, _history_name(name), msgspec.to_builtins(history)))
     return Decision(tuple(news), decision.result, order)
 
 
@@ -241,14 +243,14 @@
 
 
 def _history(rows: Rows, name: Name) -> orders.History:
-    held = rows.get((HISTORY, _history_name(name)))
+    held = rows.get((HISTORY_KIND, _history_name(name)))
     return msgspec.convert(held[1], orders.History) if held is not None else orders.History()
 
 
 def _decide_claim(claim: Claim, rows: Rows) -> Decision:
-    held = _value(rows, (KEY, claim.key))
+    held = _value(rows, (KEY_KIND, claim.key))
     if held is None or held == [claim.gate, claim.instead]:
-        return Decision(((KEY, claim.key, [claim.gate, claim.attempt]),))
+        return Decision(((KEY_KIND, claim.key, [claim.gate, claim.attempt]),))
     if held == [claim.gate, claim.attempt]:
         return Decision(())
     return Decision((), HeldBy(held[0], held[1]))
--- a/brackengate/control/follower_connections.py
+++ b/brackengate/control/follower_connections.py
@@ -12,7 +12,7 @@
 from typing import Any
 
 from brackengate.control.actions import Action, Publish
-from brackengate.control.commands import FOLLOWER_PATIENCE
+from brackengate.control.commands import FOLLOWER_TIMEOUT_US
 from brackengate.control.follower_messages import FollowerMessages, StagedIds
 from brackengate.control.log import PublicChanges
 from brackengate.control.replica import Replica
@@ -125,7 +125,7 @@
             log.debug("ask: %s: %s", word.what, result)
             follower.lines.send(Result(word.id, result))
 
-        number = self._ask(word.what, done, FOLLOWER_PATIENCE)
+        number = self._ask(word.what, done, FOLLOWER_TIMEOUT_US)
         if not ended:
             follower.commands[word.id] = number
 
@@ -258,4 +258,4 @@
             return
         progress = [follower.progress for follower in self._following()]
         for id_ in staged.take_delivered(progress, self._now()):
-            self._carry_out(self._replica.delivered(id_, self._now()))
+            self._carry_out(self._replica.on_delivered(id_, self._now()))
--- a/brackengate/control/follower_messages.py
+++ b/brackengate/control/follower_messages.py
@@ -82,7 +82,7 @@
         self._look()
         found = self._pieces.get(request)
         if found is None:
-            piece = self.chain.public_piece(request)
+            piece = self.chain.public_copy_piece(request)
             if piece is None:
                 return None
             _make_room(self._pieces, MOST_PIECES)
--- a/brackengate/control/item_index.py
+++ b/brackengate/control/item_index.py
@@ -12,8 +12,8 @@
 from brackengate.protocol.config_items import Invalid, Item, Name, Route, route
 
 _Key = TypeVar("_Key")
-Place = tuple[str, str]  # host, prefix
-NOBODY: frozenset[str] = frozenset()
+RouteKey = tuple[str, str]  # host, prefix
+NO_NAMES: frozenset[str] = frozenset()
 
 
 @dataclass(eq=False)
@@ -22,8 +22,10 @@
 
     _items: dict[Name, Item] = field(default_factory=dict)
     _routes: dict[str, Route] = field(default_factory=dict)  # that stand
-    _at_place: dict[Place, set[str]] = field(default_factory=dict)  # names of routes
-    _users: dict[str, set[str]] = field(default_factory=dict)  # names of routes, by the service they go to
+    _routes_by_key: dict[RouteKey, set[str]] = field(default_factory=dict)  # names of routes
+    _routes_by_service: dict[str, set[str]] = field(
+        default_factory=dict
+    )  # names of routes, by the service they go to
 
     @classmethod
     def of(cls, items: Iterable[tuple[Name, Item]]) -> ItemIndex:
@@ -57,27 +59,27 @@
     def clear(self) -> None:
         self._items.clear()
         self._routes.clear()
-        self._at_place.clear()
-        self._users.clear()
+        self._routes_by_key.clear()
+        self._routes_by_service.clear()
 
     def has_service(self, name: str) -> bool:
         item = self._items.get(("plant", name))
         return item is not None and item.body is not None
 
-    def at_place(self, place: Place) -> Set[str]:
+    def routes_at(self, place: RouteKey) -> Set[str]:
         """The names of the routes that stand there."""
-        return self._at_place.get(place, NOBODY)
+        return self._routes_by_key.get(place, NO_NAMES)
 
-    def users(self, service: str) -> Set[str]:
+    def routes_to(self, service: str) -> Set[str]:
         """The names of the routes that go to a service."""
-        return self._users.get(service, NOBODY)
+        return self._routes_by_service.get(service, NO_NAMES)
 
     def _set_route(self, name: str, item: Item, read: Route | None) -> None:
         before = self._routes.pop(name, None)
         if before is not None:
-            _take_out(self._at_place, place_of(before), name)
+            _remove(self._routes_by_key, route_key(before), name)
             for service in services_of(before):
-                _take_out(self._users, service, name)
+                _remove(self._routes_by_service, service, name)
         if item.body is None:
             return
         try:
@@ -85,12 +87,12 @@
         except Invalid:  # let in by another version of the program: nobody follows it
             return
         self._routes[name] = now
-        self._at_place.setdefault(place_of(now), set()).add(name)
+        self._routes_by_key.setdefault(route_key(now), set()).add(name)
         for service in services_of(now):
-            self._users.setdefault(service, set()).add(name)
+            self._routes_by_service.setdefault(service, set()).add(name)
 
 
-def place_of(it: Route) -> Place:
+def route_key(it: Route) -> RouteKey:
     return it.host, it.prefix
 
 
@@ -98,7 +100,7 @@
     return {part.plant for part in it.parts}
 
 
-def _take_out(index: dict[_Key, set[str]], key: _Key, name: str) -> None:
+def _remove(index: dict[_Key, set[str]], key: _Key, name: str) -> None:
     names = index.get(key)
     if names is not None:
         names.discard(name)
--- a/brackengate/control/membership.py
+++ b/brackengate/control/membership.py
@@ -20,26 +20,26 @@
     members: tuple[Member, ...]  # of the view that is in force, from the head to the tail
     live: tuple[Member, ...]  # of these, the ones that can go on, in their order
     wiped: frozenset[str]  # whose disk is known to be lost: neither copy nor vote comes back
-    complete: frozenset[str]  # that hold the whole log and have met the one before them in this epoch
+    caught_up: frozenset[str]  # that hold the whole log and have met the one before them in this epoch
     leaving: frozenset[str]  # that were told to leave
     learner: Member | None  # one that may be admitted now
-    learner_copies: bool  # a live learner is on its way
+    learner_copying: bool  # a live learner is on its way
     min_replicas: int  # disks that hold a write before it is acknowledged
     commit_known: bool  # the coordinator knows what is committed
-    head_must_go: bool  # the epoch is closed, and its head can't take part in the next one
+    head_lost: bool  # the epoch is closed, and its head can't take part in the next one
 
 
 def next_members(facts: MembershipFacts) -> tuple[Member, ...]:
     """The members that the next view should have; those of today where nothing should change."""
     if len(facts.live) < len(facts.members):
-        return _without_the_dead(facts)
+        return _without_failed(facts)
     if facts.learner is not None:
         return (*facts.members, facts.learner)
     leaver = _leaver(facts)
     return tuple(member for member in facts.members if member != leaver)
 
 
-def _without_the_dead(facts: MembershipFacts) -> tuple[Member, ...]:
+def _without_failed(facts: MembershipFacts) -> tuple[Member, ...]:
     """Shrinking is for writes: it gives up a copy and a vote that may come back, so that the others go on.
 
     Where those that are left are too few to acknowledge a write, it would give these up for nothing: a member
@@ -50,8 +50,8 @@
         return facts.live
     if facts.learner is not None:
         return (*facts.live, facts.learner)
-    ready = facts.commit_known and all(member.addr in facts.complete for member in facts.live)
-    if not ready or facts.head_must_go:
+    ready = facts.commit_known and all(member.addr in facts.caught_up for member in facts.live)
+    if not ready or facts.head_lost:
         return facts.live
     return tuple(member for member in facts.members if member.addr not in facts.wiped)
 
@@ -64,13 +64,13 @@
     at the same moment, neither of which has heard of the other's wish.
     """
     for member in reversed(facts.members):
-        staying = facts.complete - {member.addr}
-        outlasts = len(facts.members) - 1 >= outlasting(facts.min_replicas)
+        staying = facts.caught_up - {member.addr}
+        outlasts = len(facts.members) - 1 >= members_to_survive_loss(facts.min_replicas)
         if (
             member.addr in facts.leaving
-            and len(facts.complete) == len(facts.members)
+            and len(facts.caught_up) == len(facts.members)
             and len(staying) >= facts.min_replicas
-            and (outlasts or not facts.learner_copies)
+            and (outlasts or not facts.learner_copying)
         ):
             return member
     return None
@@ -98,7 +98,7 @@
         )
     if request.live < view.majority:
         return f"too few members of view {view.epoch} answer for a new view to be agreed"
-    needed = outlasting(minimum)
+    needed = members_to_survive_loss(minimum)
     if request.replaced and not request.successor and request.staying < needed:
         return (
             f"{request.staying} members would be left and no other replica waits to be admitted;"
@@ -107,6 +107,6 @@
     return ""
 
 
-def outlasting(min_replicas: int) -> int:
+def members_to_survive_loss(min_replicas: int) -> int:
     """So many members that a majority is left when `min_replicas - 1` of them are lost."""
     return 2 * min_replicas - 1
--- a/brackengate/control/operator_api.py
+++ b/brackengate/control/operator_api.py
@@ -8,7 +8,7 @@
 
 import msgspec
 
-from brackengate.control.commands import OPERATOR_PATIENCE, patience_for
+from brackengate.control.commands import OPERATOR_TIMEOUT_US, operator_timeout_us
 from brackengate.http.message import Arrival, Bad
 from brackengate.net.http import CallerConnection
 from brackengate.protocol.http_api import MOST_BODY, collect, rpc
@@ -58,10 +58,10 @@
         except UnicodeDecodeError:
             connection.respond(400, _error("not UTF-8"), JSON)
             return
-        self._ask(Amend(text), connection, "config.amend", patience_for(text))
+        self._ask(Amend(text), connection, "config.amend", operator_timeout_us(text))
 
     def _ask(
-        self, what: Command, connection: CallerConnection, call: str, patience: int = OPERATOR_PATIENCE
+        self, what: Command, connection: CallerConnection, call: str, patience: int = OPERATOR_TIMEOUT_US
     ) -> None:
         """A caller that goes may be refused elsewhere: its call is not pursued any more."""
         number = self._asks.ask(what, lambda result: self._answer(connection, call, result), patience)
--- a/brackengate/control/orders.py
+++ b/brackengate/control/orders.py
@@ -16,7 +16,7 @@
 
 import msgspec
 
-from brackengate.control.item_index import ItemIndex, Place, place_of, services_of
+from brackengate.control.item_index import ItemIndex, RouteKey, route_key, services_of
 from brackengate.protocol.config_items import Invalid, Item, Name, NamedItem, Order, Route
 from brackengate.protocol.contents import digest
 from brackengate.protocol.messages import (
@@ -162,7 +162,7 @@
     _check_places((it for one, it in coming if items.get(one.name) is one.item), items, held)
     removed = [name for (kind, name), item in items.items() if kind == "plant" and item.body is None]
     for service in removed:
-        for name in sorted(held.users(service)):
+        for name in sorted(held.routes_to(service)):
             if ("route", name) not in items:
                 raise _unknown_service(name, service)
     known: set[str] = set()
@@ -174,10 +174,10 @@
 
 
 def _check_places(coming: Iterable[Route], items: Mapping[Name, Item], held: ItemIndex) -> None:
-    places: dict[Place, str] = {}
+    places: dict[RouteKey, str] = {}
     for it in coming:
-        place = place_of(it)
-        stays = any(("route", name) not in items for name in held.at_place(place))
+        place = route_key(it)
+        stays = any(("route", name) not in items for name in held.routes_at(place))
         if stays or places.setdefault(place, it.name) != it.name:
             raise Invalid(f"two routes at {it.host}{it.prefix}")
 
--- a/brackengate/control/prepared_rows.py
+++ b/brackengate/control/prepared_rows.py
@@ -18,7 +18,7 @@
 from brackengate.protocol.messages import ITEMS, Row
 
 SLICE_ROWS = 200  # that are worked on in one step of the loop
-MOST_ROWS = 20_000  # that are held, a kilobyte each; the oldest order goes
+MAX_PREPARED_ROWS = 20_000  # that are held, a kilobyte each; the oldest order goes
 NO_ROUTES: Mapping[str, Route] = {}
 
 _encode = msgspec.json.Encoder().encode
@@ -47,13 +47,13 @@
             if kind in ITEMS:
                 held[kind, name] = _prepared(kind, name, value, read)
             if count % SLICE_ROWS == 0:
-                self._make_room(id_)
+                self._evict_oldest(id_)
                 yield
 
-    def _make_room(self, for_: str) -> None:
+    def _evict_oldest(self, for_: str) -> None:
         count = sum(map(len, self.orders.values()))
         for id_ in [id_ for id_ in self.orders if id_ != for_]:
-            if count <= MOST_ROWS:
+            if count <= MAX_PREPARED_ROWS:
                 return
             count -= len(self.orders.pop(id_))
 
--- a/brackengate/control/recent.py
+++ b/brackengate/control/recent.py
@@ -20,8 +20,8 @@
 class RecentEntries:
     """`start`: every entry after this index is here, of those that are kept at all."""
 
-    most: int
-    most_bytes: int
+    max_entries: int
+    max_bytes: int
     start: int = 0
     held: deque[tuple[int, bytes]] = field(default_factory=deque)
     size: int = 0
@@ -34,7 +34,7 @@
         data = msgspec.json.encode(entry)
         self.held.append((entry.index, data))
         self.size += len(data)
-        while len(self.held) > self.most or self.size > self.most_bytes:
+        while len(self.held) > self.max_entries or self.size > self.max_bytes:
             self.start, old = self.held.popleft()
             self.size -= len(old)
 
@@ -42,12 +42,12 @@
         """Whether whoever holds everything up to that index can go on with what is here."""
         return index >= self.start
 
-    def after(self, index: int, most: int, most_bytes: int) -> tuple[tuple[Entry, ...], bool]:
+    def after(self, index: int, max_entries: int, max_bytes: int) -> tuple[tuple[Entry, ...], bool]:
         """The next entries, one at least where there are any; and whether these are all."""
         found: list[Entry] = []
         size = 0
         for _, data in self._from(index):
-            if found and (len(found) >= most or size + len(data) > most_bytes):
+            if found and (len(found) >= max_entries or size + len(data) > max_bytes):
                 return tuple(found), False
             found.append(_decode(data))
             size += len(data)
--- a/brackengate/control/role.py
+++ b/brackengate/control/role.py
@@ -18,16 +18,16 @@
     Continue,
     Deliver,
     Publish,
-    Restart,
+    ResetFollowers,
+    Send,
     Store,
-    Tell,
 )
 from brackengate.control.admin_commands import Watchroom
-from brackengate.control.commands import GIVE_UP_AFTER
+from brackengate.control.commands import GIVE_UP_AFTER_US
 from brackengate.control.follower_connections import FollowerConnections
 from brackengate.control.operator_api import Control
-from brackengate.control.replica import FIRST, Replica, StoredState
-from brackengate.control.store import Damaged, Drive, Waits, damaged
+from brackengate.control.replica import FIRST_INCARNATION, Replica, StoredState
+from brackengate.control.store import AsyncDisk, DamagedFile, ThreadedDisk, is_damage
 from brackengate.net.ground import Ground
 from brackengate.net.node import Clock
 from brackengate.net.sockets import Address
@@ -58,7 +58,9 @@
 
 
 class Lighthouse:
-    def __init__(self, settings: Settings, ground: Ground | None = None, drive: Waits | None = None) -> None:
+    def __init__(
+        self, settings: Settings, ground: Ground | None = None, drive: AsyncDisk | None = None
+    ) -> None:
         """`ground`, `drive`: what it stands on, and its disk; by default the machine's."""
         self.settings = settings
         ground = ground or Ground(asyncio.get_running_loop(), random.Random())
@@ -68,7 +70,7 @@
         self.me = f"{control[0]}:{control[1]}"
         self._port = settings.lighthouse_port
         self._left: asyncio.Future[int] = self._loop.create_future()
-        self._drive: Waits = drive or Drive(settings.data_dir or ".")
+        self._drive: AsyncDisk = drive or ThreadedDisk(settings.data_dir or ".")
         self.replica: Replica
         self.followers: FollowerConnections
         self._watchroom: Watchroom
@@ -91,11 +93,11 @@
         if kept is None:
             return 0
         settings, now = self.settings, self.now()
-        first = settings.initial_start and kept.incarnation == FIRST
+        first = settings.initial_start and kept.incarnation == FIRST_INCARNATION
         seeds = [f"{host}:{port}" for host, port in settings.seeds]
         window = settings.bounds.dedupe_window
         self.replica = Replica(self.me, settings.zone, kept, seeds, first, settings.min_replicas, window, now)
-        self.replica.chain.deliver_within(settings.bounds.ack * DELIVER_PART // 100)
+        self.replica.chain.set_delivery_timeout(settings.bounds.ack * DELIVER_PART // 100)
         self.followers = FollowerConnections(self.replica, self.now, self._carry_out, self.ask, self.withdraw)
         self._watchroom = Watchroom(self.replica, self.followers.by_lines, self.ask, self.now)
         self._inner = await self._loop.create_server(
@@ -135,7 +137,7 @@
                 return None
             try:
                 return opening.result()
-            except (OSError, sqlite3.Error, Damaged) as error:
+            except (OSError, sqlite3.Error, DamagedFile) as error:
                 log.error("store: step open, folder %s: %s; tried again", self.settings.data_dir, error)
                 await asyncio.sleep(RETRY_S)
 
@@ -156,7 +158,7 @@
 
     def _carry_out(self, actions: list[Action]) -> None:
         for action in actions:
-            if isinstance(action, Tell):
+            if isinstance(action, Send):
                 self._tell(action)
             elif isinstance(action, Store):
                 self._queue.append(action)
@@ -170,22 +172,22 @@
                 self.followers.deliver(action.order)
             elif isinstance(action, Continue):
                 self._proceed_soon()
-            elif isinstance(action, Restart):
+            elif isinstance(action, ResetFollowers):
                 self.followers.restart()
         if self._queue and not self._writing_since:
             self._write()
 
-    def _tell(self, tell: Tell) -> None:
+    def _tell(self, tell: Send) -> None:
         if tell.addr == self.me:
-            self._loop.call_soon(self._heard, self.me, tell.word)
+            self._loop.call_soon(self._heard, self.me, tell.message)
             return
         link = self._links.get(tell.addr)
         if link is None:
             link = self._links[tell.addr] = self._dial(tell.addr)
-        if isinstance(tell.word, Stage):
-            link.send_raw(self._encoded_stage(tell.word))
+        if isinstance(tell.message, Stage):
+            link.send_raw(self._encoded_stage(tell.message))
         else:
-            link.send(tell.word)
+            link.send(tell.message)
 
     def _encoded_stage(self, stage: Stage) -> EncodedMessage:
         """Made once for all members that it goes to."""
@@ -200,10 +202,10 @@
 
     def _proceed(self) -> None:
         self._proceeds = False
-        self._carry_out(self.replica.proceed(self.now()))
+        self._carry_out(self.replica.run_slice(self.now()))
 
     def _heard(self, addr: str, word: Line) -> None:
-        self._carry_out(self.replica.heard(addr, word, self.now()))
+        self._carry_out(self.replica.on_message(addr, word, self.now()))
 
     def _write(self) -> None:
         batch = self._next_batch()
@@ -224,7 +226,7 @@
 
     def _written(self, batch: list[Store], done: asyncio.Future[None]) -> None:
         error = done.exception()
-        if damaged(error):
+        if is_damage(error):
             log.error("store: step write: %s; this ends here, and the next start begins a new life", error)
             self.stop(1)
             return
@@ -240,9 +242,9 @@
         self._failed, self._writing_since = False, 0
         actions: list[Action] = []
         for store in batch:
-            actions += store.tells
+            actions += store.sends
             if store.index >= 0:
-                actions += self.replica.stored(store.index, store.generation)
+                actions += self.replica.on_stored(store.index, store.generation)
         self._carry_out(actions)
 
     # --- links to the other lighthouses
@@ -253,10 +255,10 @@
 
         def opened(dialer: Dialer) -> None:
             dialer.send(Hello(self.me))
-            self._carry_out(self.replica.reconnected(addr, self.now()))
+            self._carry_out(self.replica.on_reconnected(addr, self.now()))
 
         def refused() -> None:
-            self._carry_out(self.replica.refused(addr, self.now()))
+            self._carry_out(self.replica.on_connection_refused(addr, self.now()))
 
         return Dialer(address, lambda word: self._heard(addr, word), opened, on_refused=refused)
 
@@ -271,8 +273,8 @@
             if word.pilot:
                 self.followers.joined(lines)
             else:
-                self.replica.met(word.addr, self.now())
-                self._carry_out(self.replica.reconnected(word.addr, self.now()))
+                self.replica.add_peer(word.addr, self.now())
+                self._carry_out(self.replica.on_reconnected(word.addr, self.now()))
         elif lines in self.followers.by_lines:
             if isinstance(word, Seen):
                 self._watchroom.seen(lines, word)
@@ -286,12 +288,12 @@
     def _on_lost(self, lines: Lines) -> None:
         self.followers.left(lines)
 
-    def ask(self, what: Command, done: Callable[[Any], None], give_up_after: int = GIVE_UP_AFTER) -> int:
+    def ask(self, what: Command, done: Callable[[Any], None], give_up_after: int = GIVE_UP_AFTER_US) -> int:
         """`done` gets the result once; None: it is not known what becomes of it.  A number to withdraw it."""
         self._last_ask += 1
         number = self._last_ask
         self._pending[number] = done
-        self._carry_out(self.replica.ask(what, number, self.now(), give_up_after))
+        self._carry_out(self.replica.submit_command(what, number, self.now(), give_up_after))
         return number
 
     def withdraw(self, number: int) -> None:
--- a/brackengate/control/rows.py
+++ b/brackengate/control/rows.py
@@ -20,7 +20,7 @@
 from brackengate.protocol.messages import PUBLIC, CommittedRow, Row
 
 BUCKETS = 1 << 14
-KEY = "key"
+KEY_KIND = "key"
 Name = tuple[str, str]  # kind, name
 
 _encode = msgspec.json.Encoder().encode
@@ -75,13 +75,13 @@
     @classmethod
     def of(cls, rows: Iterable[tuple[str, str, int, Any]]) -> CommittedRows:
         held = cls()
-        held.join(
+        held.add_records(
             (bucket_of(name), _record(_encode(kind), _encode(name), index, _encode(value)))
             for kind, name, index, value in rows
         )
         return held
 
-    def join(self, records: Iterable[tuple[int, bytes]]) -> None:
+    def add_records(self, records: Iterable[tuple[int, bytes]]) -> None:
         """Many rows at once, each as its bucket and its line; no name stands there twice, or is held."""
         found: dict[int, list[bytes]] = {}
         for bucket, record in records:
@@ -131,7 +131,7 @@
     def in_bucket(self, bucket: int) -> list[CommittedRow]:
         return [_decode(line) for line in self.buckets.get(bucket, b"").split(b"\n")[1:]]
 
-    def old_names(self, bucket: int, kind: str, index: int) -> list[str]:
+    def names_up_to(self, bucket: int, kind: str, index: int) -> list[str]:
         """The names of that kind whose rows are not newer than that index."""
         blob = self.buckets.get(bucket)
         if blob is None:
@@ -160,7 +160,7 @@
 
 
 @dataclass
-class State:
+class CommittedState:
     """All that is committed: every row, and again those that followers get."""
 
     index: int = 0
@@ -176,7 +176,7 @@
         before = self.rows.count
         encoded = encoded_row(kind, name, index, value, text)
         self.rows.put(encoded)
-        if kind == KEY:
+        if kind == KEY_KIND:
             self.keys += self.rows.count - before
         elif kind in PUBLIC:
             self.public.put(encoded)
@@ -194,14 +194,14 @@
         self.published.clear()
 
 
-def state_of(index: int, rows: Iterable[tuple[str, str, int, Any]]) -> State:
+def committed_state(index: int, rows: Iterable[tuple[str, str, int, Any]]) -> CommittedState:
     if isinstance(rows, LoadedRows):
-        state = State(index, rows.rows, keys=rows.keys)
+        state = CommittedState(index, rows.rows, keys=rows.keys)
         public = [row for row in rows.others if row[0] in PUBLIC]
     else:
         held = list(rows)
         public = [row for row in held if row[0] in PUBLIC]
-        state = State(index, CommittedRows.of(held), keys=sum(row[0] == KEY for row in held))
+        state = CommittedState(index, CommittedRows.of(held), keys=sum(row[0] == KEY_KIND for row in held))
     for kind, name, at, value in public:
         state.public.set(kind, name, at, value)
         state._publish(kind, name, at, value)
@@ -228,7 +228,7 @@
 class LatestRows(Mapping[Name, tuple[int, Any]]):
     """The committed rows with those laid over them that are not committed yet; each with its index."""
 
-    def __init__(self, state: State, overlay: Mapping[Name, tuple[int, Any]]) -> None:
+    def __init__(self, state: CommittedState, overlay: Mapping[Name, tuple[int, Any]]) -> None:
         self._state, self._overlay = state, overlay
 
     def __getitem__(self, name: Name) -> tuple[int, Any]:
--- a/brackengate/control/status.py
+++ b/brackengate/control/status.py
@@ -20,7 +20,7 @@
     )
     neighbours = []
     for addr, peer in sorted(agreement.peers.items()):
-        said, heard = peer.said, agreement.hears(addr, now)
+        said, heard = peer.last_ping, agreement.is_alive(addr, now)
         if said is None:
             neighbours.append(Neighbour(addr, heard=heard))
         else:
@@ -40,7 +40,7 @@
         chain.has_snapshot,
         replica.serves(now),
         agreement.disk_healthy,
-        agreement.leaves,
+        agreement.leaving,
         agreement.epoch_closed,
         chain.state.keys,
         sum(1 for (kind, _), item in chain.items.items() if kind == "route" and item.body is not None),
--- a/brackengate/control/store.py
+++ b/brackengate/control/store.py
@@ -35,41 +35,41 @@
 import msgspec
 
 from brackengate.control.actions import Store
-from brackengate.control.replica import FIRST, StoredState
+from brackengate.control.replica import FIRST_INCARNATION, StoredState
 from brackengate.control.rows import BUCKETS, CommittedRows, LoadedRows, bucket_of, is_deletion
-from brackengate.control.view import NOBODY
+from brackengate.control.view import NO_BALLOT
 from brackengate.protocol.messages import Ballot, Entry, Row, View
 
 log = logging.getLogger("brackengate.lighthouse.store")
 
-FORM = 3
-NAME = "lighthouse.db"
-ASIDE = f"{NAME}.damaged"
-TALLY = "lighthouse.tally"
+FORMAT_VERSION = 3
+DATABASE_NAME = "lighthouse.db"
+DAMAGED_NAME = f"{DATABASE_NAME}.damaged"
+TALLY_NAME = "lighthouse.tally"
 ROWS_TABLE = (  # in the order in which copies come, so that a piece is written to few pages
     "CREATE TABLE rows (bucket INTEGER, kind TEXT, name TEXT, place INTEGER, value BLOB,"
     " PRIMARY KEY (bucket, kind, name)) WITHOUT ROWID"
 )
 LOG_TABLE = "CREATE TABLE log (place INTEGER PRIMARY KEY, value BLOB)"
 THIS_ROW = "WHERE bucket = ? AND kind = ? AND name = ?"
-LOAD_AT_ONCE = 50_000  # rows that are held twice while they are read
-NO_SOUND_FILE = (sqlite3.SQLITE_CORRUPT, sqlite3.SQLITE_NOTADB)
+LOAD_BATCH_ROWS = 50_000  # rows that are held twice while they are read
+DAMAGE_CODES = (sqlite3.SQLITE_CORRUPT, sqlite3.SQLITE_NOTADB)
 
 
-class NewerForm(Exception):
+class NewerFormat(Exception):
     """The file was written by a newer program."""
 
 
-class Damaged(Exception):
+class DamagedFile(Exception):
     """What was found in the file."""
 
 
-def damaged(error: BaseException | None) -> bool:
+def is_damage(error: BaseException | None) -> bool:
     """Whether sqlite says that the file itself is broken, and not that the disk is full or slow."""
-    return getattr(error, "sqlite_errorcode", 0) & 0xFF in NO_SOUND_FILE
+    return getattr(error, "sqlite_errorcode", 0) & 0xFF in DAMAGE_CODES
 
 
-def _full(error: Exception) -> bool:
+def _is_disk_full(error: Exception) -> bool:
     if isinstance(error, OSError):
         return error.errno in (errno.ENOSPC, errno.EDQUOT)
     return getattr(error, "sqlite_errorcode", 0) & 0xFF == sqlite3.SQLITE_FULL
@@ -83,73 +83,73 @@
     another try.  NewerForm: it is not.
     """
     os.makedirs(folder, exist_ok=True)
-    path = Path(folder) / NAME
+    path = Path(folder) / DATABASE_NAME
     disk: Disk | None = None
     try:
         if not path.exists():
-            began = any(path.parent.glob(f"{NAME}*"))
-            _begin(path, _life(first and not began))
+            began = any(path.parent.glob(f"{DATABASE_NAME}*"))
+            _create_file(path, _new_incarnation(first and not began))
         try:
-            _check_head(path)
+            _check_header(path)
             disk = Disk(path)
-            return disk, _checked(disk, first)
-        except Damaged as what:
+            return disk, _read_checked(disk, first)
+        except DamagedFile as what:
             log.error(
                 "store: step open, file %s: damaged: %s; kept as %s, and a new life begins without a vote",
-                path, what, ASIDE,
+                path, what, DAMAGED_NAME,
             )  # fmt: skip
-        _put_aside(path)
+        _set_damaged_aside(path)
         if disk is not None:
             disk.close()  # not before: it would merge its log; not later: it would remove the new one's
-        _begin(path, _life(False))
+        _create_file(path, _new_incarnation(False))
         disk = Disk(path)
-        return disk, _checked(disk, False)
-    except (OSError, sqlite3.Error, Damaged, NewerForm) as error:
+        return disk, _read_checked(disk, False)
+    except (OSError, sqlite3.Error, DamagedFile, NewerFormat) as error:
         if disk is not None:
             disk.close()
-        if _full(error):
-            _make_room(path)
+        if _is_disk_full(error):
+            _free_space(path)
         raise
 
 
-def _life(first: bool) -> str:
-    return FIRST if first else os.urandom(6).hex()
+def _new_incarnation(first: bool) -> str:
+    return FIRST_INCARNATION if first else os.urandom(6).hex()
 
 
-def _begin(path: Path, incarnation: str) -> None:
+def _create_file(path: Path, incarnation: str) -> None:
     """A whole new file under its name; nothing of one before it is left beside it."""
     new = path.with_name("lighthouse.new")
-    beside = (f"{NAME}-*", f"{new.name}*", TALLY)
+    beside = (f"{DATABASE_NAME}-*", f"{new.name}*", TALLY_NAME)
     for left in [file for pattern in beside for file in path.parent.glob(pattern)]:
         left.unlink()
     _sync_folder(path.parent)
     disk = Disk(new)
     try:
-        disk.settle("MEMORY")  # what is cut off here is begun anew
+        disk.set_pragmas("MEMORY")  # what is cut off here is begun anew
         run = disk.db.execute
         run("CREATE TABLE meta (name TEXT PRIMARY KEY, value BLOB) WITHOUT ROWID")
         run(ROWS_TABLE)
         run(LOG_TABLE)
-        disk.write([Store({"form": FORM, "inc": incarnation})])
+        disk.write([Store({"form": FORMAT_VERSION, "inc": incarnation})])
     finally:
         disk.close()
     os.replace(new, path)
     _sync_folder(path.parent)
 
 
-def _checked(disk: Disk, first: bool) -> StoredState:
+def _read_checked(disk: Disk, first: bool) -> StoredState:
     try:
-        disk.settle("WAL")
+        disk.set_pragmas("WAL")
         kept = disk.read()
     except sqlite3.Error as error:
         # SQLITE_ERROR: no such table, or a file format that this sqlite does not know.
-        if damaged(error) or getattr(error, "sqlite_errorcode", 0) == sqlite3.SQLITE_ERROR:
-            raise Damaged(str(error)) from None
+        if is_damage(error) or getattr(error, "sqlite_errorcode", 0) == sqlite3.SQLITE_ERROR:
+            raise DamagedFile(str(error)) from None
         raise
     except (TypeError, ValueError) as error:  # what should be text or JSON is not
-        raise Damaged(f"a value that can't be read: {error}") from None
-    if kept.incarnation == FIRST and not first and kept.view is None:  # it never took its seat
-        kept.incarnation = _life(False)
+        raise DamagedFile(f"a value that can't be read: {error}") from None
+    if kept.incarnation == FIRST_INCARNATION and not first and kept.view is None:  # it never took its seat
+        kept.incarnation = _new_incarnation(False)
         disk.write([Store({"inc": kept.incarnation})])
     return kept
 
@@ -160,14 +160,14 @@
     def __init__(self, path: Path) -> None:
         self.path = path
         self._meta: dict[str, msgspec.Raw] = {}  # as on disk
-        self._form = 0  # of what is on disk; 0: nothing
-        self._count = self._sum = 0  # commits, and the sum of all rows and entries, on disk
+        self._format = 0  # of what is on disk; 0: nothing
+        self._commits = self._checksum = 0  # commits, and the sum of all rows and entries, on disk
         self._log: dict[int, int] = {}  # the entries on disk, each with its part of the sum
-        self._told: int | None = None  # the small file, open
+        self._tally_fd: int | None = None  # the small file, open
         self.db = sqlite3.connect(path, isolation_level=None, check_same_thread=False)
         self.db.text_factory = bytes  # text of a damaged file may be no UTF-8
 
-    def settle(self, journal: str) -> None:
+    def set_pragmas(self, journal: str) -> None:
         for pragma in ("locking_mode=EXCLUSIVE", f"journal_mode={journal}", "synchronous=FULL"):
             self.db.execute(f"PRAGMA {pragma}")
 
@@ -175,39 +175,40 @@
         """All that is there, checked; one of the form before is of this form from here on."""
         meta = {name: value for name, value in self.db.execute("SELECT name, value FROM meta")}
         if b"form" not in meta:
-            raise Damaged("it does not say its form")
-        self._form = msgspec.json.decode(meta.pop(b"form"), type=int)
-        if self._form > FORM:
-            raise NewerForm(
-                f"{self.path}: written by a newer program (form {self._form}, this one reads {FORM})"
+            raise DamagedFile("it does not say its form")
+        self._format = msgspec.json.decode(meta.pop(b"form"), type=int)
+        if self._format > FORMAT_VERSION:
+            raise NewerFormat(
+                f"{self.path}: written by a newer program"
+                f" (form {self._format}, this one reads {FORMAT_VERSION})"
             )
-        if self._form > 1:
+        if self._format > 1:
             total, text = meta.get(b"state", b"")[:8], meta.get(b"state", b"")[8:]
             if total != b"%08x" % crc32(text):
-                raise Damaged("the sum over meta does not hold")
+                raise DamagedFile("the sum over meta does not hold")
             self._meta = msgspec.json.decode(text, type=dict[str, msgspec.Raw])
         else:
             self._meta = {name.decode(): msgspec.Raw(value) for name, value in meta.items()}
         incarnation: str | None = self._get("inc", str)
         if incarnation is None:
-            raise Damaged("it does not say its life")
-        self._count, held_sum = self._get("tally", tuple[int, int]) or (0, 0)
-        lost = self._last_told(incarnation) - self._count
+            raise DamagedFile("it does not say its life")
+        self._commits, held_sum = self._get("tally", tuple[int, int]) or (0, 0)
+        lost = self._last_tally(incarnation) - self._commits
         if lost > 0:
-            raise Damaged(f"commits that were on the disk are gone from its end: {lost}")
+            raise DamagedFile(f"commits that were on the disk are gone from its end: {lost}")
         rows = self._read_rows()
-        entries = self._read_log() if self._form > 2 else []
-        if self._form > 1 and held_sum != self._sum:
-            raise Damaged(f"the sum over its {len(rows.rows)} rows does not hold")
+        entries = self._read_log() if self._format > 2 else []
+        if self._format > 1 and held_sum != self._checksum:
+            raise DamagedFile(f"the sum over its {len(rows.rows)} rows does not hold")
         for (found,) in self.db.execute("PRAGMA quick_check(1)"):
             if found != b"ok":
-                raise Damaged(found.decode(errors="replace"))
+                raise DamagedFile(found.decode(errors="replace"))
         kept = StoredState(
             incarnation,
             self._get("place", int) or 0,
             self._get("lineage", int) or 0,
             self._get("view", View),
-            self._get("promised", Ballot) or NOBODY,
+            self._get("promised", Ballot) or NO_BALLOT,
             self._get("taken_at", Ballot),
             self._get("taken", View),
             rows,
@@ -215,7 +216,7 @@
             self._get("base", int),
             self._get("copy", int) or 0,
         )
-        if self._form < FORM:
+        if self._format < FORMAT_VERSION:
             self.write([])
         return kept
 
@@ -223,24 +224,24 @@
         loaded = LoadedRows(CommittedRows(), [], 0)
         waiting: list[tuple[int, bytes]] = []
         for kind, name, place, value in self.db.execute("SELECT kind, name, place, value FROM rows"):
-            self._sum += _sum_of(kind, name, place, value)
-            if self._form < FORM or kind != b"key":
+            self._checksum += _row_checksum(kind, name, place, value)
+            if self._format < FORMAT_VERSION or kind != b"key":
                 held = msgspec.json.decode(value)
                 if kind != b"key":  # others are few
                     loaded.others.append((kind.decode(), name.decode(), place, held))
             waiting.append(loaded.record(kind, name, place, value))
-            if len(waiting) >= LOAD_AT_ONCE:
-                loaded.rows.join(waiting)
+            if len(waiting) >= LOAD_BATCH_ROWS:
+                loaded.rows.add_records(waiting)
                 waiting.clear()
-        loaded.rows.join(waiting)
+        loaded.rows.add_records(waiting)
         return loaded
 
     def _read_log(self) -> list[Entry]:
         entries = []
         for place, value in self.db.execute("SELECT place, value FROM log ORDER BY place"):
-            self._log[place] = _sum_of(b"", b"", place, value)
+            self._log[place] = _row_checksum(b"", b"", place, value)
             entries.append(Entry(place, msgspec.json.decode(value, type=tuple[Row, ...])))
-        self._sum += sum(self._log.values())
+        self._checksum += sum(self._log.values())
         return entries
 
     def _get(self, name: str, kind: Any) -> Any:
@@ -249,32 +250,32 @@
 
     def write(self, stores: Iterable[Store]) -> None:
         """All of it or nothing, and on the disk when this returns; sqlite3.Error where it can't be."""
-        change = _Change(self.db.execute, self._meta.copy(), self._sum, self._log.copy())
+        change = _Transaction(self.db.execute, self._meta.copy(), self._checksum, self._log.copy())
         run = self.db.execute
         run("BEGIN IMMEDIATE")
         try:
-            if self._form < FORM:
-                self._raise_form()
+            if self._format < FORMAT_VERSION:
+                self._upgrade_format()
             for store in stores:
-                change.make(store)
-            text = change.told(self._count + 1)
+                change.apply(store)
+            text = change.meta_with_tally(self._commits + 1)
             run("INSERT OR REPLACE INTO meta VALUES ('state', ?)", (b"%08x%b" % (crc32(text), text),))
             run("COMMIT")
         except BaseException as error:
             if self.db.in_transaction:
                 run("ROLLBACK")
-            if isinstance(error, sqlite3.Error) and _full(error):
-                _make_room(self.path)
+            if isinstance(error, sqlite3.Error) and _is_disk_full(error):
+                _free_space(self.path)
             raise
-        self._meta, self._form = change.meta, FORM
-        self._count, self._sum, self._log = self._count + 1, change.sum, change.log
-        self._tell()
+        self._meta, self._format = change.meta, FORMAT_VERSION
+        self._commits, self._checksum, self._log = self._commits + 1, change.sum, change.log
+        self._write_tally()
 
-    def _raise_form(self) -> None:
+    def _upgrade_format(self) -> None:
         run = self.db.execute
         run("DELETE FROM meta")
-        run("INSERT INTO meta VALUES ('form', ?)", (msgspec.json.encode(FORM),))
-        if self._form:  # else the tables are there
+        run("INSERT INTO meta VALUES ('form', ?)", (msgspec.json.encode(FORMAT_VERSION),))
+        if self._format:  # else the tables are there
             self.db.create_function("bucket_of", 1, lambda name: crc32(name) % BUCKETS, deterministic=True)
             run("ALTER TABLE rows RENAME TO rows_before")
             run(ROWS_TABLE)
@@ -287,10 +288,10 @@
 
     # --- the number of commits, told apart
 
-    def _last_told(self, incarnation: str) -> int:
+    def _last_tally(self, incarnation: str) -> int:
         """0 where nothing was told, or not of this file's life."""
         try:
-            data = self.path.with_name(TALLY).read_bytes()
+            data = self.path.with_name(TALLY_NAME).read_bytes()
         except FileNotFoundError:
             return 0
         total, text = data[:8], data[8:].rstrip(b"\0")
@@ -299,22 +300,22 @@
         told: tuple[str, int] = msgspec.json.decode(text, type=tuple[str, int])
         return told[1] if told[0] == incarnation else 0
 
-    def _tell(self) -> None:
+    def _write_tally(self) -> None:
         """Where the disk does not take it there is one witness less, and nothing else."""
-        text = msgspec.json.encode((self._meta["inc"], self._count))
+        text = msgspec.json.encode((self._meta["inc"], self._commits))
         with contextlib.suppress(OSError):
-            if self._told is None:
-                self._told = os.open(self.path.with_name(TALLY), os.O_RDWR | os.O_CREAT, 0o644)
-            os.pwrite(self._told, (b"%08x%b" % (crc32(text), text)).ljust(64, b"\0"), 0)
+            if self._tally_fd is None:
+                self._tally_fd = os.open(self.path.with_name(TALLY_NAME), os.O_RDWR | os.O_CREAT, 0o644)
+            os.pwrite(self._tally_fd, (b"%08x%b" % (crc32(text), text)).ljust(64, b"\0"), 0)
 
     def close(self) -> None:
         self.db.close()
-        if self._told is not None:
-            os.close(self._told)
-            self._told = None
+        if self._tally_fd is not None:
+            os.close(self._tally_fd)
+            self._tally_fd = None
 
 
-class _Change:
+class _Transaction:
     """What one commit changes; `meta`, `sum` and `log` are as they are once it is on the disk."""
 
     def __init__(
@@ -326,7 +327,7 @@
     ) -> None:
         self._run, self.meta, self.sum, self.log = run, meta, total, log
 
-    def make(self, store: Store) -> None:
+    def apply(self, store: Store) -> None:
         if store.forget:
             self._run("DELETE FROM rows")
             self.sum = sum(self.log.values())
@@ -340,22 +341,22 @@
         for entry in store.entries:
             value = msgspec.json.encode(entry.rows)
             self._run("INSERT INTO log VALUES (?, ?)", (entry.index, value))
-            self.log[entry.index] = _sum_of(b"", b"", entry.index, value)
+            self.log[entry.index] = _row_checksum(b"", b"", entry.index, value)
             self.sum += self.log[entry.index]
 
-    def told(self, count: int) -> bytes:
+    def meta_with_tally(self, count: int) -> bytes:
         self.meta["tally"] = msgspec.Raw(msgspec.json.encode((count, self.sum)))
         return msgspec.json.encode(self.meta)
 
     def _row(self, place: int, kind: str, name: str, value: Any) -> None:
         run, key = self._run, (bucket_of(name), kind, name)
         for old in run(f"SELECT place, value FROM rows {THIS_ROW}", key).fetchall():
-            self.sum -= _sum_of(kind.encode(), name.encode(), *old)
+            self.sum -= _row_checksum(kind.encode(), name.encode(), *old)
         if is_deletion(kind, value):
             run(f"DELETE FROM rows {THIS_ROW}", key)
             return
         new = msgspec.json.encode(value)
-        self.sum += _sum_of(kind.encode(), name.encode(), place, new)
+        self.sum += _row_checksum(kind.encode(), name.encode(), place, new)
         run("INSERT OR REPLACE INTO rows VALUES (?, ?, ?, ?, ?)", (*key, place, new))
 
     def _drop_entries(self, index: int) -> None:
@@ -367,37 +368,37 @@
             self.sum -= self.log.pop(place)
 
 
-def _sum_of(kind: bytes, name: bytes, place: int, value: bytes) -> int:
+def _row_checksum(kind: bytes, name: bytes, place: int, value: bytes) -> int:
     return crc32(value, crc32(b"%b\0%b\0%d\0" % (kind, name, place)))
 
 
-def _check_head(path: Path) -> None:
+def _check_header(path: Path) -> None:
     """sqlite would take an empty file for a new one, and not write to one that names another version."""
     with path.open("rb") as file:
         head = file.read(20)
     if head[:16] != b"SQLite format 3\0" or head[18:] not in (b"\1\1", b"\2\2"):
-        raise Damaged("it does not begin as a file of sqlite" if head else "it is empty")
+        raise DamagedFile("it does not begin as a file of sqlite" if head else "it is empty")
 
 
 # --- the folder
 
 
-def _put_aside(path: Path) -> None:
+def _set_damaged_aside(path: Path) -> None:
     """In steps that each last, so that no half of the damaged pair is ever met under its old name with a new
     other half."""
     folder = path.parent
-    os.replace(path, folder / ASIDE)
+    os.replace(path, folder / DAMAGED_NAME)
     _sync_folder(folder)
-    wal, kept = folder / f"{NAME}-wal", folder / f"{ASIDE}-wal"
+    wal, kept = folder / f"{DATABASE_NAME}-wal", folder / f"{DAMAGED_NAME}-wal"
     kept.unlink(missing_ok=True)
     if wal.exists():
         os.replace(wal, kept)
     _sync_folder(folder)
 
 
-def _make_room(path: Path) -> None:
+def _free_space(path: Path) -> None:
     """On a full disk what was put aside gives up its bytes; its name stays."""
-    for kept in (path.with_name(ASIDE), path.with_name(f"{ASIDE}-wal")):
+    for kept in (path.with_name(DAMAGED_NAME), path.with_name(f"{DAMAGED_NAME}-wal")):
         with contextlib.suppress(OSError):
             if kept.stat().st_size:
                 os.truncate(kept, 0)
@@ -416,7 +417,7 @@
 # --- as a member uses it
 
 
-class Waits(Protocol):
+class AsyncDisk(Protocol):
     """A disk as a member uses it: one call after the other, none of which holds up the loop."""
 
     async def open(self, first: bool) -> StoredState:
@@ -426,7 +427,7 @@
         """Done once all of it is on the disk; it has the error where it can't be."""
 
 
-class Drive:
+class ThreadedDisk:
     """The folder's disk, and the thread that waits for it."""
 
     def __init__(self, folder: str) -> None:
--- a/brackengate/control/transfer.py
+++ b/brackengate/control/transfer.py
@@ -25,11 +25,11 @@
 
 PIECE_ROWS = 500
 PIECE_BYTES = 64 << 10
-NOTHING = CopyPosition()
-COMPLETE = BUCKETS  # the bucket of a copy that holds all rows
+EMPTY_POSITION = CopyPosition()
+COMPLETE_BUCKET = BUCKETS  # the bucket of a copy that holds all rows
 
 
-class Differs(Exception):
+class CopyMismatch(Exception):
     """A copy does not hold what its sender holds."""
 
 
@@ -51,7 +51,7 @@
         reached = CopyPosition(position.bucket, entries[-1].index)
         return CopyPiece(request.id, reached, anew, entries)
     found, bucket = _next_rows(rows, position.bucket)
-    total = CopyTotal(rows.count, rows.checksum) if bucket == COMPLETE else None
+    total = CopyTotal(rows.count, rows.checksum) if bucket == COMPLETE_BUCKET else None
     return CopyPiece(request.id, CopyPosition(bucket, index), anew, entries, found, total)
 
 
@@ -59,7 +59,7 @@
     """Whole buckets, until the piece is large enough; and the bucket that comes after them."""
     found: list[CommittedRow] = []
     size = 0
-    while bucket < COMPLETE and len(found) < PIECE_ROWS and size < PIECE_BYTES:
+    while bucket < COMPLETE_BUCKET and len(found) < PIECE_ROWS and size < PIECE_BYTES:
         blob = rows.buckets.get(bucket)
         if blob is not None:
             found += rows.in_bucket(bucket)
@@ -71,7 +71,7 @@
 # --- the taker
 
 
-def taken(position: CopyPosition, piece: CopyPiece) -> list[tuple[int, Row]]:
+def changed_rows(position: CopyPosition, piece: CopyPiece) -> list[tuple[int, Row]]:
     """What changes in the rows that are held, in order; those of an `anew` piece are gone before."""
     bucket = 0 if piece.anew else position.bucket
     changes = [(entry.index, row) for entry in piece.entries for row in entry.rows]
@@ -79,10 +79,10 @@
     return below + [(row.index, (row.kind, row.name, row.value)) for row in piece.rows]
 
 
-def check(rows: CommittedRows, piece: CopyPiece) -> None:
+def check_total(rows: CommittedRows, piece: CopyPiece) -> None:
     """Differs where the complete copy is not the sender's."""
     if piece.total is not None and piece.total != CopyTotal(rows.count, rows.checksum):
-        raise Differs(
+        raise CopyMismatch(
             f"{rows.count} rows with sum {rows.checksum}, its sender has {piece.total.count} with"
             f" {piece.total.checksum}"
         )
--- a/brackengate/control/view.py
+++ b/brackengate/control/view.py
@@ -14,10 +14,10 @@
 
 from collections.abc import Iterable
 
-from brackengate.control.actions import Action, Store, Tell
-from brackengate.control.ballots import NOBODY, Acceptor, ViewChange, quorum
-from brackengate.control.contact import Contact, LogStatus
-from brackengate.control.failure_detector import APART, NEVER, PING
+from brackengate.control.actions import Action, Send, Store
+from brackengate.control.ballots import NO_BALLOT, Acceptor, ViewChange, quorum
+from brackengate.control.contact import LogStatus, PeerMonitor
+from brackengate.control.failure_detector import NEVER, PARTITIONED_AFTER_US, PING_INTERVAL_US
 from brackengate.control.membership import LeaveRequest, MembershipFacts, next_members, refusal_to_leave
 from brackengate.protocol.messages import (
     Accept,
@@ -35,14 +35,16 @@
     WantView,
 )
 
-__all__ = ["APART", "NEVER", "NOBODY", "Agreement", "LogStatus"]
+__all__ = ["NEVER", "NO_BALLOT", "PARTITIONED_AFTER_US", "Agreement", "LogStatus"]
 
-RANK = 400_000  # each member in front gets this long to coordinate
-CHANGE_TIMEOUT = 500_000  # a ballot without an outcome is begun anew
-ADMISSION_LAG = 2_000  # entries that a learner may lack: it is fed them before it counts as complete
+COORDINATOR_DELAY_US = 400_000  # each member in front gets this long to coordinate
+VIEW_CHANGE_TIMEOUT_US = 500_000  # a ballot without an outcome is begun anew
+MAX_ADMISSION_LAG_ENTRIES = (
+    2_000  # entries that a learner may lack: it is fed them before it counts as complete
+)
 
 
-class Agreement(Contact):
+class Agreement(PeerMonitor):
     """One replica's part in deciding the views."""
 
     def __init__(
@@ -52,7 +54,7 @@
         zone: str,
         now: int,
         view: View | None,
-        promised: Ballot = NOBODY,
+        promised: Ballot = NO_BALLOT,
         taken_at: Ballot | None = None,
         taken: View | None = None,
         min_replicas: int = 1,
@@ -61,31 +63,31 @@
         that no wish to leave may go below."""
         super().__init__(me, incarnation, zone, now, view, Acceptor(promised, taken_at, taken))
         self._min_replicas = min_replicas
-        self._trouble: int | None = None  # since when another view is wanted
+        self._change_wanted_since: int | None = None  # since when another view is wanted
         self._change: ViewChange | None = None
-        self._high = promised[0]  # the highest number of a ballot that it has heard of
+        self._highest_ballot_number = promised[0]  # the highest number of a ballot that it has heard of
 
     # --- events
 
     def tick(self, now: int, log: LogStatus) -> list[Action]:
-        if self._stood_still(now):
-            self._trouble = None
+        if self._was_paused(now):
+            self._change_wanted_since = None
         self._renew_lease(now)
         out: list[Action] = []
-        if now - self._pinged >= PING:
-            self._pinged = now
-            self._forget_the_silent(now)
+        if now - self._last_ping_sent_at >= PING_INTERVAL_US:
+            self._last_ping_sent_at = now
+            self._forget_silent_peers(now)
             out += self._ping(now, log)
         return out + self._reconfigure(now, log)
 
-    def refused(self, addr: str, now: int, log: LogStatus) -> list[Action]:
+    def on_connection_refused(self, addr: str, now: int, log: LogStatus) -> list[Action]:
         """Its machine says that nobody listens there."""
-        self.meet(addr, now)
+        self.add_peer(addr, now)
         if addr in self.peers:
-            self.peers[addr].refused = self.peers[addr].ever
+            self.peers[addr].refused = self.peers[addr].ever_answered
         return self._reconfigure(now, log)
 
-    def heard(self, addr: str, word: Line, now: int, log: LogStatus) -> list[Action]:
+    def on_message(self, addr: str, word: Line, now: int, log: LogStatus) -> list[Action]:
         match word:
             case Prepare():
                 return self._on_prepare(addr, word, now, log)
@@ -96,9 +98,9 @@
             case Accepted():
                 return self._on_accepted(addr, word, now)
             case Outvoted():
-                self._high = max(self._high, word.ballot[0])
+                self._highest_ballot_number = max(self._highest_ballot_number, word.ballot[0])
                 return []
-        self.meet(addr, now)
+        self.add_peer(addr, now)
         peer = self.peers.get(addr)
         if peer is None:
             return []
@@ -108,7 +110,7 @@
             case Pong():
                 return self._on_pong(peer, word, now, log)
             case WantView():
-                return [Tell(addr, NewView(self.view))] if self.view.epoch else []
+                return [Send(addr, NewView(self.view))] if self.view.epoch else []
             case NewView(view):
                 return self._adopt(view, now)
         return []
@@ -131,16 +133,16 @@
         )
         if why:
             return why
-        self.leaves = True
+        self.leaving = True
         return ""
 
     def rejoin(self) -> None:
-        self.leaves = False
+        self.leaving = False
 
     def _leaving(self, member: Member) -> bool:
         if member.addr == self.me:
-            return self.leaves
-        said = self.peers[member.addr].said if member.addr in self.peers else None
+            return self.leaving
+        said = self.peers[member.addr].last_ping if member.addr in self.peers else None
         return said is not None and said.leaves
 
     def coordinator(self, now: int) -> str:
@@ -154,8 +156,8 @@
         """One that holds the committed state up to a few entries, and that all live members hear."""
         if log.commit_index < 0:
             return None
-        needed = max(0, log.commit_index - ADMISSION_LAG)
-        others = [self._fresh(member.addr, now) for member in alive if member.addr != self.me]
+        needed = max(0, log.commit_index - MAX_ADMISSION_LAG_ENTRIES)
+        others = [self._recent_ping(member.addr, now) for member in alive if member.addr != self.me]
         for addr, said in self._learners(now):
             heard_by_all = all(one is not None and addr in one.hears for one in others)
             if heard_by_all and said.copied >= needed:
@@ -182,7 +184,7 @@
     def _caught_up(self, member: Member, now: int, log: LogStatus) -> bool:
         if member.addr == self.me:
             return log.caught_up_epoch == self.view.epoch
-        said = self._fresh(member.addr, now)
+        said = self._recent_ping(member.addr, now)
         return said is not None and said.caught_up_epoch == self.view.epoch
 
     # --- a view change, as its coordinator
@@ -191,23 +193,23 @@
         if not self.is_member or not self.disk_healthy:
             return []
         if self._change is not None:
-            if now - self._change.at < CHANGE_TIMEOUT:
+            if now - self._change.started_at < VIEW_CHANGE_TIMEOUT_US:
                 return []
             self._change = None
         alive = self._live_members(now)
         facts = self._facts(alive, now, log)
         members = next_members(facts)
         if members == self.view.members and not self.epoch_closed:
-            self._trouble = None
+            self._change_wanted_since = None
             return []
         if len(alive) < self._quorum() or not log.has_snapshot:
             return []
-        if self._trouble is None:
-            self._trouble = now
+        if self._change_wanted_since is None:
+            self._change_wanted_since = now
         rank = [member.addr for member in alive].index(self.me) + (1 if self.epoch_closed else 0)
-        if now - self._trouble < rank * RANK:
+        if now - self._change_wanted_since < rank * COORDINATOR_DELAY_US:
             return []
-        self._trouble = now
+        self._change_wanted_since = now
         return self._begin_change(View(self.view.epoch + 1, members), now, log)
 
     def _quorum(self) -> int:
@@ -215,18 +217,18 @@
 
     def _begin_change(self, view: View, now: int, log: LogStatus) -> list[Action]:
         """Its own promise is on its disk before the others hear of the ballot."""
-        self._high += 1
-        self._change = ViewChange((self._high, self.me), view, now, self._quorum())
+        self._highest_ballot_number += 1
+        self._change = ViewChange((self._highest_ballot_number, self.me), view, now, self._quorum())
         prepare = Prepare(view.epoch, self._change.ballot)
         out = self._on_prepare(self.me, prepare, now, log)
         for action in out:
             if isinstance(action, Store):
-                action.tells += [Tell(member.addr, prepare) for member in self._other_members()]
+                action.sends += [Send(member.addr, prepare) for member in self._other_members()]
         return out
 
     def _on_promise(self, addr: str, word: Promise, now: int, log: LogStatus) -> list[Action]:
         change = self._voted_on(addr, word.epoch, word.ballot)
-        if change is None or change.second:
+        if change is None or change.accepting:
             return []
         change.promises[addr] = word
         return self._propose(now)
@@ -245,59 +247,64 @@
     def _propose(self, now: int) -> list[Action]:
         """Ask for the view to be accepted, once enough have promised."""
         change = self._change
-        if change is None or change.second or self._count(change.promises) < change.quorum:
+        if change is None or change.accepting or self._count(change.promises) < change.quorum:
             return []
         view = change.proposal()
         if view is None:
             return []
-        change.view, change.second = view, True
+        change.view, change.accepting = view, True
         accept = Accept(view.epoch, change.ballot, view)
-        out: list[Action] = [Tell(one.addr, accept) for one in self._other_members()]
+        out: list[Action] = [Send(one.addr, accept) for one in self._other_members()]
         return out + self._on_accept(self.me, accept, now)
 
     def _on_accepted(self, addr: str, word: Accepted, now: int) -> list[Action]:
         change = self._voted_on(addr, word.epoch, word.ballot)
-        if change is None or not change.second:
+        if change is None or not change.accepting:
             return []
         change.accepted.add(addr)
         if self._count(change.accepted) < change.quorum:
             return []
         old, view = self.view, change.view
         told = dict.fromkeys([one.addr for one in (*view.members, *old.members) if one.addr != self.me])
-        return [*self._adopt(view, now), *(Tell(one, NewView(view)) for one in told)]
+        return [*self._adopt(view, now), *(Send(one, NewView(view)) for one in told)]
 
     # --- a view change, as one of its voters
 
     def _on_prepare(self, addr: str, word: Prepare, now: int, log: LogStatus) -> list[Action]:
         if not self.is_member or word.epoch != self.view.epoch + 1:
-            return [Tell(addr, NewView(self.view))] if 0 < word.epoch <= self.view.epoch else []
-        self._closes(now)
+            return [Send(addr, NewView(self.view))] if 0 < word.epoch <= self.view.epoch else []
+        self._mark_epoch_open(now)
         if not self._acceptor.promise(word.ballot):
             return self._outvoted(addr, word.epoch)
-        self._high = max(self._high, word.ballot[0])
+        self._highest_ballot_number = max(self._highest_ballot_number, word.ballot[0])
         acceptor = self._acceptor
         promise = Promise(
-            word.epoch, word.ballot, log.index, log.has_snapshot, acceptor.taken_at, acceptor.taken
+            word.epoch,
+            word.ballot,
+            log.index,
+            log.has_snapshot,
+            acceptor.accepted_ballot,
+            acceptor.accepted_view,
         )
-        return [Store(meta=acceptor.meta(), tells=[Tell(addr, promise)])]
+        return [Store(meta=acceptor.meta(), sends=[Send(addr, promise)])]
 
     def _on_accept(self, addr: str, word: Accept, now: int) -> list[Action]:
         if not self.is_member or word.epoch != self.view.epoch + 1:
             return []
-        self._closes(now)
+        self._mark_epoch_open(now)
         if not self._acceptor.accept(word.ballot, word.view):
             return self._outvoted(addr, word.epoch)
-        self._high = max(self._high, word.ballot[0])
-        return [Store(meta=self._acceptor.meta(), tells=[Tell(addr, Accepted(word.epoch, word.ballot))])]
+        self._highest_ballot_number = max(self._highest_ballot_number, word.ballot[0])
+        return [Store(meta=self._acceptor.meta(), sends=[Send(addr, Accepted(word.epoch, word.ballot))])]
 
     def _outvoted(self, addr: str, epoch: int) -> list[Action]:
-        return [Tell(addr, Outvoted(epoch, self._acceptor.promised))] if addr != self.me else []
+        return [Send(addr, Outvoted(epoch, self._acceptor.promised))] if addr != self.me else []
 
     def _adopt(self, view: View, now: int) -> list[Action]:
         if view.epoch <= self.view.epoch:
             return []
-        self.view, self._acceptor, self._adopted = view, Acceptor(), now
-        self._change = self._trouble = None
+        self.view, self._acceptor, self._view_adopted_at = view, Acceptor(), now
+        self._change = self._change_wanted_since = None
         for member in view.members:
-            self.meet(member.addr, now)
+            self.add_peer(member.addr, now)
         return [Store(meta={"view": view, **self._acceptor.meta()})]
--- a/brackengate/emulator/mesh/disk.py
+++ b/brackengate/emulator/mesh/disk.py
@@ -16,9 +16,9 @@
 import msgspec
 
 from brackengate.control.actions import Store
-from brackengate.control.replica import FIRST, StoredState
+from brackengate.control.replica import FIRST_INCARNATION, StoredState
 from brackengate.control.rows import is_deletion
-from brackengate.control.view import NOBODY
+from brackengate.control.view import NO_BALLOT
 from brackengate.emulator.loop import Loop
 from brackengate.emulator.mesh.ground import RoleProcess
 from brackengate.protocol.messages import Ballot, Entry, View
@@ -96,9 +96,9 @@
 
     def read(self, first: bool) -> StoredState:
         """As of `control.store.open_disk`."""
-        inc = FIRST if first else f"{self._rng.getrandbits(48):012x}"
+        inc = FIRST_INCARNATION if first else f"{self._rng.getrandbits(48):012x}"
         held = self._read("inc", str)
-        if held is None or (held == FIRST != inc and self._read("view", View) is None):
+        if held is None or (held == FIRST_INCARNATION != inc and self._read("view", View) is None):
             self._meta["inc"] = msgspec.json.encode(inc)
             held = inc
         decode = msgspec.json.decode
@@ -107,7 +107,7 @@
             self._read("place", int) or 0,
             self._read("lineage", int) or 0,
             self._read("view", View),
-            self._read("promised", Ballot) or NOBODY,
+            self._read("promised", Ballot) or NO_BALLOT,
             self._read("taken_at", Ballot),
             self._read("taken", View),
             [(kind, name, place, decode(value)) for (kind, name), (place, value) in self._rows.items()],
--- a/brackengate/mesh.py
+++ b/brackengate/mesh.py
@@ -97,9 +97,9 @@
         click.echo(f"{path}: sound for a lighthouse")
         return
     from brackengate.control.role import serve
-    from brackengate.control.store import NewerForm
+    from brackengate.control.store import NewerFormat
 
-    _run(serve(settings), (BadSettings, NewerForm))
+    _run(serve(settings), (BadSettings, NewerFormat))
 
 
 if __name__ == "__main__":
--- a/brackengate/model_check/disk.py
+++ b/brackengate/model_check/disk.py
@@ -10,7 +10,7 @@
 from brackengate.control.actions import Store
 from brackengate.control.replica import StoredState
 from brackengate.control.rows import is_deletion
-from brackengate.control.view import NOBODY
+from brackengate.control.view import NO_BALLOT
 from brackengate.protocol.messages import Ballot, Entry, Row, View
 
 
@@ -60,7 +60,7 @@
             self.get("place", int, 0),
             self.get("lineage", int, 0),
             self.get("view", View | None, None),
-            self.get("promised", Ballot | None, NOBODY),
+            self.get("promised", Ballot | None, NO_BALLOT),
             self.get("taken_at", Ballot | None, None),
             self.get("taken", View | None, None),
             rows,
--- a/brackengate/model_check/mistakes.py
+++ b/brackengate/model_check/mistakes.py
@@ -8,7 +8,7 @@
 
 from brackengate.control.actions import Action, Answer
 from brackengate.control.chain import Chain
-from brackengate.control.commands import GIVE_UP_AFTER, PendingReply
+from brackengate.control.commands import GIVE_UP_AFTER_US, PendingReply
 from brackengate.control.failure_detector import Peer
 from brackengate.control.replica import Replica
 from brackengate.control.view import Agreement, LogStatus
@@ -31,10 +31,10 @@
 
 
 class _HastyChain(Chain):
-    def _take(self, entries: tuple[Entry, ...], now: int) -> list[Action]:
+    def _store_entries(self, entries: tuple[Entry, ...], now: int) -> list[Action]:
         """Counts as stored what has only been handed to the disk."""
-        out = super()._take(entries, now)
-        return out + (self.stored(self.index, self.generation) if entries else [])
+        out = super()._store_entries(entries, now)
+        return out + (self.on_stored(self.index, self.generation) if entries else [])
 
 
 class _LonelyChain(Chain):
@@ -46,11 +46,13 @@
 
 
 class _StaleChain(Chain):
-    def ask(self, what: Command, local: int, now: int, give_up_after: int = GIVE_UP_AFTER) -> list[Action]:
+    def submit_command(
+        self, what: Command, request_id: int, now: int, give_up_after: int = GIVE_UP_AFTER_US
+    ) -> list[Action]:
         """The tail answers a read from what it holds, without a look at whether it still is the tail."""
         if isinstance(what, Read) and 0 <= self._chain_position() == len(self.view.members) - 1:
-            return [Answer(local, self.configuration())]
-        return super().ask(what, local, now, give_up_after)
+            return [Answer(request_id, self.configuration())]
+        return super().submit_command(what, request_id, now, give_up_after)
 
 
 class _WipedVotes(Agreement):
@@ -89,7 +91,7 @@
 class _LeaseByDetection(Agreement):
     def holds_lease(self, now: int) -> bool:
         """Who is not known to be dead vouches: after a freeze that is everybody."""
-        heard = sum(self.hears(member.addr, now) for member in self._other_members())
+        heard = sum(self.is_alive(member.addr, now) for member in self._other_members())
         return self.is_member and heard + 1 >= self.view.majority
 
 
@@ -133,51 +135,51 @@
 
 
 class _Hasty(Replica):
-    chain_kind = _HastyChain
+    chain_type = _HastyChain
 
 
 class _Lonely(Replica):
-    chain_kind = _LonelyChain
+    chain_type = _LonelyChain
 
 
 class _Stale(Replica):
-    chain_kind = _StaleChain
+    chain_type = _StaleChain
 
 
 class _Wiped(Replica):
-    agreement_kind = _WipedVotes
+    agreement_type = _WipedVotes
 
 
 class _Again(Replica):
-    agreement_kind = _NumberAgain
+    agreement_type = _NumberAgain
 
 
 class _Receipt(Replica):
-    agreement_kind = _LeaseFromReceipt
+    agreement_type = _LeaseFromReceipt
 
 
 class _Closed(Replica):
-    agreement_kind = _ClosedRenews
+    agreement_type = _ClosedRenews
 
 
 class _Detection(Replica):
-    agreement_kind = _LeaseByDetection
+    agreement_type = _LeaseByDetection
 
 
 class _AtOnce(Replica):
-    agreement_kind = _AdmitsAtOnce
+    agreement_type = _AdmitsAtOnce
 
 
 class _Keeps(Replica):
-    chain_kind = _KeepsWhatIsFreed
+    chain_type = _KeepsWhatIsFreed
 
 
 class _EqualVersion(Replica):
-    chain_kind = _EqualVersionChain
+    chain_type = _EqualVersionChain
 
 
 class _Forgetful(Replica):
-    chain_kind = _ForgetfulChain
+    chain_type = _ForgetfulChain
 
 
 LEASES = Bounds(
--- a/brackengate/model_check/model.py
+++ b/brackengate/model_check/model.py
@@ -14,9 +14,9 @@
 import msgspec
 
 from brackengate.control.chain import Chain
-from brackengate.control.failure_detector import LEASE
-from brackengate.control.replica import FIRST, Replica
-from brackengate.control.transfer import COMPLETE
+from brackengate.control.failure_detector import LEASE_US
+from brackengate.control.replica import FIRST_INCARNATION, Replica
+from brackengate.control.transfer import COMPLETE_BUCKET
 from brackengate.model_check.disk import DiskState
 from brackengate.model_check.vessel import (
     Act,
@@ -46,7 +46,7 @@
 )
 
 FIRST_UNIT = 10  # by all clocks, when time begins to pass
-UNIT = LEASE // 2  # in which time passes
+UNIT = LEASE_US // 2  # in which time passes
 LEASE_UNITS = 2
 State = tuple[int, ...]
 Event = tuple[Any, ...]  # what; the machine; what else
@@ -151,11 +151,11 @@
 def _is_copied(disk: DiskState) -> bool:
     lineage: int = disk.get("lineage", int, 0)
     bucket: int = disk.get("copy", int, 0)
-    return lineage > 0 or bucket == COMPLETE
+    return lineage > 0 or bucket == COMPLETE_BUCKET
 
 
 def _committed(chain: Chain) -> tuple[int, int, int] | None:
-    if not chain.held.firm or not (chain.has_snapshot or chain.learner.complete):
+    if not chain.replica_log.rows_committed or not (chain.has_snapshot or chain.learner.complete):
         return None
     rows = chain.state.rows
     return chain.state.index, rows.count, rows.checksum
@@ -252,11 +252,13 @@
             agreement.view.epoch,
             held,
             self.waters.workload.in_force(agreed, self.bounds.writes),
-            chain._before(),
+            chain._predecessor(),
             chain._chain_position() > 0 and chain.caught_up_epoch != chain.view.epoch,
             bool(chain._commands.by_id),
-            frozenset(addr for addr in agreement.peers if agreement.hears(addr, 0)),
-            "" if chain.has_snapshot or chain._fed else (chain.learner.source or chain._before()),
+            frozenset(addr for addr in agreement.peers if agreement.is_alive(addr, 0)),
+            ""
+            if chain.has_snapshot or chain._catching_up
+            else (chain.learner.source or chain._predecessor()),
             _is_copied(disk),
             _committed(chain),
         )
@@ -272,7 +274,9 @@
         hosts = [self._vessel(Vessel(name)) for name in self.names]
         state: State = (*hosts, *([0] * len(self.pairs)), 0, self._remember(full))
         for name in self.names:
-            state = self._do(state, ("start", name, FIRST if name in self.waters.seeds else f"{name}0"))
+            state = self._do(
+                state, ("start", name, FIRST_INCARNATION if name in self.waters.seeds else f"{name}0")
+            )
         for _ in range(20):
             for event in [
                 *(("have", name) for name in self.names if self.facts[state[self._at[name]]].unmet),
--- a/brackengate/model_check/vessel.py
+++ b/brackengate/model_check/vessel.py
@@ -14,10 +14,10 @@
 
 import msgspec
 
-from brackengate.control.actions import Action, Answer, Store, Tell
+from brackengate.control.actions import Action, Answer, Send, Store
 from brackengate.control.chain import Chain
-from brackengate.control.replica import FIRST, Replica
-from brackengate.control.view import APART, NEVER, Agreement
+from brackengate.control.replica import FIRST_INCARNATION, Replica
+from brackengate.control.view import NEVER, PARTITIONED_AFTER_US, Agreement
 from brackengate.model_check.disk import DiskState
 from brackengate.model_check.workload import WORKLOADS, Workload
 from brackengate.protocol.messages import (
@@ -147,46 +147,46 @@
     """The line that says to that member how this one stands."""
     replica: Replica = copied(vessel.replica)
     _awake(replica, now)
-    for action in replica.agreement._ping(now, replica.chain.log()):
-        if isinstance(action, Tell) and action.addr == addr and isinstance(action.word, Ping):
-            return encode(msgspec.structs.replace(action.word, index=0))  # nobody decides by the index
+    for action in replica.agreement._ping(now, replica.chain.log_status()):
+        if isinstance(action, Send) and action.addr == addr and isinstance(action.message, Ping):
+            return encode(msgspec.structs.replace(action.message, index=0))  # nobody decides by the index
     return None
 
 
 def _awake(replica: Replica, now: int) -> None:
     """Who was heard still is: whom a replica no longer hears is an event of its own.  Leases have run on."""
     agreement = replica.agreement
-    agreement._pinged = agreement._ticked = replica.chain.learner.asked_at = now
+    agreement._last_ping_sent_at = agreement._last_tick_at = replica.chain.learner.requested_at = now
     for peer in agreement.peers.values():
-        peer.answered = now if peer.answered > NEVER else NEVER
-        peer.said_at = now if peer.said_at > NEVER else NEVER
+        peer.last_answer_at = now if peer.last_answer_at > NEVER else NEVER
+        peer.last_ping_at = now if peer.last_ping_at > NEVER else NEVER
     if agreement._change is not None:
-        agreement._change.at = now
+        agreement._change.started_at = now
 
 
 def _still(replica: Replica, clock: bool) -> None:
     """What is kept of time is set to fresh or long ago; where time passes, what leases run from stays."""
     agreement, chain = replica.agreement, replica.chain
-    agreement._pinged = agreement._ticked = 0
+    agreement._last_ping_sent_at = agreement._last_tick_at = 0
     if not clock:
-        agreement._adopted = 0
-        agreement._open_until = agreement.lease_from = NEVER
-    agreement._trouble = None
-    agreement._apart.clear()
+        agreement._view_adopted_at = 0
+        agreement._open_until = agreement.lease_start = NEVER
+    agreement._change_wanted_since = None
+    agreement._partitioned_since.clear()
     for peer in agreement.peers.values():
-        if peer.answered > NEVER and not peer.refused:
-            peer.answered, peer.said_at = 0, 0 if peer.said is not None else NEVER
+        if peer.last_answer_at > NEVER and not peer.refused:
+            peer.last_answer_at, peer.last_ping_at = 0, 0 if peer.last_ping is not None else NEVER
         else:
-            peer.answered = peer.said_at = NEVER
-        peer.refused, peer.ever = False, True
+            peer.last_answer_at = peer.last_ping_at = NEVER
+        peer.refused, peer.ever_answered = False, True
         if not clock:
             peer.pings, peer.open_epoch, peer.open_since = (), 0, NEVER
             peer.incarnation_at = 0 if peer.incarnation else NEVER
     if agreement._change is not None:
-        agreement._change.at = 0
-    chain._said_have = chain._pruned = chain._now = chain.learner.asked_at = 0
+        agreement._change.started_at = 0
+    chain._position_sent_at = chain._last_prune_at = chain._now = chain.learner.requested_at = 0
     for pending in chain._commands.by_id.values():
-        pending.at = pending.sent = 0
+        pending.submitted_at = pending.last_sent_at = 0
 
 
 class _Turn:
@@ -201,12 +201,12 @@
         if act[0] == "start":
             vessel.starts += 1
             vessel.disk.incarnation = vessel.disk.incarnation or act[1]
-            first = act[1] == FIRST
+            first = act[1] == FIRST_INCARNATION
             waters, begins = self.waters, vessel.starts * 1000  # commands are numbered from there
             replica = vessel.replica = waters.kind(
                 vessel.name, "", vessel.disk.kept(), waters.seeds, first, waters.min_replicas, WINDOW, begins
             )
-            replica.agreement._adopted = self.now
+            replica.agreement._view_adopted_at = self.now
             _still(replica, waters.clock)
             return replica.start(self.now)
         return self.act(self.alive(), act, self.now)
@@ -217,37 +217,37 @@
         match act:
             case ("hear", addr, line):
                 self._pongs_are_lines = self.waters.clock
-                return replica.heard(addr, decode(line), now)
+                return replica.on_message(addr, decode(line), now)
             case ("ping", addr, line):
-                return replica.heard(addr, decode(line), now)
+                return replica.on_message(addr, decode(line), now)
             case ("probe", addr):
                 self.probing = True
-                return _only(agreement._ping(now, chain.log()), addr)
+                return _only(agreement._ping(now, chain.log_status()), addr)
             case ("pong", addr, line):
                 agreement.peers[addr].on_ping_sent(now)
-                return replica.heard(addr, decode(line), now)
+                return replica.on_message(addr, decode(line), now)
             case ("met", addr):
-                replica.met(addr, now)
-                return replica.reconnected(addr, now)
+                replica.add_peer(addr, now)
+                return replica.on_reconnected(addr, now)
             case ("sync",):
                 return self.sync()
             case ("mend", *doubted):  # all pauses are over
                 for addr in doubted:
-                    agreement.peers[addr].answered = agreement.peers[addr].said_at = NEVER
+                    agreement.peers[addr].last_answer_at = agreement.peers[addr].last_ping_at = NEVER
                 agreement._change = None
-                agreement._live_members(-2 * APART)
-                agreement._trouble = NEVER
-                return replica._settle(agreement._reconfigure(now, chain.log()), now)
+                agreement._live_members(-2 * PARTITIONED_AFTER_US)
+                agreement._change_wanted_since = NEVER
+                return replica._settle(agreement._reconfigure(now, chain.log_status()), now)
             case ("ask", number):
-                return replica.ask(self.waters.workload.command(number), number, now)
+                return replica.submit_command(self.waters.workload.command(number), number, now)
             case ("again",):
                 numbers = list(chain._commands.by_id)
                 return [action for number in numbers for action in chain._submit(number, now)]
             case ("learn",):  # its pause is over
-                chain.learner.asked_at = NEVER
-                return chain._learn(now)
+                chain.learner.requested_at = NEVER
+                return chain._request_copy(now)
             case ("have",):
-                return chain._say_have(now)
+                return chain._send_position(now)
         raise ValueError(act)
 
     def alive(self) -> Replica:
@@ -257,8 +257,8 @@
     def sync(self) -> list[Action]:
         store = self.vessel.queue.popleft()
         self.vessel.disk.write(store)
-        told: list[Action] = list(store.tells)
-        return told + (self.alive().stored(store.index, store.generation) if store.index >= 0 else [])
+        told: list[Action] = list(store.sends)
+        return told + (self.alive().on_stored(store.index, store.generation) if store.index >= 0 else [])
 
     def carry_out(self, actions: Iterable[Action], torn: bool) -> None:
         vessel, me = self.vessel, self.vessel.name
@@ -266,7 +266,7 @@
         while True:
             for action in actions:
                 match action:
-                    case Tell(addr, word):
+                    case Send(addr, word):
                         if isinstance(word, Promise | Accepted):
                             self.effects.append(("vote", word.epoch))
                         if addr == me:
@@ -283,7 +283,7 @@
             if torn:
                 return
             if own:
-                actions = self.alive().heard(me, own.popleft(), self.now)
+                actions = self.alive().on_message(me, own.popleft(), self.now)
             elif vessel.queue and not self.waters.apart:
                 actions = self.sync()
             else:
@@ -306,7 +306,7 @@
 
 
 def _only(actions: Iterable[Action], addr: str) -> list[Action]:
-    return [one for one in actions if isinstance(one, Tell) and one.addr == addr]
+    return [one for one in actions if isinstance(one, Send) and one.addr == addr]
 
 
 def _seen(replica: Replica | None) -> tuple[tuple[int, Ballot] | None, View | None, int]:
--- a/brackengate/proxy/copy.py
+++ b/brackengate/proxy/copy.py
@@ -5,7 +5,7 @@
 from dataclasses import dataclass, field
 
 from brackengate.control.rows import CommittedRows
-from brackengate.control.transfer import NOTHING, Differs, check, taken
+from brackengate.control.transfer import EMPTY_POSITION, CopyMismatch, changed_rows, check_total
 from brackengate.protocol.messages import CopyPiece, CopyPosition, Row
 
 
@@ -13,7 +13,7 @@
 class PublicCopy:
     """It goes on where it was cut off, at whichever replica."""
 
-    position: CopyPosition = NOTHING
+    position: CopyPosition = EMPTY_POSITION
     rows: CommittedRows = field(default_factory=CommittedRows)
 
     def take(self, asked: CopyPosition, piece: CopyPiece) -> bool:
@@ -23,15 +23,15 @@
         """
         if not piece.anew and asked != self.position:
             return False
-        changes = taken(self.position, piece)
+        changes = changed_rows(self.position, piece)
         if piece.anew:
             self.rows.clear()
         for index, (kind, name, value) in changes:
             self.rows.set(kind, name, index, value)
         self.position = piece.position
         try:
-            check(self.rows, piece)
-        except Differs:
+            check_total(self.rows, piece)
+        except CopyMismatch:
             self.begin_anew()
             raise
         return piece.total is not None
@@ -44,5 +44,5 @@
         return index, rows
 
     def begin_anew(self) -> None:
-        self.position = NOTHING
+        self.position = EMPTY_POSITION
         self.rows.clear()
--- a/brackengate/proxy/follow.py
+++ b/brackengate/proxy/follow.py
@@ -14,7 +14,7 @@
 from dataclasses import dataclass
 from typing import Any
 
-from brackengate.control.transfer import NOTHING, Differs
+from brackengate.control.transfer import EMPTY_POSITION, CopyMismatch
 from brackengate.net.sockets import parse_address
 from brackengate.protocol.json_connection import Dialer
 from brackengate.protocol.messages import (
@@ -79,7 +79,7 @@
         self.heard = follow.now()
         self.good = False
         self.clock = ClockOffset()
-        self._asked, self._request = NOTHING, 0  # the piece of a copy that comes next
+        self._asked, self._request = EMPTY_POSITION, 0  # the piece of a copy that comes next
         host = parse_address(addr)[0]
         address = host, follow.port
         self._dialer = Dialer(
@@ -289,7 +289,7 @@
             return
         try:
             whole = self.copy.take(asked, piece)
-        except Differs as why:
+        except CopyMismatch as why:
             log.error("follow: step copy, from %s: it differs: %s", link.addr, why)
             self.lost(link, "its copy differs")
             return
--- a/tests/control/corekit.py
+++ b/tests/control/corekit.py
@@ -25,14 +25,14 @@
     Continue,
     Deliver,
     Publish,
-    Restart,
+    ResetFollowers,
+    Send,
     Store,
-    Tell,
 )
-from brackengate.control.commands import GIVE_UP_AFTER
-from brackengate.control.failure_detector import LEASE
-from brackengate.control.replica import FIRST, Replica, StoredState
-from brackengate.control.store import NAME, open_disk
+from brackengate.control.commands import GIVE_UP_AFTER_US
+from brackengate.control.failure_detector import LEASE_US
+from brackengate.control.replica import FIRST_INCARNATION, Replica, StoredState
+from brackengate.control.store import DATABASE_NAME, open_disk
 from brackengate.model_check.disk import DiskState
 from brackengate.protocol.messages import Command, Line
 from standins.mesh import spoil
@@ -67,7 +67,7 @@
 
     def damage(self, what: bytes) -> None:
         """In the log, else in the file."""
-        assert any(spoil(self.here / name, what) for name in (f"{NAME}-wal", NAME)), what
+        assert any(spoil(self.here / name, what) for name in (f"{DATABASE_NAME}-wal", DATABASE_NAME)), what
 
 
 class Host:
@@ -92,7 +92,7 @@
         if isinstance(self.disk, FileState):
             self.disk.open(first)
         elif not self.disk.incarnation:
-            self.disk.incarnation = FIRST if first else f"disk{self.core.rng.getrandbits(40)}"
+            self.disk.incarnation = FIRST_INCARNATION if first else f"disk{self.core.rng.getrandbits(40)}"
         core = self.core
         self.replica = Replica(
             self.name, "", self.disk.kept(), core.seeds, first, core.min_replicas, WINDOW, core.now
@@ -112,11 +112,11 @@
             assert isinstance(self.disk, FileState)
             self.disk.damage(damage.encode())
 
-    def ask(self, what: Command, done: Callable[[Any], None], give_up_after: int = GIVE_UP_AFTER) -> int:
+    def ask(self, what: Command, done: Callable[[Any], None], give_up_after: int = GIVE_UP_AFTER_US) -> int:
         number = self.core.number()
         if self.replica is not None:
             self.asked[number] = done
-            self.do(self.replica.ask(what, number, self.core.now, give_up_after))
+            self.do(self.replica.submit_command(what, number, self.core.now, give_up_after))
         return number
 
     def withdraw(self, number: int) -> None:
@@ -137,7 +137,7 @@
             if self.core.now < self.frozen_until:
                 self.core.later(self.frozen_until - self.core.now + 1, lambda: self.hear(addr, line))
                 return
-            self.do(self.replica.heard(addr, _decode(line), self.core.now))
+            self.do(self.replica.on_message(addr, _decode(line), self.core.now))
             self.check_current()
 
     def check_current(self) -> None:
@@ -151,13 +151,13 @@
             core.served[self.name] = core.now
             newer = [since for other, since in core.agreed.items() if other > epoch]
             assert all(
-                core.now - since <= LEASE for since in newer
+                core.now - since <= LEASE_US for since in newer
             ), f"{core.now} us: {self.name} serves by view {epoch}; agreed: {core.agreed}"
 
     def do(self, actions: Iterable[Action]) -> None:
         for action in actions:
             match action:
-                case Tell(addr, word):
+                case Send(addr, word):
                     line = msgspec.json.encode(word)
                     if addr == self.name:
                         self.core.later(
@@ -173,7 +173,7 @@
                         done(result)
                 case Publish(index, rows):
                     self.published.append((index, rows))
-                case Restart():
+                case ResetFollowers():
                     self.published.append((-1, ()))
                 case Continue():
                     self.core.later(0, lambda generation=self.generation: self._proceed(generation))
@@ -194,11 +194,11 @@
         if self.core.now < self.frozen_until:
             self.core.later(self.frozen_until - self.core.now + 1, lambda: self._proceed(generation))
         elif generation == self.generation and self.replica is not None:
-            self.do(self.replica.proceed(self.core.now))
+            self.do(self.replica.run_slice(self.core.now))
 
     def _delivered(self, id_: str, generation: int) -> None:
         if generation == self.generation and self.replica is not None:
-            self.do(self.replica.delivered(id_, self.core.now))
+            self.do(self.replica.on_delivered(id_, self.core.now))
 
     def _self(self, line: bytes, generation: int) -> None:
         if generation == self.generation:
@@ -212,9 +212,9 @@
             self.disk.write(store)
         self._writing = False
         for store in batch:
-            out += store.tells
+            out += store.sends
             if store.index >= 0:
-                out += self.replica.stored(store.index, store.generation)
+                out += self.replica.on_stored(store.index, store.generation)
         self.do(out)
 
 
@@ -283,7 +283,7 @@
         if pair not in self.cuts and self._held[pair] == generation:
             there = self.hosts[addr]
             if there.replica is None and host.replica is not None:
-                host.do(host.replica.refused(addr, self.now))
+                host.do(host.replica.on_connection_refused(addr, self.now))
             else:
                 there.hear(host.name, line)
 
@@ -300,8 +300,8 @@
     def _met(self, one: Host, two: Host) -> None:
         for here, there in ((one, two), (two, one)):
             if here.replica is not None and there.replica is not None:
-                here.replica.met(there.name, self.now)
-                here.do(here.replica.reconnected(there.name, self.now))
+                here.replica.add_peer(there.name, self.now)
+                here.do(here.replica.on_reconnected(there.name, self.now))
 
     def cut(self, pairs: Iterable[tuple[str, str]]) -> None:
         self.cuts.update(pairs)
--- a/tests/control/operators.py
+++ b/tests/control/operators.py
@@ -13,7 +13,7 @@
 
 from corekit import Core, Host
 
-from brackengate.control.commands import OPERATOR_PATIENCE
+from brackengate.control.commands import OPERATOR_TIMEOUT_US
 from brackengate.control.operator_api import answer_to
 from brackengate.protocol.messages import Amend
 
@@ -87,5 +87,5 @@
                 host.withdraw(number)
                 ended(0)
 
-        number = host.ask(Amend(sent.body), lambda result: ended(answer_to(result)[0]), OPERATOR_PATIENCE)
+        number = host.ask(Amend(sent.body), lambda result: ended(answer_to(result)[0]), OPERATOR_TIMEOUT_US)
         self.core.later(PATIENCE, gives_up)
--- a/tests/control/test_bounded_steps.py
+++ b/tests/control/test_bounded_steps.py
@@ -16,9 +16,9 @@
 from brackengate.control.actions import Store
 from brackengate.control.head_orders import Examining, HeadOrders, Wait
 from brackengate.control.item_index import ItemIndex
-from brackengate.control.log import FOLD_AT_ONCE, FOLD_MOST, ReplicaLog
-from brackengate.control.prepared_rows import MOST_ROWS, SLICE_ROWS, PreparedRows
-from brackengate.control.rows import State
+from brackengate.control.log import FLUSH_BATCH_ROWS, FLUSH_ROWS, ReplicaLog
+from brackengate.control.prepared_rows import MAX_PREPARED_ROWS, SLICE_ROWS, PreparedRows
+from brackengate.control.rows import CommittedState
 from brackengate.protocol import config_items
 from brackengate.protocol.config_items import Item
 from brackengate.protocol.messages import Amend, Entry, Row
@@ -85,15 +85,15 @@
     """Whatever is cut off in between, what is on disk gives the same rows after a start."""
     made = ReplicaLog(0)
     stores = [made.store(())]
-    for index, entry in enumerate((Entry(1, rows_of(FOLD_MOST + 300)), Entry(2, rows_of(7, 2))), 1):
-        made.take(entry)
+    for index, entry in enumerate((Entry(1, rows_of(FLUSH_ROWS + 300)), Entry(2, rows_of(7, 2))), 1):
+        made.append(entry)
         stores.append(made.store((entry,)))
         made.commit(index)
     now = 0
-    while made.folded:
+    while made.unflushed:
         now += 50 * MS
-        stores += made.fold_if_due(now)
-    assert max(len(store.rows) for store in stores) == FOLD_AT_ONCE
+        stores += made.flush_if_due(now)
+    assert max(len(store.rows) for store in stores) == FLUSH_BATCH_ROWS
     whole = _as_started(stores)
     assert (whole.state.index, whole.state.rows.checksum) == (2, made.state.rows.checksum)
     for cut in range(3, len(stores)):  # both entries are on disk
@@ -104,7 +104,7 @@
 
 def _as_started(stores: list[Store]) -> ReplicaLog:
     """What a disk with these stores gives at the next start."""
-    disk, entries, base, place = State(), dict[int, Entry](), 0, 0
+    disk, entries, base, place = CommittedState(), dict[int, Entry](), 0, 0
     for store in stores:
         for index, row in store.rows:
             disk.set(index, row)
@@ -128,10 +128,10 @@
 
 
 def test_the_oldest_order_goes_where_many_are_prepared() -> None:
-    prepared, many = PreparedRows(), rows_of(MOST_ROWS // 2)
+    prepared, many = PreparedRows(), rows_of(MAX_PREPARED_ROWS // 2)
     for id_ in ("a", "b", "c"):
         for _ in prepared.prepare(id_, many):
-            assert sum(map(len, prepared.orders.values())) <= MOST_ROWS + SLICE_ROWS
+            assert sum(map(len, prepared.orders.values())) <= MAX_PREPARED_ROWS + SLICE_ROWS
     assert list(prepared.orders) == ["b", "c"]
 
 
--- a/tests/control/test_commands_pending.py
+++ b/tests/control/test_commands_pending.py
@@ -11,14 +11,14 @@
 
 from brackengate.control.actions import Answer
 from brackengate.control.commands import (
-    GIVE_UP_AFTER,
-    HOLD_REFUSED,
-    MOST_REFUSED,
-    OPERATOR_PATIENCE,
-    RESUBMIT_AFTER,
+    GIVE_UP_AFTER_US,
+    HOLD_REFUSED_US,
+    MAX_REFUSED_ORDERS,
+    OPERATOR_TIMEOUT_US,
+    RESUBMIT_AFTER_US,
     PendingCommands,
     RefusedOrders,
-    patience_for,
+    operator_timeout_us,
 )
 from brackengate.control.operator_api import Control, answer_to
 from brackengate.http.message import Arrival
@@ -53,10 +53,10 @@
     commands = PendingCommands(100)
     command = commands.add(ORDER, 7, 0)
     first, second = commands.submission(command, 1, 0).id, commands.submission(command, 1, 0).id
-    assert commands.resolved(Result(first, refused)) is None
-    assert commands.resolved(Result(second, refused)) == Answer(7, refused)
-    assert commands.resolved(Result(second, refused)) is None
-    assert not commands.by_id and not commands.command_of
+    assert commands.on_result(Result(first, refused)) is None
+    assert commands.on_result(Result(second, refused)) == Answer(7, refused)
+    assert commands.on_result(Result(second, refused)) is None
+    assert not commands.by_id and not commands.command_of_submission
 
 
 def test_an_acknowledgement_of_any_submission_is_the_result() -> None:
@@ -64,34 +64,34 @@
     command = commands.add(ORDER, 7, 0)
     first = commands.submission(command, 1, 0).id
     commands.submission(command, 2, 0)
-    assert commands.resolved(Result(first, CommandDone())) == Answer(7, CommandDone())
+    assert commands.on_result(Result(first, CommandDone())) == Answer(7, CommandDone())
 
 
 def test_a_command_is_submitted_again_and_then_given_up() -> None:
     commands = PendingCommands(100)
-    order, read = commands.add(ORDER, 7, 0, OPERATOR_PATIENCE), commands.add(Read(), 8, 0)
+    order, read = commands.add(ORDER, 7, 0, OPERATOR_TIMEOUT_US), commands.add(Read(), 8, 0)
     commands.submission(order, 1, 0)
     commands.submission(read, 1, 0)
-    assert commands.due(RESUBMIT_AFTER) == []
-    assert commands.due(RESUBMIT_AFTER + 1) == [order, read]
-    assert commands.expired(OPERATOR_PATIENCE) == []
-    assert commands.expired(OPERATOR_PATIENCE + 1) == [order]
-    assert commands.expired(GIVE_UP_AFTER) == [order]
-    assert commands.expired(GIVE_UP_AFTER + 1) == [order, read]
+    assert commands.due(RESUBMIT_AFTER_US) == []
+    assert commands.due(RESUBMIT_AFTER_US + 1) == [order, read]
+    assert commands.expired(OPERATOR_TIMEOUT_US) == []
+    assert commands.expired(OPERATOR_TIMEOUT_US + 1) == [order]
+    assert commands.expired(GIVE_UP_AFTER_US) == [order]
+    assert commands.expired(GIVE_UP_AFTER_US + 1) == [order, read]
 
 
 def test_refusals_are_remembered_for_a_while_and_up_to_a_number() -> None:
     refused = RefusedOrders()
-    for n in range(MOST_REFUSED + 10):
+    for n in range(MAX_REFUSED_ORDERS + 10):
         refused.add(f"order {n}", n)
-    assert (len(refused.refused_at), refused.holds("order 9", n)) == (MOST_REFUSED, False)
-    assert refused.holds("order 10", 10 + HOLD_REFUSED)
-    assert not refused.holds("order 10", 11 + HOLD_REFUSED)
+    assert (len(refused.refused_at), refused.holds("order 9", n)) == (MAX_REFUSED_ORDERS, False)
+    assert refused.holds("order 10", 10 + HOLD_REFUSED_US)
+    assert not refused.holds("order 10", 11 + HOLD_REFUSED_US)
     large = "x" * (1 << 20)  # it may be under way for longer
     refused.add(large, 0)
-    assert refused.holds(large, patience_for(large))
+    assert refused.holds(large, operator_timeout_us(large))
     del refused.refused_at[large]
-    refused.add("order 10", 2 * HOLD_REFUSED)
+    refused.add("order 10", 2 * HOLD_REFUSED_US)
     assert list(refused.refused_at) == ["order 10"]
 
 
@@ -124,7 +124,7 @@
         self.withdrawn: list[int] = []
 
     def ask(self, what: Command, done: Callable[[Any], None], give_up_after: int) -> int:
-        assert give_up_after == OPERATOR_PATIENCE
+        assert give_up_after == OPERATOR_TIMEOUT_US
         self.asked.append(what)
         return len(self.asked)
 
--- a/tests/control/test_copies.py
+++ b/tests/control/test_copies.py
@@ -13,9 +13,9 @@
 
 from brackengate.control import log, recent, transfer
 from brackengate.control.learning import Learner
-from brackengate.control.replica import FIRST
-from brackengate.control.rows import KEY, CommittedRows
-from brackengate.control.transfer import COMPLETE
+from brackengate.control.replica import FIRST_INCARNATION
+from brackengate.control.rows import KEY_KIND, CommittedRows
+from brackengate.control.transfer import COMPLETE_BUCKET
 from brackengate.model_check.disk import DiskState
 from brackengate.protocol.messages import Amend, Claim, CommandDone, CopyPiece, Line, Member, Unclaim, View
 
@@ -31,12 +31,12 @@
 
 def filled(disk: DiskState, members: list[str], rows: int = ROWS) -> None:
     """As the disk of a member of the first view that has taken so many claims."""
-    disk.incarnation = FIRST
-    view = View(1, tuple(Member(name, FIRST, 1) for name in members))
+    disk.incarnation = FIRST_INCARNATION
+    view = View(1, tuple(Member(name, FIRST_INCARNATION, 1) for name in members))
     for name, value in {"place": rows, "base": rows, "lineage": 1, "view": view}.items():
         disk.meta[name] = msgspec.json.encode(value)
     for n in range(rows):
-        disk.committed[KEY, f"old {n}"] = (n + 1, msgspec.json.encode(["g", "1"]))
+        disk.committed[KEY_KIND, f"old {n}"] = (n + 1, msgspec.json.encode(["g", "1"]))
 
 
 class Copies:
@@ -79,7 +79,7 @@
 
     def copied(self, host: Host | None = None) -> int:
         replica = (host or self.learner).replica
-        return replica.chain.log().copied if replica is not None else -1
+        return replica.chain.log_status().copied if replica is not None else -1
 
     def is_in(self, host: Host) -> bool:
         return host.replica is not None and host.replica.chain.has_snapshot
@@ -115,7 +115,7 @@
         """What was acknowledged and is not held there."""
         assert host.replica is not None
         rows = host.replica.chain.rows
-        return [key for key in self.acked if key not in self.freed and (KEY, key) not in rows]
+        return [key for key in self.acked if key not in self.freed and (KEY_KIND, key) not in rows]
 
 
 def _held(host: Host) -> tuple[int, int, int]:
@@ -229,7 +229,7 @@
     case.learner.start()
     assert case.learner.replica is not None
     held = case.learner.replica.chain
-    assert case.copied() < 0 and not held.has_snapshot and held.learner.position.bucket < COMPLETE
+    assert case.copied() < 0 and not held.has_snapshot and held.learner.position.bucket < COMPLETE_BUCKET
     assert held.state.rows.count < ROWS
     case.until(lambda: case.is_in(case.learner))
     case.core.run(case.core.now + 1_000_000)
@@ -241,7 +241,7 @@
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     """A member is away for longer than the entries are kept: its place and its rows are of no use."""
-    monkeypatch.setattr(log, "RECENT", 10)
+    monkeypatch.setattr(log, "RECENT_ENTRIES", 10)
     case = Copies()
     case.learner = tail = case.members[2]
     case.hosts = case.members
@@ -298,7 +298,7 @@
     case.begin()
     case.until(lambda: len(case.pieces) > 30)
     assert case.learner.replica is not None
-    case.learner.replica.chain.state.rows.set(KEY, "spoilt", 1, ["g", "2"])
+    case.learner.replica.chain.state.rows.set(KEY_KIND, "spoilt", 1, ["g", "2"])
     case.until(lambda: case.is_in(case.learner))
     case.core.run(case.core.now + 1_000_000)
     case.alike()
@@ -409,7 +409,7 @@
     seed: int, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     """Drawn faults over five replicas, with short logs so that copies begin anew; looked at all along."""
-    monkeypatch.setattr(log, "RECENT", 30)
+    monkeypatch.setattr(log, "RECENT_ENTRIES", 30)
     case, rng = Copies(members=4, seed=seed, rows=300), random.Random(seed)
     case.begin()
     hosts, core = case.hosts, case.core
@@ -466,19 +466,19 @@
 
 
 def test_a_sender_that_has_less_than_the_taker_says_nothing() -> None:
-    rows = CommittedRows.of((KEY, f"k{n}", n, ["g", "1"]) for n in range(1, 50))
+    rows = CommittedRows.of((KEY_KIND, f"k{n}", n, ["g", "1"]) for n in range(1, 50))
     entries = recent.RecentEntries(10, 1_000, start=49)
-    request = transfer.CopyRequest(5, transfer.CopyPosition(COMPLETE, 50))
+    request = transfer.CopyRequest(5, transfer.CopyPosition(COMPLETE_BUCKET, 50))
     assert transfer.next_piece(rows, entries, 49, request) is None
     learner = Learner(transfer.CopyPosition(9, 50))
     asked = learner.next_request(["a"], 100)
     assert asked is not None
     older = CopyPiece(asked.id, transfer.CopyPosition(12, 49), anew=True)
-    assert not learner.answered("a", older)
+    assert not learner.accepts("a", older)
 
 
 def pieces_of(rows: CommittedRows, entries: recent.RecentEntries, index: int) -> Iterator[CopyPiece]:
-    position = transfer.NOTHING
+    position = transfer.EMPTY_POSITION
     while True:
         piece = transfer.next_piece(rows, entries, index, transfer.CopyRequest(1, position))
         assert piece is not None
@@ -489,7 +489,7 @@
 
 
 def test_a_piece_is_bounded() -> None:
-    rows = CommittedRows.of((KEY, f"k{n}", n, ["g", "x" * (n % 300)]) for n in range(1, 5_000))
+    rows = CommittedRows.of((KEY_KIND, f"k{n}", n, ["g", "x" * (n % 300)]) for n in range(1, 5_000))
     pieces = list(pieces_of(rows, recent.RecentEntries(10, 1_000, start=5_000), 5_000))
     assert sum(len(piece.rows) for piece in pieces) == 4_999
     assert max(len(piece.rows) for piece in pieces) < 30
--- a/tests/control/test_core.py
+++ b/tests/control/test_core.py
@@ -12,7 +12,7 @@
 from testtools.matchers import Equals, HasLength
 from timeline import play
 
-from brackengate.control.replica import FIRST
+from brackengate.control.replica import FIRST_INCARNATION
 from brackengate.protocol.messages import Amend, Claim, CommandDone, HeldBy, Read
 
 
@@ -438,7 +438,7 @@
     )
     assert answers == {"k1 g1": "ok", "k2 g2": "ok"}
     lives = {member.addr: member.incarnation for view in core.views().values() for member in view.members}
-    assert [lives[name] == FIRST for name in core.hosts] == [False, True, True]
+    assert [lives[name] == FIRST_INCARNATION for name in core.hosts] == [False, True, True]
 
 
 def test_what_is_beside_a_promise_costs_the_vote(tmp_path: Path) -> None:
--- a/tests/control/test_disk.py
+++ b/tests/control/test_disk.py
@@ -14,14 +14,22 @@
 import pytest
 
 from brackengate.control.actions import Store
-from brackengate.control.replica import FIRST, StoredState
+from brackengate.control.replica import FIRST_INCARNATION, StoredState
 from brackengate.control.role import Lighthouse
-from brackengate.control.store import ASIDE, NAME, TALLY, Disk, NewerForm, damaged, open_disk
+from brackengate.control.store import (
+    DAMAGED_NAME,
+    DATABASE_NAME,
+    TALLY_NAME,
+    Disk,
+    NewerFormat,
+    is_damage,
+    open_disk,
+)
 from brackengate.protocol.messages import Member, View
 from brackengate.protocol.settings import parse
 
-VIEW = View(2, (Member("a:1", FIRST, 1),))
-OTHERS = (f"{NAME}-wal", ASIDE, f"{ASIDE}-wal")
+VIEW = View(2, (Member("a:1", FIRST_INCARNATION, 1),))
+OTHERS = (f"{DATABASE_NAME}-wal", DAMAGED_NAME, f"{DAMAGED_NAME}-wal")
 
 
 def rows(first: int, last: int) -> Store:
@@ -71,19 +79,24 @@
 
 def is_new_life(kept: StoredState) -> bool:
     """As of a lost disk: no vote, no index, and the very first start is not claimed either."""
-    return kept.incarnation != FIRST and state(kept)[1:] == (None, (0, ""), 0, [])
+    return kept.incarnation != FIRST_INCARNATION and state(kept)[1:] == (None, (0, ""), 0, [])
 
 
 def test_what_was_written_is_read_after_a_kill(served: Path) -> None:
     kept = reopened(served)
-    assert (kept.incarnation, kept.view, kept.promised, kept.index) == (FIRST, VIEW, (7, "b:1"), 69)
+    assert (kept.incarnation, kept.view, kept.promised, kept.index) == (
+        FIRST_INCARNATION,
+        VIEW,
+        (7, "b:1"),
+        69,
+    )
     assert [row[1] for row in sorted(kept.rows, key=lambda row: row[2])] == [
         f"k{n}" for n in range(1, 70) if n != 5
     ]
-    assert not (served / ASIDE).exists()
+    assert not (served / DAMAGED_NAME).exists()
 
 
-@pytest.mark.parametrize("which", [NAME, f"{NAME}-wal"])
+@pytest.mark.parametrize("which", [DATABASE_NAME, f"{DATABASE_NAME}-wal"])
 def test_no_flipped_byte_is_believed(served: Path, which: str) -> None:
     """It has what it had, or a new life: never an older promise, never fewer rows."""
     whole = state(open_disk(str(killed(served)), first=True)[1])
@@ -115,57 +128,59 @@
     """An older ballot, a claim of another attempt: in a file without a log, which sqlite does not
     check."""
     open_disk(str(served), first=True)[0].close()
-    data = (served / NAME).read_bytes()
+    data = (served / DATABASE_NAME).read_bytes()
     assert value in data
-    (served / NAME).write_bytes(data.replace(value, other))
+    (served / DATABASE_NAME).write_bytes(data.replace(value, other))
     assert is_new_life(reopened(served))
     assert found in caplog.text
 
 
-@pytest.mark.parametrize("which", [NAME, f"{NAME}-wal"])
+@pytest.mark.parametrize("which", [DATABASE_NAME, f"{DATABASE_NAME}-wal"])
 def test_no_file_that_was_cut_short_is_believed(served: Path, which: str) -> None:
     whole = state(open_disk(str(killed(served)), first=True)[1])
     for length in (0, 1, 100, 4096, 4500, (served / which).stat().st_size - 1):
         folder = killed(served)
         os.truncate(folder / which, length)
         kept = reopened(folder)  # pages that the log holds too are not missed
-        assert is_new_life(kept) or (length >= 4096 and which == NAME and state(kept) == whole), length
+        assert is_new_life(kept) or (
+            length >= 4096 and which == DATABASE_NAME and state(kept) == whole
+        ), length
 
 
 def test_a_log_that_is_taken_away_costs_the_promise_and_a_closed_one_does_not(served: Path) -> None:
     folder = killed(served)
-    connection = sqlite3.connect(folder / NAME)  # as an operator who looks into it
+    connection = sqlite3.connect(folder / DATABASE_NAME)  # as an operator who looks into it
     connection.execute("SELECT * FROM meta").fetchall()
     connection.close()
-    assert not (folder / f"{NAME}-wal").exists()
+    assert not (folder / f"{DATABASE_NAME}-wal").exists()
     assert reopened(folder).promised == (7, "b:1")
     folder = killed(served)
-    (folder / f"{NAME}-wal").unlink()
+    (folder / f"{DATABASE_NAME}-wal").unlink()
     assert is_new_life(reopened(folder))
 
 
 def test_a_log_torn_by_a_loss_of_power_is_no_damage(served: Path) -> None:
     """The last commit was under way: nothing was said for it, and the small file is of some time before."""
-    told = (served / TALLY).read_bytes()
+    told = (served / TALLY_NAME).read_bytes()
     disk, before = open_disk(str(served), first=True)
     disk.write([rows(70, 90)])
     for torn in (b"", told[:20], told):
         folder = killed(served)
-        wal = folder / f"{NAME}-wal"
+        wal = folder / f"{DATABASE_NAME}-wal"
         os.truncate(wal, wal.stat().st_size - 300)
-        (folder / TALLY).write_bytes(torn)
+        (folder / TALLY_NAME).write_bytes(torn)
         assert state(reopened(folder)) == state(before)
     disk.close()
 
 
 def test_the_damaged_file_is_put_aside_and_named(served: Path, caplog: pytest.LogCaptureFixture) -> None:
     for spoilt in (b"", b"spoilt"):  # the second one takes the place of the first
-        (served / NAME).write_bytes(spoilt)
+        (served / DATABASE_NAME).write_bytes(spoilt)
         assert is_new_life(reopened(served))
-        assert (served / ASIDE).read_bytes() == spoilt
-    assert f"file {served / NAME}: damaged: it is empty" in caplog.text
-    assert f"file {served / NAME}: damaged: it does not begin as a file of sqlite" in caplog.text
-    assert {file.name for file in served.iterdir()} <= {NAME, TALLY, *OTHERS}
+        assert (served / DAMAGED_NAME).read_bytes() == spoilt
+    assert f"file {served / DATABASE_NAME}: damaged: it is empty" in caplog.text
+    assert f"file {served / DATABASE_NAME}: damaged: it does not begin as a file of sqlite" in caplog.text
+    assert {file.name for file in served.iterdir()} <= {DATABASE_NAME, TALLY_NAME, *OTHERS}
 
 
 def test_a_start_cut_off_anywhere_on_its_way_to_a_new_life_is_no_first_start(
@@ -176,7 +191,7 @@
     class Killed(BaseException):
         pass
 
-    (served / NAME).write_bytes(b"")
+    (served / DATABASE_NAME).write_bytes(b"")
     calls = [0, 0]
 
     def dying(real: object) -> object:
@@ -207,7 +222,7 @@
 
 def test_a_file_of_the_form_before_is_taken_over_in_place(tmp_path: Path) -> None:
     """As the program before wrote it."""
-    db = sqlite3.connect(tmp_path / NAME, isolation_level=None)
+    db = sqlite3.connect(tmp_path / DATABASE_NAME, isolation_level=None)
     db.execute("PRAGMA journal_mode=WAL")
     db.execute("CREATE TABLE meta (name TEXT PRIMARY KEY, value BLOB) WITHOUT ROWID")
     db.execute(
@@ -221,11 +236,11 @@
     folder = killed(tmp_path, "before")
     db.close()
     disk, kept = open_disk(str(folder), first=False)
-    assert (kept.incarnation, kept.promised, kept.index) == (FIRST, (3, "c:1"), 9)
+    assert (kept.incarnation, kept.promised, kept.index) == (FIRST_INCARNATION, (3, "c:1"), 9)
     assert list(kept.rows) == [("key", "k9", 9, ["gate", "attempt"])]
     after = killed(folder, "after")  # and it is on the disk at once
     disk.close()
-    held = sqlite3.connect(after / NAME)
+    held = sqlite3.connect(after / DATABASE_NAME)
     assert held.execute("SELECT value FROM meta WHERE name = 'form'").fetchone() == (b"3",)
     held.execute("DELETE FROM rows")
     held.commit()
@@ -236,11 +251,11 @@
 def test_a_full_disk_is_no_damage_and_what_was_put_aside_gives_way(tmp_path: Path) -> None:
     disk, _ = open_disk(str(tmp_path), first=True)
     disk.write([rows(1, 50)])
-    (tmp_path / ASIDE).write_bytes(bytes(9000))
+    (tmp_path / DAMAGED_NAME).write_bytes(bytes(9000))
     disk.db.execute("PRAGMA max_page_count=1")  # sqlite takes the number of pages in use
     with pytest.raises(sqlite3.OperationalError, match="full"):
         disk.write([rows(50, 400)])
-    assert (tmp_path / ASIDE).stat().st_size == 0
+    assert (tmp_path / DAMAGED_NAME).stat().st_size == 0
     disk.db.execute("PRAGMA max_page_count=10000")
     disk.write([rows(50, 400)])
     folder = killed(tmp_path)
@@ -255,18 +270,18 @@
     """Also where a new file has to be begun: what was put aside makes room for it."""
     whole = state(open_disk(str(killed(served)), first=True)[1])
     if spoilt:
-        (served / NAME).write_bytes(b"spoilt")
-    real = Disk.settle
+        (served / DATABASE_NAME).write_bytes(b"spoilt")
+    real = Disk.set_pragmas
 
     def full(self: Disk, journal: str) -> None:
         self.db.execute("PRAGMA max_page_count=1")
         self.db.execute("CREATE TABLE more (a)")
 
-    monkeypatch.setattr(Disk, "settle", full)
+    monkeypatch.setattr(Disk, "set_pragmas", full)
     with pytest.raises(sqlite3.OperationalError, match="full"):
         open_disk(str(served), first=True)
-    monkeypatch.setattr(Disk, "settle", real)
-    assert [file.stat().st_size for file in served.glob(f"{ASIDE}*")] == [0, 0] * spoilt
+    monkeypatch.setattr(Disk, "set_pragmas", real)
+    assert [file.stat().st_size for file in served.glob(f"{DAMAGED_NAME}*")] == [0, 0] * spoilt
     kept = reopened(served)
     assert is_new_life(kept) if spoilt else state(kept) == whole
 
@@ -306,11 +321,11 @@
     disk, _ = open_disk(str(served), first=True)
     disk.db.execute("PRAGMA cache_size=0")
     disk.db.execute("PRAGMA shrink_memory")
-    for name in (NAME, f"{NAME}-wal"):
+    for name in (DATABASE_NAME, f"{DATABASE_NAME}-wal"):
         (served / name).write_bytes(os.urandom((served / name).stat().st_size))
     with pytest.raises(sqlite3.DatabaseError) as broken:
         disk.write([rows(100, 200)])
-    assert damaged(broken.value)
+    assert is_damage(broken.value)
 
     async def told() -> int:
         lighthouse = Lighthouse(parse(SETTINGS % served))
@@ -331,10 +346,10 @@
     disk.db.execute("UPDATE meta SET value = '4' WHERE name = 'form'")
     folder = killed(served)
     disk.close()
-    with pytest.raises(NewerForm):
+    with pytest.raises(NewerFormat):
         open_disk(str(killed(served, "other")), first=True)
     process = lighthouse(folder, tmp_path / "local.toml")
     _, told = process.communicate(timeout=30)
-    said = f"brackengate: {folder / NAME}: written by a newer program (form 4, this one reads 3)\n"
+    said = f"brackengate: {folder / DATABASE_NAME}: written by a newer program (form 4, this one reads 3)\n"
     assert (process.returncode, told) == (2, said)
-    assert not (folder / ASIDE).exists()
+    assert not (folder / DAMAGED_NAME).exists()
--- a/tests/control/test_followers.py
+++ b/tests/control/test_followers.py
@@ -11,7 +11,7 @@
 from brackengate.control.actions import Publish
 from brackengate.control.follower_connections import FollowerConnections
 from brackengate.control.follower_messages import MOST_CHANGES, MOST_INDEXES, FollowerMessages
-from brackengate.control.replica import FIRST, Replica, StoredState
+from brackengate.control.replica import FIRST_INCARNATION, Replica, StoredState
 from brackengate.protocol.message_parts import EncodedMessage, unpacked
 from brackengate.protocol.messages import (
     Changes,
@@ -53,12 +53,12 @@
 
 
 def replica(rows: int) -> Replica:
-    made = Replica("a:1", "", StoredState(FIRST), ["a:1"], True, 1, 1_000_000, 0)
+    made = Replica("a:1", "", StoredState(FIRST_INCARNATION), ["a:1"], True, 1, 1_000_000, 0)
     made.start(0)
     for n in range(rows):
-        made.ask(Report(f"10.0.0.{n}", {"id": f"i{n}"}), n, 0)
-        made.stored(made.chain.index, made.chain.generation)
-    made.chain.held.recent_public.begin(made.chain.index)  # as after a restart
+        made.submit_command(Report(f"10.0.0.{n}", {"id": f"i{n}"}), n, 0)
+        made.on_stored(made.chain.index, made.chain.generation)
+    made.chain.replica_log.recent_public.begin(made.chain.index)  # as after a restart
     made.serves = lambda now: True  # type: ignore[method-assign]
     return made
 
@@ -102,8 +102,8 @@
         connections.joined(lines)
         connections.heard(lines, Follow(-1))
     assert len({id(end.messages[-1]) for end in ends}) == 1 and ends[0].last_piece().total is not None
-    made.ask(Report("10.0.1.1", {"id": "late"}), 99, 0)
-    made.stored(chain.index, chain.generation)
+    made.submit_command(Report("10.0.1.1", {"id": "late"}), 99, 0)
+    made.on_stored(chain.index, chain.generation)
     connections.restart()
     assert len({id(end.messages[-1]) for end in ends}) == 1
     assert [row[1] for row in ends[0].changes()[-1].rows] == ["10.0.1.1"]
@@ -112,7 +112,7 @@
 
 def test_followers_from_many_indexes_do_not_make_it_keep_what_each_lacks() -> None:
     made = replica(40)
-    made.chain.held.recent_public.begin(0)
+    made.chain.replica_log.recent_public.begin(0)
     messages = FollowerMessages(made.chain)
     for index in range(40):
         news = messages.missed_since(index)
--- a/tests/control/test_membership.py
+++ b/tests/control/test_membership.py
@@ -6,13 +6,13 @@
 
 import pytest
 
-from brackengate.control.actions import Action, Store, Tell
-from brackengate.control.ballots import NOBODY, ViewChange, quorum
+from brackengate.control.actions import Action, Send, Store
+from brackengate.control.ballots import NO_BALLOT, ViewChange, quorum
 from brackengate.control.contact import LogStatus
-from brackengate.control.failure_detector import FIRST_START, FORGOTTEN, LEASE
+from brackengate.control.failure_detector import FIRST_START_GRACE_US, FORGET_PEER_AFTER_US, LEASE_US
 from brackengate.control.membership import MembershipFacts, next_members
-from brackengate.control.replica import FIRST, Replica, StoredState
-from brackengate.control.view import ADMISSION_LAG, Agreement
+from brackengate.control.replica import FIRST_INCARNATION, Replica, StoredState
+from brackengate.control.view import MAX_ADMISSION_LAG_ENTRIES, Agreement
 from brackengate.protocol.messages import Accept, Line, Member, Ping, Pong, Prepare, Promise, View
 
 A, B, C, D, E = (Member(name, "i", 1) for name in "ABCDE")
@@ -128,7 +128,7 @@
         self.now = 0
 
     def hear(self, addr: str, word: Line) -> list[Action]:
-        return self.agreement.heard(addr, word, self.now, self.log)
+        return self.agreement.on_message(addr, word, self.now, self.log)
 
     def round(self, *others: str, copied: int = -1, learner: str = "", answers: bool = True) -> list[Action]:
         """150 ms, in which the others say that all is well."""
@@ -137,7 +137,9 @@
         for _ in range(3):
             self.now += 50_000
             out += self.agreement.tick(self.now, self.log)
-        pings = {one.addr: one.word for one in out if isinstance(one, Tell) and isinstance(one.word, Ping)}
+        pings = {
+            one.addr: one.message for one in out if isinstance(one, Send) and isinstance(one.message, Ping)
+        }
         for addr in others:
             inc = "n" if addr == learner else "i"
             said = Ping(
@@ -149,9 +151,9 @@
         return out
 
 
-def prepares(actions: list[Action]) -> list[Tell]:
-    told = [tell for action in actions if isinstance(action, Store) for tell in action.tells]
-    return [tell for tell in told if isinstance(tell.word, Prepare)]
+def prepares(actions: list[Action]) -> list[Send]:
+    told = [tell for action in actions if isinstance(action, Store) for tell in action.sends]
+    return [tell for tell in told if isinstance(tell.message, Prepare)]
 
 
 def test_nobody_hears_of_a_ballot_before_it_is_on_its_coordinators_disk() -> None:
@@ -159,18 +161,18 @@
     for _ in range(6):  # C is taken for dead in the fourth
         out += core.round("B") if not prepares(out) else []
     assert [tell.addr for tell in prepares(out)] == ["B", "C"]
-    assert not [one for one in out if isinstance(one, Tell) and isinstance(one.word, Prepare)]
-    began = next(one for one in out if isinstance(one, Store) and one.tells)
+    assert not [one for one in out if isinstance(one, Send) and isinstance(one.message, Prepare)]
+    began = next(one for one in out if isinstance(one, Store) and one.sends)
     assert began.meta["promised"] == (1, "A")
 
 
-@pytest.mark.parametrize("copied", [-1, 0, ADMISSION_LAG - 1, ADMISSION_LAG])
+@pytest.mark.parametrize("copied", [-1, 0, MAX_ADMISSION_LAG_ENTRIES - 1, MAX_ADMISSION_LAG_ENTRIES])
 def test_a_learner_without_a_copy_is_not_admitted(copied: int) -> None:
     core, out = Scripted(), list[Action]()
-    core.log.commit_index = 2 * ADMISSION_LAG
+    core.log.commit_index = 2 * MAX_ADMISSION_LAG_ENTRIES
     for _ in range(5):
         out += core.round("B", "C", "N", learner="N", copied=copied)
-    assert bool(prepares(out)) is (copied == ADMISSION_LAG)
+    assert bool(prepares(out)) is (copied == MAX_ADMISSION_LAG_ENTRIES)
 
 
 def test_a_lost_disk_is_believed_by_an_answer_alone() -> None:
@@ -203,7 +205,7 @@
     assert not core.agreement.holds_lease(core.now)
     core.hear("C", Pong(1, core.now, False, "i"))
     assert not core.agreement.holds_lease(core.now)  # one answer to each ping
-    assert core.agreement._acceptor.promised == NOBODY
+    assert core.agreement._acceptor.promised == NO_BALLOT
 
 
 def test_the_vote_of_a_lost_disk_does_not_count_in_the_smaller_quorum() -> None:
@@ -222,7 +224,7 @@
             core.round("C")
             core.hear("B", Pong(1, core.now, False, "newer"))
         out = core.hear("A", Promise(2, (1, "A"), 100, True))
-        assert any(isinstance(one, Tell) and isinstance(one.word, Accept) for one in out) is not lost
+        assert any(isinstance(one, Send) and isinstance(one.message, Accept) for one in out) is not lost
 
 
 def test_its_own_promise_ends_the_lease() -> None:
@@ -232,7 +234,7 @@
         core.round("B", "C")
     core.hear("C", Prepare(2, (9, "C")))
     promised = core.now
-    while core.now - promised < LEASE:
+    while core.now - promised < LEASE_US:
         assert core.agreement.holds_lease(core.now)  # what was in force is not older than that
         core.round("B")
     assert not core.agreement.holds_lease(core.now)
@@ -242,23 +244,25 @@
     core = Scripted()
     for n in range(50):
         core.hear(f"gone{n}", Ping("n", 1, joining=True))
-    for core.now in range(0, FORGOTTEN + 600_000, 300_000):
+    for core.now in range(0, FORGET_PEER_AFTER_US + 600_000, 300_000):
         core.agreement.tick(core.now, core.log)
     assert sorted(core.agreement.peers) == ["B", "C"]
 
 
 def test_a_seed_that_comes_up_late_at_the_first_start_keeps_its_membership() -> None:
     """Else the first view shrinks to those that were quick, and the next loss stops writes."""
-    replica = Replica("A", "", StoredState(FIRST), ["A", "B", "C"], True, 2, 60_000_000, 0)
+    replica = Replica("A", "", StoredState(FIRST_INCARNATION), ["A", "B", "C"], True, 2, 60_000_000, 0)
     begun: int | None = None
     actions = replica.start(0)
     for now in range(50_000, 4_000_000, 50_000):
         actions = replica.tick(now)
-        for action in [one for one in actions if isinstance(one, Tell) and one.addr == "B"]:
-            if isinstance(action.word, Ping):
-                replica.heard("B", Pong(1, action.word.sent, False, FIRST), now)
-        replica.heard("B", Ping(FIRST, 1, caught_up_epoch=1, hears=("A", "C"), sent=now), now)
+        for action in [one for one in actions if isinstance(one, Send) and one.addr == "B"]:
+            if isinstance(action.message, Ping):
+                replica.on_message("B", Pong(1, action.message.sent, False, FIRST_INCARNATION), now)
+        replica.on_message(
+            "B", Ping(FIRST_INCARNATION, 1, caught_up_epoch=1, hears=("A", "C"), sent=now), now
+        )
         stores = [one for one in actions if isinstance(one, Store)]
-        if begun is None and any(isinstance(one.word, Prepare) for store in stores for one in store.tells):
+        if begun is None and any(isinstance(one.message, Prepare) for store in stores for one in store.sends):
             begun = now
-    assert begun is not None and FIRST_START < begun < FIRST_START + 1_500_000
+    assert begun is not None and FIRST_START_GRACE_US < begun < FIRST_START_GRACE_US + 1_500_000
--- a/tests/control/test_order_timelines.py
+++ b/tests/control/test_order_timelines.py
@@ -11,9 +11,9 @@
 from corekit import Core, Host
 from operators import Operator, order, plant, route
 
-from brackengate.control.actions import Action, Answer, Store, Tell
+from brackengate.control.actions import Action, Answer, Send, Store
 from brackengate.control.chain import Chain
-from brackengate.control.commands import OPERATOR_PATIENCE
+from brackengate.control.commands import OPERATOR_TIMEOUT_US
 from brackengate.control.store import open_disk
 from brackengate.protocol.config_items import Item
 from brackengate.protocol.messages import Amend, Configuration, Member, Read, Row, Submit, View
@@ -211,7 +211,7 @@
     early = order(route("new", 5, to="later"))
     away = next(host for host in mesh.hosts if host is not mesh.head())
     mesh.cut_off(away)
-    away.ask(Amend(early), lambda _: None, OPERATOR_PATIENCE)
+    away.ask(Amend(early), lambda _: None, OPERATOR_TIMEOUT_US)
     mesh.passes(1)
     sent = mesh.operator.send(early, [mesh.head()])
     mesh.taken(order(plants=[plant("later", 3)]))
@@ -245,34 +245,34 @@
     """It may have lain in a queue, and its caller may have been refused since."""
     chain = Chain("a:80", 1, 60 * S, 0, 1, 0)
     members = (Member("a:80", "first", 1), Member("b:80", "first", 1))
-    chain.viewed(View(2, members), "first", 0)
-    assert chain.heard("b:80", Submit(7, Amend(FIRST), epoch=1), 0) == []
-    assert chain.heard("b:80", Submit(8, Amend(FIRST), epoch=2), 0) != []
+    chain.on_view(View(2, members), "first", 0)
+    assert chain.on_message("b:80", Submit(7, Amend(FIRST), epoch=1), 0) == []
+    assert chain.on_message("b:80", Submit(8, Amend(FIRST), epoch=2), 0) != []
 
 
 def submitted(actions: Iterable[Action]) -> list[Submit]:
-    return [one.word for one in actions if isinstance(one, Tell) and isinstance(one.word, Submit)]
+    return [one.message for one in actions if isinstance(one, Send) and isinstance(one.message, Submit)]
 
 
 def test_an_order_whose_caller_has_gone_is_not_submitted_again() -> None:
     chain = Chain("b:80", 1, 60 * S, 0, 1, 0)
     members = (Member("a:80", "first", 1), Member("b:80", "first", 1))
-    chain.viewed(View(2, members), "first", 0)
-    chain.ask(Amend(FIRST), 7, 0)
-    chain.ask(Amend(X), 8, 0)
+    chain.on_view(View(2, members), "first", 0)
+    chain.submit_command(Amend(FIRST), 7, 0)
+    chain.submit_command(Amend(X), 8, 0)
     chain.withdraw(7)
     assert [one.what for one in submitted(chain.tick(S // 2))] == [Amend(X)]
-    assert [one.what for one in submitted(chain.viewed(View(3, members), "first", S))] == [Amend(X)]
+    assert [one.what for one in submitted(chain.on_view(View(3, members), "first", S))] == [Amend(X)]
 
 
 def test_an_order_that_waited_too_long_is_not_submitted_in_a_new_view() -> None:
     """Its replica stood still, and hears of the view before anything else."""
     chain = Chain("b:80", 1, 60 * S, 0, 1, 0)
     members = (Member("a:80", "first", 1), Member("b:80", "first", 1))
-    chain.viewed(View(2, members), "first", 0)
-    chain.ask(Amend(FIRST), 7, 0, OPERATOR_PATIENCE)
-    assert [one.what for one in submitted(chain.viewed(View(3, members), "first", S))] == [Amend(FIRST)]
-    out = chain.viewed(View(4, members), "first", 3 * S)
+    chain.on_view(View(2, members), "first", 0)
+    chain.submit_command(Amend(FIRST), 7, 0, OPERATOR_TIMEOUT_US)
+    assert [one.what for one in submitted(chain.on_view(View(3, members), "first", S))] == [Amend(FIRST)]
+    out = chain.on_view(View(4, members), "first", 3 * S)
     assert Answer(7, None) in out
     assert submitted(out) == []
 
--- a/tests/control/test_orders.py
+++ b/tests/control/test_orders.py
@@ -10,7 +10,7 @@
 from testtools import TestCase
 from testtools.matchers import Equals
 
-from brackengate.control.commands import DONE, HISTORY, decide
+from brackengate.control.commands import DONE, HISTORY_KIND, decide
 from brackengate.control.item_index import ItemIndex
 from brackengate.control.orders import REMEMBERED, History
 from brackengate.protocol.config_items import Item, Name
@@ -199,7 +199,7 @@
         self.assertThat(len(history.digests) < REMEMBERED * (18 + 1 + 16 + 1), Equals(True))
 
     def test_an_item_that_never_changed_has_no_history(self) -> None:
-        self.assertThat([name for kind, name in Held(FIRST, FIRST).rows if kind == HISTORY], Equals([]))
+        self.assertThat([name for kind, name in Held(FIRST, FIRST).rows if kind == HISTORY_KIND], Equals([]))
 
 
 @pytest.mark.parametrize("first", [0, 1])
--- a/tests/emulator/test_mesh_copies.py
+++ b/tests/emulator/test_mesh_copies.py
@@ -21,7 +21,7 @@
 
     monkeypatch.setattr(PublicCopy, "take", take)
     monkeypatch.setattr(transfer, "PIECE_ROWS", 2)
-    monkeypatch.setattr(log, "RECENT", 40)
-    monkeypatch.setattr(log, "RECENT_PUBLIC", 3)
+    monkeypatch.setattr(log, "RECENT_ENTRIES", 40)
+    monkeypatch.setattr(log, "RECENT_PUBLIC_ENTRIES", 3)
     kept(played(f"{name}.toml"))
     assert sum(pieces) >= 6 and len(pieces) > sum(pieces)
--- a/tests/emulator/test_mesh_hard.py
+++ b/tests/emulator/test_mesh_hard.py
@@ -129,7 +129,7 @@
     The scenario's second wipe alone: after the first one the chain stands still, as nobody is passed entries
     over a gap in them."""
     monkeypatch.setattr(Agreement, "_wiped", lambda self, member: False)
-    monkeypatch.setattr(Agreement, "_is_healthy", lambda self, member, now: self.hears(member.addr, now))
+    monkeypatch.setattr(Agreement, "_is_healthy", lambda self, member, now: self.is_alive(member.addr, now))
     monkeypatch.setattr(Agreement, "is_member", property(lambda self: self.view.member(self.me) is not None))
     monkeypatch.setattr(Chain, "has_snapshot", property(lambda self: self.view.member(self.me) is not None))
 
--- a/tests/emulator/test_mesh_leases.py
+++ b/tests/emulator/test_mesh_leases.py
@@ -8,7 +8,7 @@
 import pytest
 from test_mesh_lab import MESH
 
-from brackengate.control.failure_detector import LEASE
+from brackengate.control.failure_detector import LEASE_US
 from brackengate.control.follower_connections import Follower, FollowerConnections
 from brackengate.emulator.mesh import checks, faults
 from brackengate.emulator.mesh.scenario import changed
@@ -67,7 +67,7 @@
     late = [
         (when, word)
         for when, member, _, word in told
-        if member == cut_off and 2 * S + LEASE + SLACK < when < 22 * S
+        if member == cut_off and 2 * S + LEASE_US + SLACK < when < 22 * S
     ]
     assert late != []  # it is asked, and sends them away
     assert [word for _, word in late if not isinstance(word, Away | Core)] == []
--- a/tests/proxy/test_follower_copy.py
+++ b/tests/proxy/test_follower_copy.py
@@ -8,7 +8,7 @@
 
 from brackengate.control import transfer
 from brackengate.control.log import ReplicaLog
-from brackengate.control.transfer import NOTHING, Differs, next_piece
+from brackengate.control.transfer import EMPTY_POSITION, CopyMismatch, next_piece
 from brackengate.protocol.messages import CopyPiece, CopyRequest, Entry
 from brackengate.proxy.copy import PublicCopy
 from brackengate.proxy.routing_table import Table
@@ -30,7 +30,7 @@
             self.set(n, "plant", f"p{n}", plant(n, 1))
 
     def set(self, index: int, kind: str, name: str, value: Any) -> None:
-        self.log.take(Entry(index, ((kind, name, value), ("key", f"k{index}", ["g", "1"]))))
+        self.log.append(Entry(index, ((kind, name, value), ("key", f"k{index}", ["g", "1"]))))
         self.log.commit(index)
 
     def piece(self, copy: PublicCopy) -> CopyPiece:
@@ -96,7 +96,7 @@
 def test_a_piece_that_follows_another_place_is_left_alone() -> None:
     """Two replicas are asked at once, and the copy has gone on at the other one."""
     sender, copy = Sender(), PublicCopy()
-    copy.take(NOTHING, sender.piece(copy))
+    copy.take(EMPTY_POSITION, sender.piece(copy))
     asked, piece = copy.position, sender.piece(copy)
     for _ in range(2):
         copy.take(copy.position, sender.piece(copy))
@@ -112,9 +112,9 @@
     for _ in range(3):
         copy.take(copy.position, sender.piece(copy))
     copy.rows.set("plant", "p0", 1, plant(0, 1))
-    with pytest.raises(Differs):
+    with pytest.raises(CopyMismatch):
         finish(sender, copy)
-    assert copy.position == NOTHING and copy.rows.count == 0
+    assert copy.position == EMPTY_POSITION and copy.rows.count == 0
     finish(sender, copy)
     assert copy.rows.checksum == sender.log.state.public.checksum
 
--- a/tests/proxy/test_staged.py
+++ b/tests/proxy/test_staged.py
@@ -13,7 +13,7 @@
 
 from brackengate.control import transfer
 from brackengate.control.log import ReplicaLog
-from brackengate.control.transfer import NOTHING
+from brackengate.control.transfer import EMPTY_POSITION
 from brackengate.protocol.messages import (
     Beat,
     Changes,
@@ -192,10 +192,10 @@
 class CopySource(Replica):
     def __init__(self, index: int, rows: tuple[Row, ...]) -> None:
         super().__init__()
-        self.position, self.sent_whole = NOTHING, False
+        self.position, self.sent_whole = EMPTY_POSITION, False
         self._log = ReplicaLog(0)
         for at, row in enumerate(rows, index - len(rows) + 1):
-            self._log.take(Entry(at, (row,)))
+            self._log.append(Entry(at, (row,)))
             self._log.commit(at)
 
     def asked_for(self, piece: CopyPiece) -> CopyPosition:
