--- a/brackengate/control/actions.py
+++ b/brackengate/control/actions.py
@@ -1,4 +1,4 @@
-"""What the deciders ask their carrier for."""
+"""The effects that the pure state machines return, for the process around them to carry out."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 @dataclass(slots=True)
 class Send:
-    """Say it to another lighthouse; lost where there is no connection."""
+    """Send a message to another control replica; it is lost if there is no connection."""
 
     addr: str
     message: Line
@@ -19,19 +19,20 @@
 
 @dataclass(slots=True)
 class Store:
-    """Bring it to the disk, then say `tells`, then call
-    `stored(index, generation)` where `index` is not negative.
+    """Write this to disk, then send `sends`, then call `on_stored(index, generation)` if `index` is not
+    negative.
 
-    Stores are done in the order in which they were asked for, and each as a whole or not at all.  A disk
-    holds the committed rows, and beside them the log's entries that were not committed when they were stored:
-    first `forget` or `cut`, then `rows`, then what is `committed` leaves the log, then `entries` join it.
+    Stores are done in the order in which they were returned, each completely or not at all.  A disk holds
+    the committed rows, and beside them the log entries that were not committed when they were stored.
+    Applied in this order: `drop_all` or `drop_entries`, then `rows`, then the entries up to `committed` are
+    removed, then `entries` are added.
     """
 
     meta: dict[str, Any] = field(default_factory=dict)
-    rows: list[tuple[int, Row]] = field(default_factory=list)  # with the place of each
-    forget: bool = False  # all rows and entries that were there before go
-    cut: bool = False  # all entries that were there before go
-    committed: int = -1  # entries up to there go: what they say is among the rows
+    rows: list[tuple[int, Row]] = field(default_factory=list)  # each with its log index
+    drop_all: bool = False  # delete all rows and entries on disk first
+    drop_entries: bool = False  # delete all entries on disk first
+    committed: int = -1  # delete the entries up to this index: what they set is among the rows
     entries: list[Entry] = field(default_factory=list)
     sends: list[Send] = field(default_factory=list)
     index: int = -1
@@ -40,7 +41,7 @@
 
 @dataclass(slots=True)
 class Answer:
-    """An ask that came to this member is answered; None: it is not known what becomes of it."""
+    """The result of a command that was submitted at this replica; None: its outcome is unknown."""
 
     id: int
     result: Any
@@ -48,7 +49,7 @@
 
 @dataclass(slots=True)
 class Publish:
-    """These rows are agreed: followers may have them.  `staged`: orders by which some were delivered."""
+    """Send committed rows to the followers.  `staged`: ids of the orders that delivered some in advance."""
 
     index: int
     rows: tuple[Row, ...]
@@ -57,19 +58,19 @@
 
 @dataclass(slots=True)
 class Deliver:
-    """Followers may fetch this order; say `delivered` when all in touch hold it."""
+    """Offer this order to the followers; call `on_delivered` when all connected ones hold it."""
 
     order: StagedOrder
 
 
 @dataclass(slots=True)
 class ResetFollowers:
-    """What was published is no longer a prefix of what is held: followers take a snapshot."""
+    """What was published is no longer a prefix of the log held here: followers must take a new copy."""
 
 
 @dataclass(slots=True)
 class Continue:
-    """There is work that is done in slices: call `proceed` in the next step of the loop."""
+    """Work remains that is done in slices: call `run_slice` in the next iteration of the event loop."""
 
 
 Action = Send | Store | Answer | Publish | Deliver | ResetFollowers | Continue
--- a/brackengate/control/ballots.py
+++ b/brackengate/control/ballots.py
@@ -1,7 +1,8 @@
-"""Single-decree Paxos among the members of a view about the next one: votes and their counting.  Pure.
+"""Single-decree Paxos by which the members of a view agree on the next one: votes and vote counting.  Pure.
 
-Whoever promises closes the epoch: it stores nothing more in it, so nothing more is acknowledged there.  A
-ballot is on its coordinator's disk before anybody else hears of it, so that no ballot is ever begun twice.
+A member that promises closes the epoch: it stores nothing more in that epoch, so nothing more is
+acknowledged in it.  The coordinator writes a ballot to its disk before it sends it to other members, so that
+a ballot number is never used twice.
 """
 
 from __future__ import annotations
@@ -22,12 +23,14 @@
     accepted_view: View | None = None
 
     def promise(self, ballot: Ballot) -> bool:
+        """Promises the ballot; False if a higher one was promised before."""
         if ballot < self.promised:
             return False
         self.promised = ballot
         return True
 
     def accept(self, ballot: Ballot, view: View) -> bool:
+        """Accepts the view under this ballot; False if a higher ballot was promised."""
         if ballot < self.promised:
             return False
         self.promised = self.accepted_ballot = ballot
@@ -35,51 +38,51 @@
         return True
 
     def meta(self) -> dict[str, object]:
-        """As it is stored."""
+        """The metadata that is written to disk."""
         return {"promised": self.promised, "taken_at": self.accepted_ballot, "taken": self.accepted_view}
 
 
 @dataclass(slots=True)
 class ViewChange:
-    """A ballot that this replica coordinates."""
+    """A view change that this replica coordinates."""
 
     ballot: Ballot
-    view: View  # what it proposes, unless another view may have been agreed
+    view: View  # the proposed view, unless another view may already have been agreed
     started_at: int
-    quorum: int  # as of its beginning; see `quorum`
+    quorum: int  # votes needed, fixed when the ballot begins; see `quorum`
     promises: dict[str, Promise] = field(default_factory=dict)
     accepted: set[str] = field(default_factory=set)
-    accepting: bool = False  # the view is fixed, and asked to be accepted
+    accepting: bool = False  # phase 2: the view is fixed and the accept messages are sent
 
     def proposal(self) -> View | None:
-        """The view to be accepted by all; None: wait for more promises."""
+        """The view to send for acceptance; None while more promises are needed."""
         votes = [one for one in self.promises.values() if one.taken is not None]
-        if votes:  # it may have been agreed: the one that was accepted last
+        if votes:  # such a view may have been agreed: propose the one accepted under the highest ballot
             return max(votes, key=lambda one: one.taken_at or NO_BALLOT).taken
         return self._with_complete_head()
 
     def _with_complete_head(self) -> View | None:
-        """The new head is one that promised and holds everything.
+        """The proposed view, reordered so that its head has promised and holds the complete log.
 
-        A member without its snapshot that would be the head goes to the end, as one that starts anew;
-        the others keep their order.  None: the one that would be the head hasn't answered yet.
+        Members in front of that head lack their snapshot: they move to the end, as members that start from
+        scratch.  The others keep their order.  None while the next candidate for the head has not answered.
         """
         members = self.view.members
-        for n, member in enumerate(members):
+        for rank, member in enumerate(members):
             promise = self.promises.get(member.addr)
             if promise is None:
                 return None
             if promise.has_snapshot:
-                behind = [Member(one.addr, one.incarnation, self.view.epoch) for one in members[:n]]
-                return View(self.view.epoch, (*members[n:], *behind))
+                behind = [Member(one.addr, one.incarnation, self.view.epoch) for one in members[:rank]]
+                return View(self.view.epoch, (*members[rank:], *behind))
         return None
 
 
 def quorum(view: View, any_wiped: bool) -> int:
-    """How many votes agree on the next view.
+    """The number of votes that agree on the next view.
 
-    A majority; where a disk is known to be lost, of an even number of members one less is enough: any
-    majority, and any other half without a lost member, still has one in common with it.  It holds for a
-    ballot that begins after the loss is known, and whose votes none of the lost gave.
+    Normally a majority.  If a member's disk is known to be lost, half of an even number of members is enough:
+    that half still shares a member with any majority and with any other half without a lost member.  This
+    applies to a ballot that begins after the loss is known and counts no vote of a member that lost its disk.
     """
     return len(view.members) - view.majority + 1 if any_wiped else view.majority
--- a/brackengate/control/chain.py
+++ b/brackengate/control/chain.py
@@ -263,10 +263,10 @@
     # --- commands
 
     def submit_command(
-        self, what: Command, request_id: int, now: int, give_up_after: int = GIVE_UP_AFTER_US
+        self, command: Command, request_id: int, now: int, give_up_after: int = GIVE_UP_AFTER_US
     ) -> list[Action]:
         """Answered once, by `Answer(local, result)`."""
-        return self._submit(self._commands.add(what, request_id, now, give_up_after), now)
+        return self._submit(self._commands.add(command, request_id, now, give_up_after), now)
 
     def withdraw(self, request_id: int) -> None:
         """Whoever asked has gone."""
@@ -276,30 +276,30 @@
         return [self._commands.finish(command_id, None) for command_id in self._commands.expired(now)]
 
     def _submit(self, command_id: int, now: int) -> list[Action]:
-        word = self._commands.submission(command_id, self.view.epoch, now)
+        message = self._commands.submission(command_id, self.view.epoch, now)
         if self.head == self.me:
-            return self._execute(self.me, word, now)
-        return [Send(self.head, word)] if self.head else []
+            return self._execute(self.me, message, now)
+        return [Send(self.head, message)] if self.head else []
 
-    def _on_result(self, word: Result) -> list[Action]:
-        answer = self._commands.on_result(word)
+    def _on_result(self, message: Result) -> list[Action]:
+        answer = self._commands.on_result(message)
         return [answer] if answer is not None else []
 
     def _accepts_commands(self) -> bool:
         fit = self._chain_position() == 0 and self.has_snapshot and not self.epoch_closed
         return fit and len(self.view.members) >= self.min_replicas
 
-    def _execute(self, addr: str, word: Submit, now: int) -> list[Action]:
+    def _execute(self, addr: str, message: Submit, now: int) -> list[Action]:
         """At the head: its result is told once all that it was decided by is agreed."""
-        if not self._accepts_commands() or word.epoch != self.view.epoch:
+        if not self._accepts_commands() or message.epoch != self.view.epoch:
             return []  # submitted again once its replica knows the view
-        if isinstance(word.what, Amend):
-            return self._execute_order(addr, word.id, word.what, now)
-        return self._append_and_reply(addr, word.id, decide(word.what, self.rows, self.items), now)
+        if isinstance(message.what, Amend):
+            return self._execute_order(addr, message.id, message.what, now)
+        return self._append_and_reply(addr, message.id, decide(message.what, self.rows, self.items), now)
 
-    def _execute_order(self, addr: str, id_: int, what: Amend, now: int) -> list[Action]:
+    def _execute_order(self, addr: str, id_: int, command: Amend, now: int) -> list[Action]:
         """A large one is read in slices and delivered first."""
-        match self._orders.submitted(what, addr, id_, self.rows, self.items, self._members(), now):
+        match self._orders.submitted(command, addr, id_, self.rows, self.items, self._members(), now):
             case EnterNow(decision):
                 return self._append_and_reply(addr, id_, decision, now)
             case Wait(delivery, begins):
@@ -394,8 +394,8 @@
 
     def _reply(self, reply: PendingReply) -> list[Action]:
         result = reply.result if reply.result is not None else self.configuration()
-        word = Result(reply.id, result)
-        return self._on_result(word) if reply.addr == self.me else [Send(reply.addr, word)]
+        message = Result(reply.id, result)
+        return self._on_result(message) if reply.addr == self.me else [Send(reply.addr, message)]
 
     def _append_rows(self, rows: list[Row], now: int) -> list[Action]:
         return self._store_entries((Entry(self.index + 1, tuple(rows)),), now)
@@ -422,48 +422,48 @@
 
     # --- the log
 
-    def on_message(self, addr: str, word: Line, now: int) -> list[Action]:
+    def on_message(self, addr: str, message: Line, now: int) -> list[Action]:
         self._now = now
-        match word:
+        match message:
             case Submit():
-                return self._execute(addr, word, now)
+                return self._execute(addr, message, now)
             case Underway():
-                self._commands.on_underway(word.id, now)
+                self._commands.on_underway(message.id, now)
             case Stage():
-                if word.epoch == self.view.epoch and addr == self.head:
-                    return self._deliver(StagedOrder(word.id, word.pieces))
+                if message.epoch == self.view.epoch and addr == self.head:
+                    return self._deliver(StagedOrder(message.id, message.pieces))
             case Delivered():
-                if word.epoch == self.view.epoch:
-                    self._orders.delivered(word.id, addr)
+                if message.epoch == self.view.epoch:
+                    self._orders.delivered(message.id, addr)
                     return self._append_delivered(now)
             case Result():
-                return self._on_result(word)
+                return self._on_result(message)
             case Position():
-                return self._on_position(addr, word)
+                return self._on_position(addr, message)
             case Append():
-                return self._on_append(addr, word, now)
+                return self._on_append(addr, message, now)
             case CopyRequest():
-                return self._on_copy_request(addr, word)
+                return self._on_copy_request(addr, message)
             case CopyPiece():
-                return self._on_copy_piece(addr, word)
+                return self._on_copy_piece(addr, message)
             case Ack():
-                if word.epoch == self.view.epoch and addr == self._successor():
-                    return self._commit(min(word.index, self.stored_index))
+                if message.epoch == self.view.epoch and addr == self._successor():
+                    return self._commit(min(message.index, self.stored_index))
         return []
 
-    def _on_position(self, addr: str, word: Position) -> list[Action]:
+    def _on_position(self, addr: str, message: Position) -> list[Action]:
         if (
-            word.epoch != self.view.epoch
+            message.epoch != self.view.epoch
             or addr != self._successor()
             or not self.has_snapshot
             or self.epoch_closed
         ):
             return []
-        if word.index > self.index:
+        if message.index > self.index:
             return []  # it can't have more: a line from another life
-        if not self.replica_log.has_entries_after(word.index):
+        if not self.replica_log.has_entries_after(message.index):
             return []  # it has to copy
-        self._sent_until = word.index
+        self._sent_until = message.index
         return self._send_new_entries(even_none=True)
 
     def _send_new_entries(self, even_none: bool = False) -> list[Action]:
@@ -481,19 +481,19 @@
         self._sent_until = max(start, until)
         return out
 
-    def _on_append(self, addr: str, word: Append, now: int) -> list[Action]:
+    def _on_append(self, addr: str, message: Append, now: int) -> list[Action]:
         if (
-            word.epoch != self.view.epoch
+            message.epoch != self.view.epoch
             or addr != self._predecessor()
             or self.epoch_closed
             or not (self.has_snapshot or self.learner.complete)
         ):
             return []
-        if word.after > self.index:
+        if message.after > self.index:
             return self._send_position(now)
-        entries = tuple(entry for entry in word.entries if entry.index > self.index)
+        entries = tuple(entry for entry in message.entries if entry.index > self.index)
         if not self.has_snapshot:
-            return self._catch_up_new_member(entries, word.until)
+            return self._catch_up_new_member(entries, message.until)
         self.caught_up_epoch = self.view.epoch
         out = self._store_entries(entries, now)
         return out or self._commit_as_tail()
@@ -571,11 +571,11 @@
 
     # --- copies
 
-    def _on_copy_request(self, addr: str, word: CopyRequest) -> list[Action]:
+    def _on_copy_request(self, addr: str, message: CopyRequest) -> list[Action]:
         """Whatever has become of the view: what is sent is a prefix of what is committed."""
         if not self.has_snapshot or not self.replica_log.rows_committed:
             return []
-        piece = next_piece(self.state.rows, self.replica_log.recent, self.state.index, word)
+        piece = next_piece(self.state.rows, self.replica_log.recent, self.state.index, message)
         return [Send(addr, piece)] if piece is not None else []
 
     def _drop_entries(self) -> list[Action]:
--- a/brackengate/control/commands.py
+++ b/brackengate/control/commands.py
@@ -64,7 +64,7 @@
 class PendingCommand:
     """A command that came to this replica and waits for its result."""
 
-    what: Command
+    command: Command
     submitted_at: int
     last_sent_at: int
     request_id: int  # the carrier's number
@@ -99,9 +99,9 @@
     by_id: dict[int, PendingCommand] = field(default_factory=dict)
     command_of_submission: dict[int, int] = field(default_factory=dict)  # by the number of a submission
 
-    def add(self, what: Command, request_id: int, now: int, give_up_after: int = GIVE_UP_AFTER_US) -> int:
+    def add(self, command: Command, request_id: int, now: int, give_up_after: int = GIVE_UP_AFTER_US) -> int:
         self.last_id += 1
-        self.by_id[self.last_id] = PendingCommand(what, now, now, request_id, give_up_after)
+        self.by_id[self.last_id] = PendingCommand(command, now, now, request_id, give_up_after)
         return self.last_id
 
     def submission(self, command_id: int, epoch: int, now: int) -> Submit:
@@ -111,7 +111,7 @@
         self.last_id += 1
         pending.submission_ids.append(self.last_id)
         self.command_of_submission[self.last_id] = command_id
-        return Submit(self.last_id, pending.what, epoch)
+        return Submit(self.last_id, pending.command, epoch)
 
     def on_underway(self, number: int, now: int) -> None:
         """The head has it, and is at work on it."""
@@ -119,15 +119,15 @@
         if command_id is not None:
             self.by_id[command_id].last_sent_at = now + UNDERWAY_EXTENSION_US
 
-    def on_result(self, word: Result) -> Answer | None:
+    def on_result(self, result_message: Result) -> Answer | None:
         """None: nobody waits for it, or it may still come to another end."""
-        command_id = self.command_of_submission.get(word.id)
+        command_id = self.command_of_submission.get(result_message.id)
         if command_id is None:
             return None
         latest = self.by_id[command_id].submission_ids[-1]
-        if word.id != latest and isinstance(word.result, REFUSALS):
+        if result_message.id != latest and isinstance(result_message.result, REFUSALS):
             return None  # turned down, but it was submitted again
-        return self.finish(command_id, word.result)
+        return self.finish(command_id, result_message.result)
 
     def finish(self, command_id: int, result: Any) -> Answer:
         pending = self.by_id.pop(command_id)
@@ -195,15 +195,15 @@
     order: Order = EMPTY_ORDER  # as it was read, of an order that was taken
 
 
-def decide(what: Command, rows: Rows, items: ItemIndex) -> Decision:
+def decide(command: Command, rows: Rows, items: ItemIndex) -> Decision:
     """At the head.  `rows`, `items`: all that it holds, agreed or not yet."""
-    match what:
+    match command:
         case Amend(body):
             return _read_and_decide(body, rows, items)
         case Read():
             return Decision((), None)
         case Claim():
-            return _decide_claim(what, rows)
+            return _decide_claim(command, rows)
         case Unclaim(key, gate, attempt):
             held = _value(rows, (KEY_KIND, key))
             return Decision(((KEY_KIND, key, None),) if held == [gate, attempt] else ())
--- a/brackengate/control/contact.py
+++ b/brackengate/control/contact.py
@@ -1,8 +1,8 @@
-"""What a replica knows of the view in force and of the others: pings, failure detection, leases.  Pure.
+"""What a replica knows of the current view and of its peers: pings, failure detection, leases.  Pure.
 
-`holds_lease` guards all that claims to be current: it runs from the sending of a ping that was answered.  Who
-counts as alive (`_live_members`) is another question, decided by other times.  Microseconds of a clock that
-never steps.
+`holds_lease` guards everything that is served as current: the lease runs from the sending of a ping that was
+answered.  Which members count as alive (`_live_members`) is a separate question with its own times.  Times
+are microseconds of a monotonic clock.
 """
 
 from __future__ import annotations
@@ -27,17 +27,17 @@
 
 @dataclass(slots=True)
 class LogStatus:
-    """What the chain tells of itself."""
+    """The state of this replica's log, as reported by the chain."""
 
-    index: int = 0  # on disk
-    has_snapshot: bool = False  # it holds all that its membership owes
-    caught_up_epoch: int = 0  # the epoch in which it has met the one before it
+    index: int = 0  # the last index on disk
+    has_snapshot: bool = False  # it holds every entry that its membership requires
+    caught_up_epoch: int = 0  # the epoch in which it synchronized with its predecessor
     commit_index: int = -1  # the last index that is known to be committed
     copied: int = -1  # a learner's complete copy reaches to this index; -1: it is not complete
 
 
 class PeerMonitor:
-    """What one replica knows of the view and of the others."""
+    """One replica's view, peers, failure detection and lease; `Agreement` adds the decisions."""
 
     def __init__(
         self, me: str, incarnation: str, zone: str, now: int, view: View | None, acceptor: Acceptor
@@ -45,21 +45,20 @@
         self.me, self.incarnation, self.zone = me, incarnation, zone
         self.view = view or View(0, ())
         self.peers: dict[str, Peer] = {}
-        self.disk_healthy = True  # its disk takes what it is given
-        self.leaving = False  # it was told to leave, until told or started again
+        self.disk_healthy = True  # its disk completes writes in time
+        self.leaving = False  # it was asked to leave; reset by `rejoin` or a restart
         self._acceptor = acceptor
         self._last_ping_sent_at = self._last_tick_at = now
         self._view_adopted_at = now  # when it learned of this view
-        self._open_until = NEVER  # it had promised nothing in this epoch by then
-        self.lease_start = NEVER  # at this time, what was in force here was in force for all
-        self._partitioned_since: dict[
-            tuple[str, str], int
-        ] = {}  # pairs that do not hear each other, since when
+        self._open_until = NEVER  # the last time at which it had not yet promised in this epoch
+        self.lease_start = NEVER  # at this time, the view held here was the latest one agreed
+        self._partitioned_since: dict[tuple[str, str], int] = {}  # pairs without contact, and since when
 
-    # --- what is known
+    # --- state
 
     @property
     def is_member(self) -> bool:
+        """Whether this replica, with the disk that it has now, is a member of the current view."""
         member = self.view.member(self.me)
         return member is not None and member.incarnation == self.incarnation
 
@@ -69,16 +68,17 @@
         return self._acceptor.promised != NO_BALLOT
 
     def add_peer(self, addr: str, now: int) -> None:
-        """There is somebody at this address, by a seed list or by its own word.  It gets time to answer."""
+        """Adds a peer known from the seed list, a view or its own message.  It gets time to answer."""
         if addr != self.me and addr not in self.peers:
             self.peers[addr] = Peer(now)
 
     def is_alive(self, addr: str, now: int) -> bool:
+        """Whether failure detection counts the peer at this address as alive."""
         peer = self.peers.get(addr)
         return peer is not None and peer.is_alive(now)
 
     def holds_lease(self, now: int) -> bool:
-        """Whether what is in force here was in force for all at most `LEASE` ago."""
+        """Whether the view held here was the latest one at some time within the last `LEASE_US`."""
         ahead = any(
             peer.last_ping is not None and peer.last_ping.epoch > self.view.epoch
             for peer in self.peers.values()
@@ -86,8 +86,11 @@
         return self.is_member and not ahead and now - self.lease_start < LEASE_US
 
     def _renew_lease(self, now: int) -> None:
-        """A next view needs the promises of a majority: a majority that had promised nothing by then, this
-        replica among it, shows that none was agreed by then.  What was so once stays so in a later view."""
+        """Moves the lease start forward to when a majority last had the epoch open.
+
+        The next view needs promises of a majority.  So if a majority, including this replica, had promised
+        nothing by some time, no later view was agreed by then.  This also holds in later views.
+        """
         self._mark_epoch_open(now)
         others = [
             self.peers[member.addr] for member in self._other_members() if self._answers_as_member(member)
@@ -97,7 +100,7 @@
         self.lease_start = max(self.lease_start, since)
 
     def _mark_epoch_open(self, now: int) -> None:
-        """To be called before a promise."""
+        """Records that nothing was promised in this epoch until now.  Must be called before a promise."""
         if not self.epoch_closed:
             self._open_until = now
 
@@ -105,15 +108,15 @@
         return [member for member in self.view.members if member.addr != self.me]
 
     def _answers_as_member(self, member: Member) -> bool:
-        """Whether it was this member, and not another disk at its address, that answered last."""
+        """Whether the last answer came from this member, and not from another disk at its address."""
         peer = self.peers.get(member.addr)
         return peer is not None and peer.incarnation == member.incarnation
 
     def _wiped(self, member: Member) -> bool:
-        """Another disk stands at its address: its vote is gone for ever.
+        """Whether the member's disk was lost, so that its vote is gone for ever.
 
-        Shown by an answer to a ping sent since the member was known as such: words of a process that was
-        there before it may still be under way.
+        Shown by an answer of another incarnation to a ping that was sent after this view was adopted: older
+        messages may still be in flight from a process that preceded the member at its address.
         """
         peer = self.peers.get(member.addr)
         return (
@@ -123,28 +126,32 @@
         )
 
     def zones(self) -> dict[str, str]:
-        """The members by address, with their zones."""
-        said = {addr: peer.last_ping.zone for addr, peer in self.peers.items() if peer.last_ping is not None}
+        """The zones of the members, by address; empty where unknown."""
+        known_zones = {
+            addr: peer.last_ping.zone for addr, peer in self.peers.items() if peer.last_ping is not None
+        }
         return {
-            member.addr: self.zone if member.addr == self.me else said.get(member.addr, "")
+            member.addr: self.zone if member.addr == self.me else known_zones.get(member.addr, "")
             for member in self.view.members
         }
 
     # --- pings
 
     def _was_paused(self, now: int) -> bool:
-        """Whether this process did: then the others get time to be heard.  No lease is extended by it."""
-        still = now - self._last_tick_at > PAUSE_THRESHOLD_US
-        if still:
+        """Whether this process was paused; if so, the peers get time to answer.  Does not extend a lease."""
+        paused = now - self._last_tick_at > PAUSE_THRESHOLD_US
+        if paused:
             for peer in self.peers.values():
                 peer.extend_after_pause(now)
             self._partitioned_since.clear()
         self._last_tick_at = now
-        return still
+        return paused
 
     def _forget_silent_peers(self, now: int) -> None:
-        """Guards against a list that grows with each machine that ever was.  Whoever is no member keeps all:
-        among them may be the only ones that it can find the view by."""
+        """Removes peers that are no members and have been silent for long, so that the list stays bounded.
+
+        A replica that is no member keeps all peers: it may be able to find the view only through them.
+        """
         if self.is_member:
             for addr in [
                 addr for addr, peer in self.peers.items() if peer.silent_for(now) > FORGET_PEER_AFTER_US
@@ -193,29 +200,28 @@
         return [Send(addr, ping) for addr in others]
 
     def _should_ping(self, addr: str, now: int) -> bool:
-        """Old members and strangers are pinged while they speak, and by those who are no members."""
+        """Whether to ping a peer that is no member: while it sends pings, or if this replica is no member."""
         return not self.is_member or now - self.peers[addr].last_ping_at < PING_ANSWERABLE_US
 
-    # --- who is alive
+    # --- failure detection
 
     def _live_members(self, now: int) -> list[Member]:
-        """The members that could hold the next view together, in their order."""
+        """The healthy members that can reach each other and so could form the next view, in chain order."""
         alive = [
             member for member in self.view.members if member.addr == self.me or self._is_healthy(member, now)
         ]
-        apart: dict[tuple[str, str], int] = {}
-        for one in alive:
-            said = self._recent_ping(one.addr, now)
+        partitioned: dict[tuple[str, str], int] = {}
+        for reporter in alive:
+            ping = self._recent_ping(reporter.addr, now)
             for other in alive:
-                if said is not None and other.addr not in (one.addr, self.me, *said.hears):
-                    pair = (one.addr, other.addr)
-                    apart[pair] = self._partitioned_since.get(pair, now)
-        self._partitioned_since = apart
-        for (one_addr, other_addr), since in apart.items():
-            pair_now = [member for member in alive if member.addr in (one_addr, other_addr)]
-            if (
-                len(pair_now) == 2 and now - since > PARTITIONED_AFTER_US
-            ):  # they can't stand in one chain: the later goes
+                if ping is not None and other.addr not in (reporter.addr, self.me, *ping.hears):
+                    pair = (reporter.addr, other.addr)
+                    partitioned[pair] = self._partitioned_since.get(pair, now)
+        self._partitioned_since = partitioned
+        for (reporter_addr, other_addr), since in partitioned.items():
+            pair_now = [member for member in alive if member.addr in (reporter_addr, other_addr)]
+            # Members that can't reach each other can't be in one chain: the later one is dropped.
+            if len(pair_now) == 2 and now - since > PARTITIONED_AFTER_US:
                 alive.remove(pair_now[1])
         return alive
 
@@ -226,12 +232,12 @@
     def _is_healthy(self, member: Member, now: int) -> bool:
         if not self.is_alive(member.addr, now) or self._wiped(member):
             return False
-        said = self.peers[member.addr].last_ping
-        return said is None or (said.incarnation == member.incarnation and said.disk_healthy)
+        ping = self.peers[member.addr].last_ping
+        return ping is None or (ping.incarnation == member.incarnation and ping.disk_healthy)
 
     def _learners(self, now: int) -> Iterator[tuple[str, Ping]]:
-        """Live replicas that want to be members."""
+        """The live replicas that want to become members, each with its last ping."""
         for addr in sorted(self.peers):
-            said = self._recent_ping(addr, now)
-            if said is not None and said.joining and self.is_alive(addr, now):
-                yield addr, said
+            ping = self._recent_ping(addr, now)
+            if ping is not None and ping.joining and self.is_alive(addr, now):
+                yield addr, ping
--- a/brackengate/control/membership.py
+++ b/brackengate/control/membership.py
@@ -1,9 +1,9 @@
 """Which members the next view should have.  Pure: facts in, members out.
 
-A view change does one of these, in this order: it drops those that can't go on, it admits one learner that
-holds the committed state, or it lets one leaver go.  Order and log: those that stay keep their order, so that
-each log stays a prefix of the log before it.  Every member that counts as complete holds each acknowledged
-write, so no choice made here loses one; what is weighed is whether the next loss can be borne.
+A view change does one of these, in this order: it drops the members that failed, it admits one learner that
+holds the committed state, or it releases one member that wants to leave.  Remaining members keep their order,
+so that each log stays a prefix of its predecessor's log.  Every caught-up member holds each acknowledged
+write, so no choice made here loses one; the choice decides only whether the next failure can be survived.
 """
 
 from __future__ import annotations
@@ -15,22 +15,23 @@
 
 @dataclass(frozen=True, slots=True)
 class MembershipFacts:
-    """What the coordinator knows.  Sets are of addresses."""
-
-    members: tuple[Member, ...]  # of the view that is in force, from the head to the tail
-    live: tuple[Member, ...]  # of these, the ones that can go on, in their order
-    wiped: frozenset[str]  # whose disk is known to be lost: neither copy nor vote comes back
-    caught_up: frozenset[str]  # that hold the whole log and have met the one before them in this epoch
-    leaving: frozenset[str]  # that were told to leave
-    learner: Member | None  # one that may be admitted now
-    learner_copying: bool  # a live learner is on its way
+    """What the coordinator knows.  Sets contain addresses."""
+
+    members: tuple[Member, ...]  # of the current view, from the head to the tail
+    live: tuple[Member, ...]  # those of them that are healthy, in the same order
+    wiped: frozenset[str]  # members whose disk is known to be lost: neither their copy nor vote comes back
+    caught_up: frozenset[str]  # members that hold the whole log and synchronized with their predecessor
+    # in this epoch
+    leaving: frozenset[str]  # members that were asked to leave
+    learner: Member | None  # a learner that may be admitted now
+    learner_copying: bool  # a live learner exists, whether its copy is complete or not
     min_replicas: int  # disks that hold a write before it is acknowledged
-    commit_known: bool  # the coordinator knows what is committed
+    commit_known: bool  # the coordinator knows the commit index
     head_lost: bool  # the epoch is closed, and its head can't take part in the next one
 
 
 def next_members(facts: MembershipFacts) -> tuple[Member, ...]:
-    """The members that the next view should have; those of today where nothing should change."""
+    """The members that the next view should have; the current members if nothing should change."""
     if len(facts.live) < len(facts.members):
         return _without_failed(facts)
     if facts.learner is not None:
@@ -40,11 +41,12 @@
 
 
 def _without_failed(facts: MembershipFacts) -> tuple[Member, ...]:
-    """Shrinking is for writes: it gives up a copy and a vote that may come back, so that the others go on.
+    """The members without the failed ones, where dropping them lets the others accept writes again.
 
-    Where those that are left are too few to acknowledge a write, it would give these up for nothing: a member
-    that comes back with its disk is a complete copy at once.  So the view waits, unless the disk is lost for
-    good, or a learner can take over in the same step, or those that are left can't serve it as they are.
+    Dropping a member gives up a copy and a vote that may come back.  If the remaining members are too few to
+    acknowledge a write, that gains nothing: a member that comes back with its disk is a complete copy at
+    once.  So the view keeps it, unless its disk is lost for good, or a learner can be admitted in the same
+    step, or the remaining members can't serve the current view.
     """
     if len(facts.live) >= facts.min_replicas:
         return facts.live
@@ -57,20 +59,20 @@
 
 
 def _leaver(facts: MembershipFacts) -> Member | None:
-    """The last one that wants to leave, if the others do without it.
+    """The last member in the chain that wants to leave, if the others can continue without it.
 
-    It keeps its copy and its vote until `min_replicas` others hold everything; and, while a learner is on its
-    way, until so many stay that a majority of them outlasts the next loss.  Guards against two that are told
-    at the same moment, neither of which has heard of the other's wish.
+    It keeps its copy and its vote until `min_replicas` others hold the whole log, and, while a learner is
+    copying, until a majority of the remaining members survives the next loss.  This guards against two
+    members that are asked to leave at the same moment and do not know of each other's request.
     """
     for member in reversed(facts.members):
         staying = facts.caught_up - {member.addr}
-        outlasts = len(facts.members) - 1 >= members_to_survive_loss(facts.min_replicas)
+        survives_loss = len(facts.members) - 1 >= members_to_survive_loss(facts.min_replicas)
         if (
             member.addr in facts.leaving
             and len(facts.caught_up) == len(facts.members)
             and len(staying) >= facts.min_replicas
-            and (outlasts or not facts.learner_copying)
+            and (survives_loss or not facts.learner_copying)
         ):
             return member
     return None
@@ -78,18 +80,18 @@
 
 @dataclass(frozen=True, slots=True)
 class LeaveRequest:
-    """A member is told to leave."""
+    """A request that a member leaves.  Counts are numbers of members."""
 
     view: View
-    live: int  # members
-    staying: int  # live members but this one and those that leave
+    live: int
+    staying: int  # live members without this one and those that are leaving
     min_replicas: int
-    replaced: bool  # what is left must bear the next loss, or have somebody to admit
-    successor: bool  # somebody waits to be admitted, and is counted on
+    replaced: bool  # the remaining members must survive the next loss, or have a learner to admit
+    successor: bool  # a learner waits to be admitted, and counts as a replacement
 
 
 def refusal_to_leave(request: LeaveRequest) -> str:
-    """Why it does not leave; empty where it does, as soon as the others do without it."""
+    """The reason why the member may not leave; empty if it may, once the others can continue without it."""
     view, minimum = request.view, request.min_replicas
     if request.staying + request.successor < minimum:
         return (
@@ -108,5 +110,5 @@
 
 
 def members_to_survive_loss(min_replicas: int) -> int:
-    """So many members that a majority is left when `min_replicas - 1` of them are lost."""
+    """The number of members of which a majority remains when `min_replicas - 1` of them are lost."""
     return 2 * min_replicas - 1
--- a/brackengate/control/store.py
+++ b/brackengate/control/store.py
@@ -328,10 +328,10 @@
         self._run, self.meta, self.sum, self.log = run, meta, total, log
 
     def apply(self, store: Store) -> None:
-        if store.forget:
+        if store.drop_all:
             self._run("DELETE FROM rows")
             self.sum = sum(self.log.values())
-        if store.forget or store.cut:
+        if store.drop_all or store.drop_entries:
             self._drop_entries(max(self.log, default=0))
         for name, meant in store.meta.items():
             self.meta[name] = msgspec.Raw(msgspec.json.encode(meant))
--- a/brackengate/control/transfer.py
+++ b/brackengate/control/transfer.py
@@ -1,13 +1,14 @@
-"""A copy of the committed rows in pieces: what its sender says, and how its taker goes on.  Pure.
+"""Copying the committed rows to another replica in pieces, as sender and as receiver.  Pure.
 
-The sender keeps nothing of a copy: a request says how far the copy is, as a bucket and a log index, and the
-piece brings what is held to the sender's index by the entries in between, then the rows that come next, as
-they stand at that index.  So what a taker holds below its bucket is exact at its index at any time, whoever
-sent it; it goes on at any sender whose recent entries reach back to its index, and begins anew elsewhere.
-With the last piece come the number of rows and their checksum: a copy that differs does not count.
+The sender keeps no state of a copy: a request names the position of the copy, as a bucket and a log index.
+The piece first brings the copied rows to the sender's index, by the entries in between, and then adds the
+next rows as of that index.  So the rows below the receiver's bucket are always exact at its index, whoever
+sent them; the copy continues with any sender whose recent entries reach back to its index, and starts from
+scratch with any other.  The last piece carries the number of rows and their checksum: a copy that differs is
+discarded.
 
-One request is open at a time, and the next is made when the piece has come and the one before it is stored:
-the taker sets the pace, and neither side holds more than two pieces.
+One request is open at a time, and the next is sent when its piece has arrived and the piece before it is
+stored: the receiver sets the pace, and neither side holds more than two pieces.
 """
 
 from __future__ import annotations
@@ -30,7 +31,7 @@
 
 
 class CopyMismatch(Exception):
-    """A copy does not hold what its sender holds."""
+    """A complete copy differs from its sender's rows."""
 
 
 # --- the sender
@@ -39,7 +40,10 @@
 def next_piece(
     rows: CommittedRows, recent: RecentEntries, index: int, request: CopyRequest
 ) -> CopyPiece | None:
-    """What follows the position of that request; None where the taker has seen more than is held here."""
+    """The piece that follows the requested position; None if the receiver is ahead of this sender.
+
+    `index`: the log index of `rows`.
+    """
     position = request.position
     if position.index > index and position.bucket > 0:
         return None
@@ -56,7 +60,7 @@
 
 
 def _next_rows(rows: CommittedRows, bucket: int) -> tuple[tuple[CommittedRow, ...], int]:
-    """Whole buckets, until the piece is large enough; and the bucket that comes after them."""
+    """The rows of the next whole buckets, up to the size of a piece, and the bucket that follows them."""
     found: list[CommittedRow] = []
     size = 0
     while bucket < COMPLETE_BUCKET and len(found) < PIECE_ROWS and size < PIECE_BYTES:
@@ -68,11 +72,11 @@
     return tuple(found), bucket
 
 
-# --- the taker
+# --- the receiver
 
 
 def changed_rows(position: CopyPosition, piece: CopyPiece) -> list[tuple[int, Row]]:
-    """What changes in the rows that are held, in order; those of an `anew` piece are gone before."""
+    """The row changes that a piece brings, in order; an `anew` piece replaces all rows held before."""
     bucket = 0 if piece.anew else position.bucket
     changes = [(entry.index, row) for entry in piece.entries for row in entry.rows]
     below = [(index, row) for index, row in changes if bucket_of(row[1]) < bucket]
@@ -80,7 +84,7 @@
 
 
 def check_total(rows: CommittedRows, piece: CopyPiece) -> None:
-    """Differs where the complete copy is not the sender's."""
+    """Raises CopyMismatch if the complete copy differs from the sender's rows."""
     if piece.total is not None and piece.total != CopyTotal(rows.count, rows.checksum):
         raise CopyMismatch(
             f"{rows.count} rows with sum {rows.checksum}, its sender has {piece.total.count} with"
--- a/brackengate/control/view.py
+++ b/brackengate/control/view.py
@@ -1,13 +1,14 @@
-"""Who holds the log: views, agreed one after the other by the majority of the one before.  Pure.
+"""Agreement on views: which replicas hold the log, each view decided by a majority of the one before.  Pure.
 
-Each view is one decision among the members of the view before it, by ballots (see `ballots`).  Every
-acknowledged write is on the disks of all members, and the head of the new view is one that promised and holds
-everything: so nothing acknowledged is lost.  Which members it should have is decided in `membership`.
+Each view is one decision among the members of the previous view, by ballots (see `ballots`).  Every
+acknowledged write is on the disks of all members, and the head of the new view is a member that promised and
+holds the complete log, so no acknowledged write is lost.  `membership` decides which members the next view
+should have.
 
-A member is an address and the incarnation of its disk.  A member whose disk was lost is another one: it has
-no vote until it has been admitted anew, which needs a complete copy.  The first live member coordinates a
-view change; a later one takes it up after a pause for each member before it.  Times are microseconds of a
-clock that never steps.
+A member is an address and the incarnation of its disk.  A replica whose disk was lost is a different member:
+it has no vote until it has been admitted again, which needs a complete copy.  The first live member
+coordinates a view change; each later one takes over after a delay for every live member in front of it.
+Times are microseconds of a monotonic clock.
 """
 
 from __future__ import annotations
@@ -38,14 +39,12 @@
 __all__ = ["NEVER", "NO_BALLOT", "PARTITIONED_AFTER_US", "Agreement", "LogStatus"]
 
 COORDINATOR_DELAY_US = 400_000  # each member in front gets this long to coordinate
-VIEW_CHANGE_TIMEOUT_US = 500_000  # a ballot without an outcome is begun anew
-MAX_ADMISSION_LAG_ENTRIES = (
-    2_000  # entries that a learner may lack: it is fed them before it counts as complete
-)
+VIEW_CHANGE_TIMEOUT_US = 500_000  # a ballot without an outcome is replaced by a new one
+MAX_ADMISSION_LAG_ENTRIES = 2_000  # that a learner may lack: it gets them before it counts as caught up
 
 
 class Agreement(PeerMonitor):
-    """One replica's part in deciding the views."""
+    """One replica's part in agreeing on views: coordinator, voter and learner of the result."""
 
     def __init__(
         self,
@@ -59,17 +58,18 @@
         taken: View | None = None,
         min_replicas: int = 1,
     ) -> None:
-        """`view`: as stored, or the first one; None where this replica has none yet.  `min_replicas`: members
-        that no wish to leave may go below."""
+        """`view`: the stored or the initial view; None if this replica has none yet.  `min_replicas`: no
+        member may leave if fewer than this would remain."""
         super().__init__(me, incarnation, zone, now, view, Acceptor(promised, taken_at, taken))
         self._min_replicas = min_replicas
-        self._change_wanted_since: int | None = None  # since when another view is wanted
+        self._change_wanted_since: int | None = None  # time since when another view is needed
         self._change: ViewChange | None = None
-        self._highest_ballot_number = promised[0]  # the highest number of a ballot that it has heard of
+        self._highest_ballot_number = promised[0]  # highest known
 
     # --- events
 
     def tick(self, now: int, log: LogStatus) -> list[Action]:
+        """Periodic work: renews the lease, sends pings and starts a view change if one is due."""
         if self._was_paused(now):
             self._change_wanted_since = None
         self._renew_lease(now)
@@ -81,47 +81,49 @@
         return out + self._reconfigure(now, log)
 
     def on_connection_refused(self, addr: str, now: int, log: LogStatus) -> list[Action]:
-        """Its machine says that nobody listens there."""
+        """The machine at that address refused a connection: no process listens there."""
         self.add_peer(addr, now)
         if addr in self.peers:
             self.peers[addr].refused = self.peers[addr].ever_answered
         return self._reconfigure(now, log)
 
-    def on_message(self, addr: str, word: Line, now: int, log: LogStatus) -> list[Action]:
-        match word:
+    def on_message(self, addr: str, message: Line, now: int, log: LogStatus) -> list[Action]:
+        """Handles a message about views, pings or leases; `log`: the current state of the chain."""
+        match message:
             case Prepare():
-                return self._on_prepare(addr, word, now, log)
+                return self._on_prepare(addr, message, now, log)
             case Promise():
-                return self._on_promise(addr, word, now, log)
+                return self._on_promise(addr, message, now, log)
             case Accept():
-                return self._on_accept(addr, word, now)
+                return self._on_accept(addr, message, now)
             case Accepted():
-                return self._on_accepted(addr, word, now)
+                return self._on_accepted(addr, message, now)
             case Outvoted():
-                self._highest_ballot_number = max(self._highest_ballot_number, word.ballot[0])
+                self._highest_ballot_number = max(self._highest_ballot_number, message.ballot[0])
                 return []
         self.add_peer(addr, now)
         peer = self.peers.get(addr)
         if peer is None:
             return []
-        match word:
+        match message:
             case Ping():
-                return self._on_ping(addr, peer, word, now, log) + self._reconfigure(now, log)
+                return self._on_ping(addr, peer, message, now, log) + self._reconfigure(now, log)
             case Pong():
-                return self._on_pong(peer, word, now, log)
+                return self._on_pong(peer, message, now, log)
             case WantView():
                 return [Send(addr, NewView(self.view))] if self.view.epoch else []
             case NewView(view):
                 return self._adopt(view, now)
         return []
 
-    # --- a member that leaves
+    # --- leaving the view
 
     def leave(self, replaced: bool, now: int) -> str:
-        """This member is told to leave; why it does not, empty where it does.
+        """Asks this member to leave.  Returns the reason if it may not, else an empty string.
 
-        `replaced`: what is left must do without `min_replicas - 1` more, or have somebody to admit.  Until
-        the others do without it (see `membership`) it keeps its membership and all its duties.
+        `replaced`: the remaining members must survive the loss of `min_replicas - 1` more, or have a learner
+        to admit.  The member keeps its membership and all its duties until a view without it is agreed (see
+        `membership`).
         """
         if not self.is_member:
             return f"{self.me} is no member of view {self.view.epoch}"
@@ -137,31 +139,32 @@
         return ""
 
     def rejoin(self) -> None:
+        """Withdraws an earlier `leave`."""
         self.leaving = False
 
     def _leaving(self, member: Member) -> bool:
         if member.addr == self.me:
             return self.leaving
-        said = self.peers[member.addr].last_ping if member.addr in self.peers else None
-        return said is not None and said.leaves
+        ping = self.peers[member.addr].last_ping if member.addr in self.peers else None
+        return ping is not None and ping.leaves
 
     def coordinator(self, now: int) -> str:
-        """Whose turn it is first to change the view, by what is known here; empty where nobody can."""
+        """The address of the first live member, which coordinates a view change; empty without a quorum."""
         alive = self._live_members(now)
         return alive[0].addr if len(alive) >= self._quorum() else ""
 
-    # --- which view should be next
+    # --- the members of the next view
 
     def _admissible_learner(self, alive: list[Member], now: int, log: LogStatus) -> Member | None:
-        """One that holds the committed state up to a few entries, and that all live members hear."""
+        """A learner that holds the committed state up to a few entries, and that all live members hear."""
         if log.commit_index < 0:
             return None
         needed = max(0, log.commit_index - MAX_ADMISSION_LAG_ENTRIES)
         others = [self._recent_ping(member.addr, now) for member in alive if member.addr != self.me]
-        for addr, said in self._learners(now):
+        for addr, ping in self._learners(now):
             heard_by_all = all(one is not None and addr in one.hears for one in others)
-            if heard_by_all and said.copied >= needed:
-                return Member(addr, said.incarnation, self.view.epoch + 1)
+            if heard_by_all and ping.copied >= needed:
+                return Member(addr, ping.incarnation, self.view.epoch + 1)
         return None
 
     def _facts(self, alive: list[Member], now: int, log: LogStatus) -> MembershipFacts:
@@ -184,10 +187,10 @@
     def _caught_up(self, member: Member, now: int, log: LogStatus) -> bool:
         if member.addr == self.me:
             return log.caught_up_epoch == self.view.epoch
-        said = self._recent_ping(member.addr, now)
-        return said is not None and said.caught_up_epoch == self.view.epoch
+        ping = self._recent_ping(member.addr, now)
+        return ping is not None and ping.caught_up_epoch == self.view.epoch
 
-    # --- a view change, as its coordinator
+    # --- view change: coordinator
 
     def _reconfigure(self, now: int, log: LogStatus) -> list[Action]:
         if not self.is_member or not self.disk_healthy:
@@ -216,7 +219,7 @@
         return quorum(self.view, any(self._wiped(member) for member in self._other_members()))
 
     def _begin_change(self, view: View, now: int, log: LogStatus) -> list[Action]:
-        """Its own promise is on its disk before the others hear of the ballot."""
+        """Starts a ballot.  The prepare messages are sent only once its own promise is on disk."""
         self._highest_ballot_number += 1
         self._change = ViewChange((self._highest_ballot_number, self.me), view, now, self._quorum())
         prepare = Prepare(view.epoch, self._change.ballot)
@@ -226,15 +229,15 @@
                 action.sends += [Send(member.addr, prepare) for member in self._other_members()]
         return out
 
-    def _on_promise(self, addr: str, word: Promise, now: int, log: LogStatus) -> list[Action]:
-        change = self._voted_on(addr, word.epoch, word.ballot)
+    def _on_promise(self, addr: str, message: Promise, now: int, log: LogStatus) -> list[Action]:
+        change = self._voted_on(addr, message.epoch, message.ballot)
         if change is None or change.accepting:
             return []
-        change.promises[addr] = word
+        change.promises[addr] = message
         return self._propose(now)
 
     def _voted_on(self, addr: str, epoch: int, ballot: Ballot) -> ViewChange | None:
-        """The view change under way, where this is a vote on it by one that may vote."""
+        """The current view change, if this is a vote on it by a member that may vote; else None."""
         change, member = self._change, self.view.member(addr)
         if change is None or ballot != change.ballot or epoch != self.view.epoch + 1:
             return None
@@ -245,7 +248,7 @@
         return sum(1 for addr in votes if addr == self.me or not self._wiped(members[addr]))
 
     def _propose(self, now: int) -> list[Action]:
-        """Ask for the view to be accepted, once enough have promised."""
+        """Sends the accept messages once enough members have promised."""
         change = self._change
         if change is None or change.accepting or self._count(change.promises) < change.quorum:
             return []
@@ -257,30 +260,30 @@
         out: list[Action] = [Send(one.addr, accept) for one in self._other_members()]
         return out + self._on_accept(self.me, accept, now)
 
-    def _on_accepted(self, addr: str, word: Accepted, now: int) -> list[Action]:
-        change = self._voted_on(addr, word.epoch, word.ballot)
+    def _on_accepted(self, addr: str, message: Accepted, now: int) -> list[Action]:
+        change = self._voted_on(addr, message.epoch, message.ballot)
         if change is None or not change.accepting:
             return []
         change.accepted.add(addr)
         if self._count(change.accepted) < change.quorum:
             return []
         old, view = self.view, change.view
-        told = dict.fromkeys([one.addr for one in (*view.members, *old.members) if one.addr != self.me])
-        return [*self._adopt(view, now), *(Send(one, NewView(view)) for one in told)]
+        recipients = dict.fromkeys([one.addr for one in (*view.members, *old.members) if one.addr != self.me])
+        return [*self._adopt(view, now), *(Send(one, NewView(view)) for one in recipients)]
 
-    # --- a view change, as one of its voters
+    # --- view change: voter
 
-    def _on_prepare(self, addr: str, word: Prepare, now: int, log: LogStatus) -> list[Action]:
-        if not self.is_member or word.epoch != self.view.epoch + 1:
-            return [Send(addr, NewView(self.view))] if 0 < word.epoch <= self.view.epoch else []
+    def _on_prepare(self, addr: str, message: Prepare, now: int, log: LogStatus) -> list[Action]:
+        if not self.is_member or message.epoch != self.view.epoch + 1:
+            return [Send(addr, NewView(self.view))] if 0 < message.epoch <= self.view.epoch else []
         self._mark_epoch_open(now)
-        if not self._acceptor.promise(word.ballot):
-            return self._outvoted(addr, word.epoch)
-        self._highest_ballot_number = max(self._highest_ballot_number, word.ballot[0])
+        if not self._acceptor.promise(message.ballot):
+            return self._outvoted(addr, message.epoch)
+        self._highest_ballot_number = max(self._highest_ballot_number, message.ballot[0])
         acceptor = self._acceptor
         promise = Promise(
-            word.epoch,
-            word.ballot,
+            message.epoch,
+            message.ballot,
             log.index,
             log.has_snapshot,
             acceptor.accepted_ballot,
@@ -288,14 +291,16 @@
         )
         return [Store(meta=acceptor.meta(), sends=[Send(addr, promise)])]
 
-    def _on_accept(self, addr: str, word: Accept, now: int) -> list[Action]:
-        if not self.is_member or word.epoch != self.view.epoch + 1:
+    def _on_accept(self, addr: str, message: Accept, now: int) -> list[Action]:
+        if not self.is_member or message.epoch != self.view.epoch + 1:
             return []
         self._mark_epoch_open(now)
-        if not self._acceptor.accept(word.ballot, word.view):
-            return self._outvoted(addr, word.epoch)
-        self._highest_ballot_number = max(self._highest_ballot_number, word.ballot[0])
-        return [Store(meta=self._acceptor.meta(), sends=[Send(addr, Accepted(word.epoch, word.ballot))])]
+        if not self._acceptor.accept(message.ballot, message.view):
+            return self._outvoted(addr, message.epoch)
+        self._highest_ballot_number = max(self._highest_ballot_number, message.ballot[0])
+        return [
+            Store(meta=self._acceptor.meta(), sends=[Send(addr, Accepted(message.epoch, message.ballot))])
+        ]
 
     def _outvoted(self, addr: str, epoch: int) -> list[Action]:
         return [Send(addr, Outvoted(epoch, self._acceptor.promised))] if addr != self.me else []
--- a/brackengate/emulator/mesh/disk.py
+++ b/brackengate/emulator/mesh/disk.py
@@ -78,9 +78,9 @@
         self.writes += 1
         encode = msgspec.json.encode
         for store in stores:
-            if store.forget:
+            if store.drop_all:
                 self._rows.clear()
-            if store.forget or store.cut:
+            if store.drop_all or store.drop_entries:
                 self._entries.clear()
             for name, value in store.meta.items():
                 self._meta[name] = encode(value)
--- a/brackengate/model_check/disk.py
+++ b/brackengate/model_check/disk.py
@@ -22,9 +22,9 @@
     entries: dict[int, bytes] = field(default_factory=dict)
 
     def write(self, store: Store) -> None:
-        if store.forget:
+        if store.drop_all:
             self.committed.clear()
-        if store.forget or store.cut:
+        if store.drop_all or store.drop_entries:
             self.entries.clear()
         for name, value in store.meta.items():
             self.meta[name] = msgspec.json.encode(value)
--- a/brackengate/model_check/vessel.py
+++ b/brackengate/model_check/vessel.py
@@ -237,7 +237,7 @@
                 agreement._change = None
                 agreement._live_members(-2 * PARTITIONED_AFTER_US)
                 agreement._change_wanted_since = NEVER
-                return replica._settle(agreement._reconfigure(now, chain.log_status()), now)
+                return replica._apply_view(agreement._reconfigure(now, chain.log_status()), now)
             case ("ask", number):
                 return replica.submit_command(self.waters.workload.command(number), number, now)
             case ("again",):
