--- a/benchmarks/mesh.py
+++ b/benchmarks/mesh.py
@@ -129,7 +129,7 @@
 
 def store(folder: Path) -> None:
     """A claim a commit, and a start with as many keys as two windows hold at 130 a second."""
-    disk, _ = open_disk(str(folder), first=True)
+    disk, _ = open_disk(str(folder), initial_start=True)
     for count in (COMMITS, KEYS):
         begun, used = time.perf_counter(), time.process_time()
         for commit in range(0, count, count // COMMITS):
@@ -145,7 +145,7 @@
         )
     disk.close()
     used = time.process_time()
-    disk, kept = open_disk(str(folder), first=False)
+    disk, kept = open_disk(str(folder), initial_start=False)
     print(f"a start with {len(list(kept.rows))} rows: {(time.process_time() - used) * 1e3:.0f} ms of it")
     disk.close()
 
--- a/benchmarks/scale/units.py
+++ b/benchmarks/scale/units.py
@@ -92,7 +92,7 @@
 def units(proxies: int) -> Units:
     size = Size(proxies)
     held, recent = public_rows(size), RecentEntries(1, 1)
-    recent.begin(1)
+    recent.reset(1)
     rows = CommittedRows.of((kind, name, 1, value) for kind, name, value in held)
     sent = pieces(rows, recent)
     table, ip = take(sent), proxy_ip(0)
--- a/benchmarks/snapshots.py
+++ b/benchmarks/snapshots.py
@@ -245,7 +245,7 @@
 
     rng = random.Random(rows)
     view = View(1, tuple(Member(f"{ip}:{CONTROL}", "first", 1) for ip in ADDRESSES[:3]))
-    disk, _ = open_disk(folder, first=True)
+    disk, _ = open_disk(folder, initial_start=True)
     disk.write([Store({"view": view, "lineage": 1, "place": rows, "base": rows})])
     for begin in range(0, rows, AT_ONCE):
         held = [
--- a/brackengate/control/chain.py
+++ b/brackengate/control/chain.py
@@ -1,17 +1,17 @@
-"""The log of changes as a chain: entered at the head, stored by each in turn, answered from the tail.  Pure.
+"""Chain replication of the log: the head appends entries, each member stores them in turn, the tail commits.
 
-A member stores an entry before it passes it on, so each one's log is a prefix of the log of the one before
-it. What the tail has stored is on every disk of the view: it is committed, and word of that goes back up the
-chain. Only what is committed is published, so nothing published is ever taken back.
+Pure.  A member stores an entry before it sends it to its successor, so each log is a prefix of its
+predecessor's.  What the tail has stored is on every disk of the view: it is committed, and acknowledgements
+travel back up the chain.  Only committed rows are published, so nothing published is ever retracted.
 
 The log is kept as the committed rows and the entries after them, in memory and on disk alike.  Entries are
-passed on as they were made, so that what they free is free everywhere.  A replica without a place in the view
-drops the entries and keeps the rows, which are a prefix of what is committed whatever comes; it goes on from
-there as a learner (`transfer`), and a new member takes its duties when it holds all that the one before it
-had stored.
+forwarded unchanged, so that a deletion is applied on every replica.  A replica that is not a member drops the
+entries and keeps the rows, which remain a prefix of the committed state whatever happens; it continues from
+there as a learner (`transfer`).  A new member takes up its duties when it holds everything that its
+predecessor had stored when they connected.
 
-What commands wait, and what the head decides of them, is in `commands.py`.  Times are microseconds of a
-steady clock.
+Pending commands, and how the head decides them, are in `commands.py`.  Times are microseconds of a monotonic
+clock.
 """
 
 from __future__ import annotations
@@ -61,49 +61,46 @@
     View,
 )
 
-POSITION_INTERVAL_US = 200_000  # a member that has not met the one before it says again what it has
+POSITION_INTERVAL_US = 200_000  # a member that is not caught up reports its position again
 PRUNE_BATCH_KEYS = 500
-PRUNE_INTERVAL_US, PRUNE_CONTINUE_INTERVAL_US = (
-    1_000_000,
-    100_000,
-)  # between two looks for old keys, and while there are more
+# Between two scans for expired keys, and between the steps of one scan.
+PRUNE_INTERVAL_US, PRUNE_CONTINUE_INTERVAL_US = 1_000_000, 100_000
 
 
 class Chain:
+    """One replica's log and its part in the chain: as head, member, tail or learner."""
+
     def __init__(
         self, me: str, min_replicas: int, window: int, index: int, snapshot_epoch: int, now: int
     ) -> None:
-        """`min_replicas`: disks that hold a write before its ack.  `window`: how long a key is kept.
-        `index`, `snapshot_epoch`: as stored; the epoch is that of the membership the rows were taken for."""
+        """`min_replicas`: disks that hold a write before its ack.  `window`: how long a key may be repeated.
+        `index`, `snapshot_epoch`: as stored; the epoch in which this replica became the member that the rows
+        were copied for, 0 if it is none."""
         self.me, self.min_replicas = me, min_replicas
         self.view = View(0, ())
         self.incarnation = ""
         self.epoch_closed = False
         self.replica_log = ReplicaLog(index)
         self.stored_index = index
-        self.commit_index = -1  # on all disks of a view; -1: not known since the start
+        self.commit_index = -1  # on the disks of all members; -1: not known since the start
         self.caught_up_epoch = 0
         self.snapshot_epoch = snapshot_epoch
         self.learner = Learner()
         self.key_ages = KeyAges(window)
         self._ready_index = index
-        self._catching_up = (
-            False  # a new member that is passed entries, and does not hold all that it owes yet
-        )
-        self._owed_index: int | None = None  # the index from which on it does
-        self._sent_until: int | None = (
-            None  # the index up to which the next one was sent; None: it has to say
-        )
+        self._catching_up = False  # a new member that receives entries but lacks some of its predecessor's
+        self._required_index: int | None = None  # the index up to which it must catch up
+        self._sent_until: int | None = None  # sent to the successor; None until it reports its position
         self._now = now  # of the last event
         self._position_sent_at = self._last_prune_at = 0
-        self._prune_index = 0  # the last entry that frees old keys
+        self._prune_index = 0  # the last entry that deletes expired keys
         self._commands = PendingCommands(now)
         self.staged = StagedOrders()
         self._orders = HeadOrders()
-        self._preparations: deque[Iterator[None]] = deque()  # of rows that are about to be entered
+        self._preparations: deque[Iterator[None]] = deque()  # of rows that will be appended
         self._pending_replies: deque[PendingReply] = deque()
-        self._configuration: Configuration | None = None  # as it was read last
-        self._configuration_of = (0, -1)  # the generation and the public index that this was made of
+        self._configuration: Configuration | None = None  # as last read
+        self._configuration_of = (0, -1)  # the generation and public index that it was built from
 
     def load(
         self,
@@ -113,49 +110,57 @@
         bucket: int,
         now: int,
     ) -> None:
-        """What is on disk at the start: committed rows, and entries of which some may not have been."""
+        """Loads what is on disk at the start: committed rows, and entries that may not be committed.
+
+        `base`: the index up to which the rows are committed, None if some may not be.  `bucket`: the position
+        of a partial copy.
+        """
         self.replica_log.load(rows, entries, base)
         if self.snapshot_epoch and self.replica_log.rows_committed:
             bucket = COMPLETE_BUCKET
         self.learner.position = CopyPosition(bucket, self.state.index)
         self.key_ages.record(now, self.index)
 
-    # --- where it stands
+    # --- state
 
     def log_status(self) -> LogStatus:
+        """The state of the log, for the view agreement."""
         copied = -1 if self._chain_position() >= 0 or not self.learner.complete else self.state.index
         committed = max(self.commit_index, self.state.index if self.replica_log.rows_committed else -1)
         return LogStatus(self.stored_index, self.has_snapshot, self.caught_up_epoch, committed, copied)
 
     @property
     def index(self) -> int:
-        """Of the last entry that is held."""
+        """The index of the last entry in memory."""
         return self.replica_log.index
 
     @property
     def generation(self) -> int:
+        """Increases whenever a part of the log is dropped."""
         return self.replica_log.generation
 
     @property
     def state(self) -> CommittedState:
-        """What is committed."""
+        """The committed rows."""
         return self.replica_log.state
 
     @property
     def rows(self) -> LatestRows:
+        """All rows, including those of uncommitted entries."""
         return self.replica_log.rows
 
     @property
     def items(self) -> ItemIndex:
-        """The operator's, as in `rows`."""
+        """The operator's configuration items, as in `rows`."""
         return self.replica_log.items
 
     def set_delivery_timeout(self, time: int) -> None:
-        """How long a large order waits for followers at the most, beside the time for its rows."""
+        """Sets how long a large order waits for followers at most, in addition to the time for its rows."""
         self._orders.deliver_within = time
 
     @property
     def has_snapshot(self) -> bool:
+        """Whether this replica is a member that holds every entry its membership requires."""
         member = self.view.member(self.me)
         return (
             member is not None
@@ -164,17 +169,19 @@
         )
 
     def _chain_position(self) -> int:
+        """The number of members in front of this one; -1 if it is no member."""
         return next(
             (
-                n
-                for n, s in enumerate(self.view.members)
-                if s.addr == self.me and s.incarnation == self.incarnation
+                position
+                for position, member in enumerate(self.view.members)
+                if member.addr == self.me and member.incarnation == self.incarnation
             ),
             -1,
         )
 
     @property
     def head(self) -> str:
+        """The address of the chain's head; empty without a view."""
         return self.view.members[0].addr if self.view.members else ""
 
     def _predecessor(self) -> str:
@@ -187,24 +194,24 @@
 
     @property
     def ready(self) -> bool:
-        """Whether followers can be served: all that is held here has been agreed at some time."""
+        """Whether followers can be served: everything loaded or copied here is known to be committed."""
         return self.has_snapshot and self.commit_index >= self._ready_index and self.commit_index >= 0
 
     # --- the view
 
     def on_view(self, view: View, incarnation: str, now: int) -> list[Action]:
-        """A view was agreed."""
+        """A new view was agreed, or this replica starts with a stored one."""
         self._now = now
         self.view, self.incarnation, self.epoch_closed = view, incarnation, False
         self.caught_up_epoch = 0
-        self._sent_until = self._owed_index = None
+        self._sent_until = self._required_index = None
         self._catching_up = False
-        self._pending_replies.clear()  # whoever asked asks again
+        self._pending_replies.clear()  # the replicas submit their commands again
         self._orders.begin_view()
         self.staged.forget_open()
         out: list[Action] = []
         if not self.has_snapshot:
-            out += self._drop_entries()
+            out += self._become_learner()
         if self._chain_position() == 0 and self.has_snapshot:
             self.caught_up_epoch = view.epoch
         out += self._send_position(now)
@@ -216,6 +223,7 @@
         return out
 
     def tick(self, now: int) -> list[Action]:
+        """Periodic work: repeats reports and commands, and starts whatever is due."""
         self._now = now
         out: list[Action] = []
         if (
@@ -237,7 +245,7 @@
         return out + self._request_copy(now) + list(self.replica_log.flush_if_due(now))
 
     def on_reconnected(self, addr: str, now: int) -> list[Action]:
-        """A connection to that member is new: what was said on the one before may be lost."""
+        """A connection with that member is new: messages on the one before may be lost."""
         out: list[Action] = []
         if addr == self._successor():
             self._sent_until = None
@@ -249,15 +257,13 @@
         return out
 
     def _send_position(self, now: int) -> list[Action]:
-        before = self._predecessor()
+        predecessor = self._predecessor()
         self._position_sent_at = now
-        if not before or not (self.has_snapshot or self.learner.complete):
+        if not predecessor or not (self.has_snapshot or self.learner.complete):
             return []
-        out: list[Action] = [Send(before, Position(self.view.epoch, self.stored_index))]
-        if (
-            self.commit_index >= 0 and self.has_snapshot
-        ):  # whoever has just started knows of nothing that is agreed
-            out.append(Send(before, Ack(self.view.epoch, self.commit_index)))
+        out: list[Action] = [Send(predecessor, Position(self.view.epoch, self.stored_index))]
+        if self.commit_index >= 0 and self.has_snapshot:  # unknown right after a start
+            out.append(Send(predecessor, Ack(self.view.epoch, self.commit_index)))
         return out
 
     # --- commands
@@ -265,11 +271,11 @@
     def submit_command(
         self, command: Command, request_id: int, now: int, give_up_after: int = GIVE_UP_AFTER_US
     ) -> list[Action]:
-        """Answered once, by `Answer(local, result)`."""
+        """Submits a command; answered once, by `Answer(request_id, result)`."""
         return self._submit(self._commands.add(command, request_id, now, give_up_after), now)
 
     def withdraw(self, request_id: int) -> None:
-        """Whoever asked has gone."""
+        """The caller no longer waits for the command: it is not submitted again."""
         self._commands.withdraw(request_id)
 
     def _give_up(self, now: int) -> list[Action]:
@@ -286,19 +292,19 @@
         return [answer] if answer is not None else []
 
     def _accepts_commands(self) -> bool:
-        fit = self._chain_position() == 0 and self.has_snapshot and not self.epoch_closed
-        return fit and len(self.view.members) >= self.min_replicas
+        is_ready_head = self._chain_position() == 0 and self.has_snapshot and not self.epoch_closed
+        return is_ready_head and len(self.view.members) >= self.min_replicas
 
     def _execute(self, addr: str, message: Submit, now: int) -> list[Action]:
-        """At the head: its result is told once all that it was decided by is agreed."""
+        """Decides a command as the head.  The result is sent once every entry it depends on is committed."""
         if not self._accepts_commands() or message.epoch != self.view.epoch:
-            return []  # submitted again once its replica knows the view
+            return []  # its replica submits it again once it knows the view
         if isinstance(message.what, Amend):
             return self._execute_order(addr, message.id, message.what, now)
         return self._append_and_reply(addr, message.id, decide(message.what, self.rows, self.items), now)
 
     def _execute_order(self, addr: str, id_: int, command: Amend, now: int) -> list[Action]:
-        """A large one is read in slices and delivered first."""
+        """Decides an order as the head; a large one is read in slices and delivered to followers first."""
         match self._orders.submitted(command, addr, id_, self.rows, self.items, self._members(), now):
             case EnterNow(decision):
                 return self._append_and_reply(addr, id_, decision, now)
@@ -313,19 +319,19 @@
         return [member.addr for member in self.view.members]
 
     def run_slice(self, now: int) -> list[Action]:
-        """One slice of the work that is done beside everything else."""
+        """Does one slice of the long-running work: reading orders and preparing their rows."""
         self._now = now
         out: list[Action] = []
         if self._orders.examining:
             outcome = self._orders.examine(self._members(), now)
             if outcome is not None and self._accepts_commands():
-                out += self._examined(outcome, now)
+                out += self._on_examined(outcome, now)
         elif self._preparations and next(self._preparations[0], self) is self:
             self._preparations.popleft()
         more = self._orders.examining or self._preparations
         return [*out, Continue()] if more else out
 
-    def _examined(self, outcome: Outcome, now: int) -> list[Action]:
+    def _on_examined(self, outcome: Outcome, now: int) -> list[Action]:
         match outcome.taken:
             case EnterNow(decision):
                 return self._append_and_reply_all(decision, outcome.submissions, now)
@@ -346,13 +352,13 @@
         return [Send(addr, Underway(id_))]
 
     def _deliver(self, order: StagedOrder, read: Mapping[str, Route] = NO_ROUTES) -> list[Action]:
-        """`read`: its routes, where they were read here."""
+        """Offers an order to the followers and prepares its rows.  `read`: its routes, if already parsed."""
         self.staged.add(order)
         self._preparations.append(self.replica_log.prepared.prepare(order.id, order.rows(), read))
         return [Deliver(order), Continue()]
 
     def on_delivered(self, id_: str, now: int) -> list[Action]:
-        """All followers of this member that are in touch hold that order."""
+        """All connected followers of this member hold the order with this id."""
         self._now = now
         if self.head != self.me:
             return [Send(self.head, Delivered(self.view.epoch, id_))] if self.head else []
@@ -360,7 +366,7 @@
         return self._append_delivered(now)
 
     def _append_delivered(self, now: int) -> list[Action]:
-        """All who wait for an order get its one result."""
+        """Appends the orders whose delivery has ended; every submission of an order gets the same result."""
         out: list[Action] = []
         if self._chain_position() != 0 or not self.has_snapshot or self.epoch_closed:
             return out
@@ -370,7 +376,7 @@
         return out
 
     def _append_decision(self, decision: Decision, now: int, staged: str = "") -> list[Action]:
-        """`staged`: the order by which its rows were delivered."""
+        """`staged`: the id of the order that delivered the rows in advance."""
         entry = Entry(self.index + 1, decision.rows, staged if decision.rows else "")
         return self._store_entries((entry,), now)
 
@@ -380,16 +386,19 @@
     def _append_and_reply_all(
         self, decision: Decision, submissions: Iterable[Submission], now: int, staged: str = ""
     ) -> list[Action]:
-        """Where nothing is set, the last entry serves if it was not passed on yet: it will be agreed later
-        than now, which shows that this is the head still.  Guards against a flood of commands that are sent
-        again, each of which would cost all members a place on their disks."""
+        """Appends the decision's rows and queues a reply for each submission.
+
+        A decision without rows shares the last entry if that was not sent on yet: its commit comes later than
+        now, which shows that this replica is still the head.  Guards against a flood of repeated commands,
+        each of which would otherwise cost a log entry on the disks of all members.
+        """
         out = self._append_decision(decision, now, staged) if decision.rows or self._all_stored() else []
         for one in submissions:
             self._pending_replies.append(PendingReply(self.index, one.addr, one.id, decision.result))
         return out
 
     def _all_stored(self) -> bool:
-        """Whether every entry is on the disk here, and so may have been passed on."""
+        """Whether every entry is on disk here, and so may have been sent to the successor."""
         return self.index <= self.stored_index
 
     def _reply(self, reply: PendingReply) -> list[Action]:
@@ -401,7 +410,7 @@
         return self._store_entries((Entry(self.index + 1, tuple(rows)),), now)
 
     def _prune(self, now: int) -> list[Action]:
-        """A duty of the head: keys that nobody may repeat any more."""
+        """Deletes, as the head, expired keys that may no longer be repeated."""
         if (
             self._chain_position() != 0
             or not self.has_snapshot
@@ -409,20 +418,21 @@
             or self.commit_index < self._prune_index
         ):
             return []
-        rows, old = self.rows, list[Row]()
+        rows, expired = self.rows, list[Row]()
         for key in self.key_ages.expired_keys(self.state.rows, now, PRUNE_BATCH_KEYS):
             held = rows.get((KEY_KIND, key))
             if held is not None and held[0] <= self.key_ages.cutoff:
-                old.append((KEY_KIND, key, None))
-        if not old:
+                expired.append((KEY_KIND, key, None))
+        if not expired:
             return []
-        out = self._append_rows(old, now)
+        out = self._append_rows(expired, now)
         self._prune_index = self.index
         return out
 
     # --- the log
 
     def on_message(self, addr: str, message: Line, now: int) -> list[Action]:
+        """Handles a message about the log, commands or copies."""
         self._now = now
         match message:
             case Submit():
@@ -460,23 +470,23 @@
         ):
             return []
         if message.index > self.index:
-            return []  # it can't have more: a line from another life
+            return []  # it can't be ahead: a message of another incarnation
         if not self.replica_log.has_entries_after(message.index):
-            return []  # it has to copy
+            return []  # it needs a copy
         self._sent_until = message.index
-        return self._send_new_entries(even_none=True)
+        return self._send_new_entries(send_empty=True)
 
-    def _send_new_entries(self, even_none: bool = False) -> list[Action]:
-        """Pass on what is stored here and was not sent yet."""
-        after = self._successor()
-        if not after or self._sent_until is None or self.epoch_closed:
+    def _send_new_entries(self, send_empty: bool = False) -> list[Action]:
+        """Sends the successor the entries that are stored here and were not sent yet."""
+        successor = self._successor()
+        if not successor or self._sent_until is None or self.epoch_closed:
             return []
         start, until = self._sent_until, self.stored_index
-        if start >= until and not even_none:
+        if start >= until and not send_empty:
             return []
         out: list[Action] = []
-        for entries in self.replica_log.after(start, until) or [()]:
-            out.append(Send(after, Append(self.view.epoch, start, entries, until)))
+        for entries in self.replica_log.entries_after(start, until) or [()]:
+            out.append(Send(successor, Append(self.view.epoch, start, entries, until)))
             start = entries[-1].index if entries else start
         self._sent_until = max(start, until)
         return out
@@ -499,19 +509,20 @@
         return out or self._commit_as_tail()
 
     def _catch_up_new_member(self, entries: tuple[Entry, ...], until: int) -> list[Action]:
-        """It holds all that it owes once it has what the one before it had stored when they met."""
+        """Takes entries as a new member, which is complete once it holds all that its predecessor had stored
+        when they connected."""
         self._catching_up, self.learner.open_request = True, 0
-        if self._owed_index is None:
-            self._owed_index = until
+        if self._required_index is None:
+            self._required_index = until
         for entry in entries:
             self.replica_log.append(entry)
-        if self.index < self._owed_index:
+        if self.index < self._required_index:
             return [self.replica_log.store(entries)] if entries else []
         member = self.view.member(self.me)
         assert member is not None
         self._catching_up, self.snapshot_epoch, self.caught_up_epoch = False, member.since, self.view.epoch
         self._ready_index = self.index
-        self.replica_log.generation += 1  # nothing counts as stored until this one is
+        self.replica_log.generation += 1  # nothing counts as stored before the store below
         self.stored_index = -1
         return [ResetFollowers(), self.replica_log.store(entries, lineage=member.since)]
 
@@ -523,7 +534,7 @@
         return [self.replica_log.store(entries)]
 
     def on_stored(self, index: int, generation: int) -> list[Action]:
-        """The disk holds everything up to there, of that generation."""
+        """The disk holds everything up to this index of this generation."""
         if generation != self.generation:
             return []
         if self.learner.unstored_pieces:
@@ -537,7 +548,7 @@
         return out + self._commit_as_tail()
 
     def _commit_as_tail(self) -> list[Action]:
-        """The tail's word that what it has stored is agreed."""
+        """Commits, as the tail, everything that it has stored."""
         at = self._chain_position()
         if (
             at < 0
@@ -552,16 +563,16 @@
         out: list[Action] = []
         if len(self.view.members) < self.min_replicas or not self.has_snapshot:
             return out
-        before = self._predecessor()
-        if before:
-            out.append(Send(before, Ack(self.view.epoch, index)))
+        predecessor = self._predecessor()
+        if predecessor:
+            out.append(Send(predecessor, Ack(self.view.epoch, index)))
         if index <= self.commit_index:
             return out
         was_ready = self.ready
         self.commit_index = index
         changes = self.replica_log.commit(index)
         if self.ready and not was_ready:
-            self.replica_log.recent_public.begin(index)
+            self.replica_log.recent_public.reset(index)
             out.append(ResetFollowers())
         elif self.ready and changes.rows:
             out.append(Publish(index, changes.rows, changes.staged))
@@ -572,14 +583,14 @@
     # --- copies
 
     def _on_copy_request(self, addr: str, message: CopyRequest) -> list[Action]:
-        """Whatever has become of the view: what is sent is a prefix of what is committed."""
+        """Answers in any view: what is sent is a prefix of the committed state."""
         if not self.has_snapshot or not self.replica_log.rows_committed:
             return []
         piece = next_piece(self.state.rows, self.replica_log.recent, self.state.index, message)
         return [Send(addr, piece)] if piece is not None else []
 
-    def _drop_entries(self) -> list[Action]:
-        """No member, or a new one: it goes on from the committed rows."""
+    def _become_learner(self) -> list[Action]:
+        """Keeps only the committed rows, as a replica that is no member, or a new one."""
         if not self.snapshot_epoch and self.index == self.state.index:
             return []
         self.snapshot_epoch, self.stored_index = 0, -1
@@ -592,10 +603,11 @@
         return [Send(self.learner.source, request)] if request is not None else []
 
     def _sources(self) -> list[str]:
-        """Who can send a copy, the best first: the one before it, else the tail: it has least to do."""
-        before = self._predecessor()
-        if before:
-            return [before]
+        """The senders for a copy, the best first: the predecessor, else the members from the tail on, which
+        has the least work."""
+        predecessor = self._predecessor()
+        if predecessor:
+            return [predecessor]
         return [member.addr for member in reversed(self.view.members) if member.addr != self.me]
 
     def _on_copy_piece(self, addr: str, piece: CopyPiece) -> list[Action]:
@@ -605,20 +617,20 @@
         self.commit_index = self._ready_index = self.index
         return [*([store] if store is not None else []), *self._request_copy(self._now)]
 
-    # --- what followers get
+    # --- data for followers
 
     @property
     def public_index(self) -> int:
-        """Of the last committed row that followers may have."""
+        """The log index of the last committed row that followers may receive."""
         return self.state.public_index
 
     @property
     def published(self) -> Mapping[Name, tuple[int, Any]]:
-        """All that is agreed of what followers may have, with the place of each."""
+        """The committed rows that followers may receive, each with its log index."""
         return self.state.published
 
     def configuration(self) -> Configuration:
-        """Made once for all who read it until there is a newer public row."""
+        """The configuration, rebuilt only when a public row has changed."""
         state = (self.generation, self.public_index)
         if self._configuration is None or self._configuration_of != state:
             items = ((name, item_of(row[1])) for name, row in self.published.items() if name[0] in ITEMS)
@@ -626,12 +638,12 @@
         return self._configuration
 
     def changes_since(self, index: int) -> PublicChanges | None:
-        """None where a follower has to take a copy."""
+        """The public changes after this index; None if the follower needs a copy."""
         if index > self.commit_index:
-            return PublicChanges(index, ())  # it has seen more than this member: nothing until there is news
+            return PublicChanges(index, ())  # it is ahead of this member: nothing to send yet
         entries = self.replica_log.recent_public.all_after(index)
         return public_changes(self.commit_index, entries) if entries is not None else None
 
     def public_copy_piece(self, request: CopyRequest) -> CopyPiece | None:
-        """Of a follower's copy."""
+        """The next piece of a follower's copy."""
         return next_piece(self.state.public, self.replica_log.recent_public, self.commit_index, request)
--- a/brackengate/control/commands.py
+++ b/brackengate/control/commands.py
@@ -1,8 +1,9 @@
-"""Commands: those that wait at the replica they came to, and what the head decides of each.  Pure.
+"""Commands for the replicated state machine: pending ones, and how the head decides each.  Pure.
 
-A command may come to any replica, which submits it to the head again and again until it hears the result;
-submitting it twice does no harm, as each command says what is wanted and not a step towards it.  The head
-decides it against all that it holds, and its result is told once every entry up to that point is agreed.
+A client may submit a command at any replica, which submits it to the head repeatedly until it receives the
+result; submitting it twice does no harm, as commands are idempotent: each names the wanted state.  The head
+decides a command against all rows that it holds, and sends the result once every entry up to that point is
+committed.
 """
 
 from __future__ import annotations
@@ -39,19 +40,18 @@
     UndecidedOrder,
 )
 
-RESUBMIT_AFTER_US = 400_000  # a command without a result is submitted again, microseconds
-MAX_RESUBMIT_DOUBLINGS = (
-    2  # each time after twice as long, so often: a head that is too full is not made fuller
-)
-FOLLOWER_TIMEOUT_US = 5_000_000  # a follower waits no longer for the result of its command
-UNDERWAY_EXTENSION_US = 1_600_000  # that much later, while the head is at work on it
-GIVE_UP_AFTER_US = 12_000_000  # and forgotten
-OPERATOR_TIMEOUT_US = 2_000_000  # an operator goes elsewhere after a second: no longer is its call pursued
-TIMEOUT_PER_BYTE_US = 20  # and longer with a large order, which is delivered first: 4 ms for each route
-HOLD_REFUSED_US = 4_000_000  # longer than that, and than its last submission can be under way; and for each
-# byte as much longer as its call is pursued
+RESUBMIT_AFTER_US = 400_000  # without a result
+MAX_RESUBMIT_DOUBLINGS = 2  # of the time before a resubmission, so as not to overload the head further
+FOLLOWER_TIMEOUT_US = 5_000_000  # for the result of a follower's command
+UNDERWAY_EXTENSION_US = 1_600_000  # later resubmission while the head works on the command
+GIVE_UP_AFTER_US = 12_000_000  # a command without a result is dropped
+OPERATOR_TIMEOUT_US = 2_000_000  # an operator's client tries another replica after a second
+TIMEOUT_PER_BYTE_US = 20  # in addition: a large order is delivered first; 4 ms for each route
+# Longer than OPERATOR_TIMEOUT_US plus the time that the last submission may be in flight; extended for each
+# byte like the timeout.
+HOLD_REFUSED_US = 4_000_000
 MAX_REFUSED_ORDERS = 1_000  # orders whose refusal a head remembers
-HISTORY_KIND = "history"  # rows of what was acknowledged of an item, see `orders.py`
+HISTORY_KIND = "history"  # rows with the acknowledged versions of an item, see `orders.py`
 REFUSALS = (HeldBy, InvalidOrder, ConflictingOrder, UndecidedOrder)
 
 DONE = CommandDone()
@@ -62,24 +62,24 @@
 
 @dataclass(slots=True)
 class PendingCommand:
-    """A command that came to this replica and waits for its result."""
+    """A command that was submitted at this replica and waits for its result."""
 
     command: Command
     submitted_at: int
     last_sent_at: int
-    request_id: int  # the carrier's number
-    give_up_after: int
-    submission_ids: list[int] = field(default_factory=list)  # one for each time that it was submitted
+    request_id: int  # the caller's id
+    give_up_after: int  # microseconds
+    submission_ids: list[int] = field(default_factory=list)  # one for each submission
 
     def due(self, now: int) -> bool:
-        """Whether it is to be submitted again."""
+        """Whether it must be submitted again."""
         doublings = min(max(0, len(self.submission_ids) - 1), MAX_RESUBMIT_DOUBLINGS)
         return now - self.last_sent_at > RESUBMIT_AFTER_US << doublings
 
 
 @dataclass(slots=True)
 class PendingReply:
-    """What the head says once an index is agreed.  `result` None: read when it is said."""
+    """A reply that the head sends once an index is committed.  `result` None: read when it is sent."""
 
     index: int
     addr: str
@@ -89,23 +89,24 @@
 
 @dataclass(slots=True)
 class PendingCommands:
-    """The commands that came to this replica, and the numbers under which each was submitted.
+    """The commands that were submitted at this replica, and the ids of their submissions to the head.
 
-    `last_id` begins at the steady clock, so that no number of an earlier life comes again: messages for
-    those may still be under way.
+    `last_id` starts at the monotonic clock, so that no id of an earlier incarnation is reused: messages with
+    such ids may still be in flight.
     """
 
     last_id: int
     by_id: dict[int, PendingCommand] = field(default_factory=dict)
-    command_of_submission: dict[int, int] = field(default_factory=dict)  # by the number of a submission
+    command_of_submission: dict[int, int] = field(default_factory=dict)  # by submission id
 
     def add(self, command: Command, request_id: int, now: int, give_up_after: int = GIVE_UP_AFTER_US) -> int:
+        """Adds a command; returns its id."""
         self.last_id += 1
         self.by_id[self.last_id] = PendingCommand(command, now, now, request_id, give_up_after)
         return self.last_id
 
     def submission(self, command_id: int, epoch: int, now: int) -> Submit:
-        """Under a new number, which tells this submission from the ones before."""
+        """The message that submits a command, with a new id to distinguish it from earlier submissions."""
         pending = self.by_id[command_id]
         pending.last_sent_at = now
         self.last_id += 1
@@ -114,47 +115,53 @@
         return Submit(self.last_id, pending.command, epoch)
 
     def on_underway(self, number: int, now: int) -> None:
-        """The head has it, and is at work on it."""
+        """The head is working on the command of this submission: resubmit it later."""
         command_id = self.command_of_submission.get(number)
         if command_id is not None:
             self.by_id[command_id].last_sent_at = now + UNDERWAY_EXTENSION_US
 
     def on_result(self, result_message: Result) -> Answer | None:
-        """None: nobody waits for it, or it may still come to another end."""
+        """The answer for the caller; None if nobody waits, or if a later submission may succeed."""
         command_id = self.command_of_submission.get(result_message.id)
         if command_id is None:
             return None
         latest = self.by_id[command_id].submission_ids[-1]
         if result_message.id != latest and isinstance(result_message.result, REFUSALS):
-            return None  # turned down, but it was submitted again
+            return None  # refused, but it was submitted again since
         return self.finish(command_id, result_message.result)
 
     def finish(self, command_id: int, result: Any) -> Answer:
+        """Removes a command; returns the answer for its caller."""
         pending = self.by_id.pop(command_id)
         for number in pending.submission_ids:
             del self.command_of_submission[number]
         return Answer(pending.request_id, result)
 
     def withdraw(self, request_id: int) -> None:
-        """Nobody waits for it any more, so it is not submitted again.
+        """Removes a command that its caller no longer waits for, so that it is not submitted again.
 
-        Whoever asked may have been refused elsewhere meanwhile, and what was refused must not come into
-        force by a late copy.
+        The caller may have been refused by another replica meanwhile, and a refused command must not take
+        effect through a late submission.
         """
         for command_id, pending in list(self.by_id.items()):
             if pending.request_id == request_id:
                 self.finish(command_id, None)
 
     def expired(self, now: int) -> list[int]:
-        return [number for number, one in self.by_id.items() if now - one.submitted_at > one.give_up_after]
+        """The ids of the commands that have waited for longer than their `give_up_after`."""
+        return [
+            number
+            for number, pending in self.by_id.items()
+            if now - pending.submitted_at > pending.give_up_after
+        ]
 
     def due(self, now: int) -> list[int]:
-        """Those that are to be submitted again."""
-        return [number for number, one in self.by_id.items() if one.due(now)]
+        """The ids of the commands that must be submitted again."""
+        return [number for number, pending in self.by_id.items() if pending.due(now)]
 
 
 def operator_timeout_us(body: str) -> int:
-    """For how long the call of an operator is pursued."""
+    """How long an operator's call is pursued before the replica gives up."""
     return OPERATOR_TIMEOUT_US + _extra_timeout_us(body)
 
 
@@ -164,16 +171,17 @@
 
 @dataclass(slots=True)
 class RefusedOrders:
-    """The orders that this replica refused lately as the head, by their text.
+    """The orders that this replica recently refused as the head, by their text.
 
-    Another copy of one may be under way still, sent to another replica before.  It must not come into force
-    behind the refusal, so for a while such an order is not taken, and no answer is given: a late copy ends
-    there, and an operator who sends it again is heard once the time is over.
+    Another submission of such an order, sent to another replica before, may still be in flight.  It must not
+    take effect after the refusal, so for a while the order is neither accepted nor answered: a late
+    submission is dropped, and an operator who sends it again is answered once the time is over.
     """
 
     refused_at: dict[str, int] = field(default_factory=dict)
 
     def add(self, body: str, now: int) -> None:
+        """Remembers a refusal and drops those that are too old or too many."""
         self.refused_at.pop(body, None)
         self.refused_at[body] = now
         for old in list(self.refused_at):
@@ -182,21 +190,22 @@
             del self.refused_at[old]
 
     def holds(self, body: str, now: int) -> bool:
+        """Whether this order was refused recently."""
         refused_at = self.refused_at.get(body)
         return refused_at is not None and now - refused_at <= HOLD_REFUSED_US + _extra_timeout_us(body)
 
 
 @dataclass(frozen=True, slots=True)
 class Decision:
-    """The rows that a command sets, and its result.  `result` None: read when it is said."""
+    """The rows that a command sets, and its result.  `result` None: read when it is sent."""
 
     rows: tuple[Row, ...]
     result: CommandResult | None = DONE
-    order: Order = EMPTY_ORDER  # as it was read, of an order that was taken
+    order: Order = EMPTY_ORDER  # as parsed, if an order was accepted
 
 
 def decide(command: Command, rows: Rows, items: ItemIndex) -> Decision:
-    """At the head.  `rows`, `items`: all that it holds, agreed or not yet."""
+    """Decides a command at the head.  `rows`, `items`: all that it holds, committed or not."""
     match command:
         case Amend(body):
             return _read_and_decide(body, rows, items)
@@ -229,13 +238,14 @@
 
 
 def decide_order(order: Order, rows: Rows, items: ItemIndex) -> Decision:
+    """Decides a parsed order, as `decide`."""
     decision = orders.decide(order, items, partial(_history, rows))
-    news: list[Row] = [
+    rows_set: list[Row] = [
         (kind, name, [item.version, item.host, item.body]) for (kind, name), item in decision.items.items()
     ]
     for name, history in decision.histories.items():
-        news.append((HISTORY_KIND, _history_name(name), msgspec.to_builtins(history)))
-    return Decision(tuple(news), decision.result, order)
+        rows_set.append((HISTORY_KIND, _history_name(name), msgspec.to_builtins(history)))
+    return Decision(tuple(rows_set), decision.result, order)
 
 
 def _history_name(name: Name) -> str:
--- a/brackengate/control/item_index.py
+++ b/brackengate/control/item_index.py
@@ -1,6 +1,7 @@
-"""The operator's items as a head holds them, with the places and services of routes kept up.  Pure.
+"""The operator's configuration items at the head, with indexes of routes by host and prefix and by service.
 
-What an order may do is found by what it changes, so that it costs its own size and not the configuration's.
+Pure.  With the indexes an order is checked only against what it affects, so that the cost depends on the size
+of the order and not on that of the configuration.
 """
 
 from __future__ import annotations
@@ -18,10 +19,10 @@
 
 @dataclass(eq=False)
 class ItemIndex(Mapping[Name, Item]):
-    """Items by kind and name; those that were dropped too, with their versions."""
+    """Items by kind and name, including deleted ones, which keep their versions."""
 
     _items: dict[Name, Item] = field(default_factory=dict)
-    _routes: dict[str, Route] = field(default_factory=dict)  # that stand
+    _routes: dict[str, Route] = field(default_factory=dict)  # that are not deleted
     _routes_by_key: dict[RouteKey, set[str]] = field(default_factory=dict)  # names of routes
     _routes_by_service: dict[str, set[str]] = field(
         default_factory=dict
@@ -29,16 +30,17 @@
 
     @classmethod
     def of(cls, items: Iterable[tuple[Name, Item]]) -> ItemIndex:
-        made = cls()
+        """An index of these items."""
+        index = cls()
         for name, item in items:
-            made.put(name, item)
-        return made
+            index.put(name, item)
+        return index
 
     def __getitem__(self, name: Name) -> Item:
         return self._items[name]
 
     def get(self, name: Name, default: Any = None) -> Any:
-        """As of any mapping, without an exception for each name that is new."""
+        """Same as `Mapping.get`, but without raising an exception internally for each unknown name."""
         return self._items.get(name, default)
 
     def __contains__(self, name: object) -> bool:
@@ -50,54 +52,58 @@
     def __len__(self) -> int:
         return len(self._items)
 
-    def put(self, name: Name, item: Item, read: Route | None = None) -> None:
-        """`read`: the route that the item sets, where it was read before."""
+    def put(self, name: Name, item: Item, parsed_route: Route | None = None) -> None:
+        """Adds or replaces an item.  `parsed_route`: the route that it sets, if already parsed."""
         self._items[name] = item
         if name[0] == "route":
-            self._set_route(name[1], item, read)
+            self._set_route(name[1], item, parsed_route)
 
     def clear(self) -> None:
+        """Removes all items."""
         self._items.clear()
         self._routes.clear()
         self._routes_by_key.clear()
         self._routes_by_service.clear()
 
     def has_service(self, name: str) -> bool:
+        """Whether a service of this name exists and is not deleted."""
         item = self._items.get(("plant", name))
         return item is not None and item.body is not None
 
     def routes_at(self, place: RouteKey) -> Set[str]:
-        """The names of the routes that stand there."""
+        """The names of the routes with this host and prefix."""
         return self._routes_by_key.get(place, NO_NAMES)
 
     def routes_to(self, service: str) -> Set[str]:
-        """The names of the routes that go to a service."""
+        """The names of the routes that forward to this service."""
         return self._routes_by_service.get(service, NO_NAMES)
 
-    def _set_route(self, name: str, item: Item, read: Route | None) -> None:
-        before = self._routes.pop(name, None)
-        if before is not None:
-            _remove(self._routes_by_key, route_key(before), name)
-            for service in services_of(before):
+    def _set_route(self, name: str, item: Item, parsed_route: Route | None) -> None:
+        previous = self._routes.pop(name, None)
+        if previous is not None:
+            _remove(self._routes_by_key, route_key(previous), name)
+            for service in services_of(previous):
                 _remove(self._routes_by_service, service, name)
         if item.body is None:
             return
         try:
-            now = read or route(item)
-        except Invalid:  # let in by another version of the program: nobody follows it
+            current = parsed_route or route(item)
+        except Invalid:  # accepted by another version of the program: no proxy applies it
             return
-        self._routes[name] = now
-        self._routes_by_key.setdefault(route_key(now), set()).add(name)
-        for service in services_of(now):
+        self._routes[name] = current
+        self._routes_by_key.setdefault(route_key(current), set()).add(name)
+        for service in services_of(current):
             self._routes_by_service.setdefault(service, set()).add(name)
 
 
-def route_key(it: Route) -> RouteKey:
-    return it.host, it.prefix
+def route_key(route_: Route) -> RouteKey:
+    """The host and prefix of a route."""
+    return route_.host, route_.prefix
 
 
-def services_of(it: Route) -> set[str]:
-    return {part.plant for part in it.parts}
+def services_of(route_: Route) -> set[str]:
+    """The services that a route forwards to."""
+    return {part.plant for part in route_.parts}
 
 
 def _remove(index: dict[_Key, set[str]], key: _Key, name: str) -> None:
--- a/brackengate/control/log.py
+++ b/brackengate/control/log.py
@@ -1,7 +1,7 @@
 """The log as one replica holds it: the committed rows, and the entries after them.  Pure.
 
-On disk it is the same: a store of new entries takes along the rows that were committed since the one before.
-So the rows on disk are always a prefix of what is committed, whatever becomes of the entries.
+The disk has the same layout: a store of new entries also writes the rows that were committed since the store
+before.  So the rows on disk are always a prefix of the committed state, whatever happens to the entries.
 """
 
 from __future__ import annotations
@@ -18,11 +18,11 @@
 from brackengate.control.rows import CommittedState, LatestRows, Name, committed_state
 from brackengate.protocol.messages import ITEMS, PUBLIC, Entry, Row
 
-RECENT_ENTRIES, RECENT_BYTES = 20_000, 4 << 20  # committed entries kept for learners
-RECENT_PUBLIC_ENTRIES, RECENT_PUBLIC_BYTES = 2_000, 2 << 20  # and of these, what followers may have
+RECENT_ENTRIES, RECENT_BYTES = 20_000, 4 << 20  # committed entries kept in memory for learners
+RECENT_PUBLIC_ENTRIES, RECENT_PUBLIC_BYTES = 2_000, 2 << 20  # public ones, for followers
 APPEND_ENTRIES, APPEND_BYTES = 500, 64 << 10  # in one message
-FLUSH_AFTER_US, FLUSH_ROWS = 1_000_000, 2_000  # committed rows wait for the next store, so long and so many
-FLUSH_BATCH_ROWS = 500  # of them go to the disk with one store: others wait behind it
+FLUSH_AFTER_US, FLUSH_ROWS = 1_000_000, 2_000  # limits for committed rows that wait for the next store
+FLUSH_BATCH_ROWS = 500  # in one store: other stores wait behind it
 
 
 def _recent() -> RecentEntries:
@@ -35,14 +35,15 @@
 
 @dataclass(frozen=True, slots=True)
 class PublicChanges:
-    """What followers may have of some entries.  `staged`: the orders that some of it was delivered by."""
+    """The public rows of some entries.  `staged`: ids of orders that delivered some of them in advance."""
 
-    index: int  # that it leads to
+    index: int  # the log index that these changes lead to
     rows: tuple[Row, ...]
     staged: tuple[str, ...] = ()
 
 
 def public_changes(index: int, entries: Iterable[Entry]) -> PublicChanges:
+    """The changes of these entries, which hold public rows only."""
     entries = tuple(entries)
     rows = tuple(row for entry in entries for row in entry.rows)
     return PublicChanges(index, rows, tuple(entry.staged for entry in entries if entry.staged))
@@ -50,27 +51,30 @@
 
 @dataclass
 class ReplicaLog:
-    """`index`: of the last entry.  `firm`: whether all rows of `state` are known to be committed; those of a
-    file of an older form are once that is heard of `firm_from`."""
+    """One replica's log.
+
+    `index`: of the last entry.  `rows_committed`: whether all rows of `state` are known to be committed; rows
+    from a file of an older format are, once the index `rows_committed_from` is known to be committed.
+    """
 
     index: int
-    generation: int = 0  # another one begins where some of what is held is dropped
+    generation: int = 0  # increases whenever a part of the log is dropped
     state: CommittedState = field(default_factory=CommittedState)
-    items: ItemIndex = field(default_factory=ItemIndex)  # the operator's, as in `rows`
+    items: ItemIndex = field(default_factory=ItemIndex)  # the operator's items, as in `rows`
     uncommitted: deque[Entry] = field(default_factory=deque)
-    overlay: dict[Name, tuple[int, Any]] = field(default_factory=dict)  # the rows of these
+    overlay: dict[Name, tuple[int, Any]] = field(default_factory=dict)  # the rows of the uncommitted entries
     recent: RecentEntries = field(default_factory=_recent)
     recent_public: RecentEntries = field(default_factory=_recent_public)
     rows_committed: bool = True
     rows_committed_from: int = 0
     prepared: PreparedRows = field(default_factory=PreparedRows)
-    unflushed: deque[tuple[int, Row]] = field(default_factory=deque)  # committed, and not in a store yet
-    flushed_at: int = 0
+    unflushed: deque[tuple[int, Row]] = field(default_factory=deque)  # committed rows, not in a store yet
+    flushed_at: int = 0  # the last time at which no row waited
 
     def load(
         self, rows: Iterable[tuple[str, str, int, Any]], entries: Iterable[Entry], base: int | None
     ) -> None:
-        """`base`: the index up to which the rows are committed; None: they may not be."""
+        """Loads what is on disk.  `base`: the index up to which rows are committed; None: some may not be."""
         entries = tuple(entries)
         self.rows_committed = base is not None or self.index == 0
         if base is None:
@@ -80,17 +84,18 @@
         self._index_committed_items()
         for entry in entries:
             self.append(entry)
-        self.recent.begin(base)
-        self.recent_public.begin(base)
+        self.recent.reset(base)
+        self.recent_public.reset(base)
 
     @property
     def rows(self) -> LatestRows:
-        """All rows with what is not committed yet."""
+        """All rows, including those of uncommitted entries."""
         return LatestRows(self.state, self.overlay)
 
     # --- entries
 
     def append(self, entry: Entry) -> None:
+        """Adds an uncommitted entry."""
         self.index = entry.index
         self.uncommitted.append(entry)
         for row in entry.rows:
@@ -98,12 +103,12 @@
             self.overlay[kind, name] = (entry.index, value)
             prepared = self.prepared.find(entry.staged, row) if entry.staged else None
             if prepared is not None:
-                self.items.put((kind, name), prepared.item, prepared.read)
+                self.items.put((kind, name), prepared.item, prepared.parsed_route)
             else:
                 self._index_item(kind, name, value)
 
     def commit(self, index: int) -> PublicChanges:
-        """All up to there is committed."""
+        """Commits all entries up to this index; returns their public changes."""
         self.rows_committed = self.rows_committed or index >= self.rows_committed_from
         entries: list[Entry] = []
         while self.uncommitted and self.uncommitted[0].index <= index:
@@ -111,10 +116,10 @@
         return public_changes(index, entries)
 
     def _commit_entry(self, entry: Entry) -> Entry:
-        """What of it followers may have."""
+        """Commits one entry; returns it with its public rows only."""
         for row in entry.rows:
             prepared = self.prepared.find(entry.staged, row) if entry.staged else None
-            self.state.set(entry.index, row, prepared.text if prepared is not None else None)
+            self.state.set(entry.index, row, prepared.value_json if prepared is not None else None)
             self.unflushed.append((entry.index, row))
             if self.overlay.get((row[0], row[1]), (0,))[0] == entry.index:
                 del self.overlay[row[0], row[1]]
@@ -127,7 +132,7 @@
         return public
 
     def drop_uncommitted(self) -> None:
-        """Nobody owes them any more; the committed rows stay."""
+        """Drops the uncommitted entries and keeps the committed rows."""
         self.uncommitted.clear()
         self.overlay.clear()
         self.items.clear()
@@ -136,11 +141,11 @@
         self.generation += 1
 
     def has_entries_after(self, index: int) -> bool:
-        """Whether the entries that follow that index are here."""
+        """Whether the entries that follow this index are in memory."""
         return index >= self.state.index or self.recent.reaches(index)
 
-    def after(self, index: int, until: int) -> list[tuple[Entry, ...]]:
-        """The entries that follow an index that is covered, in batches of a message each."""
+    def entries_after(self, index: int, until: int) -> list[tuple[Entry, ...]]:
+        """The entries between these indexes, in batches of one message each.  See `has_entries_after`."""
         out: list[tuple[Entry, ...]] = []
         while index < self.state.index:
             entries, _ = self.recent.after(index, APPEND_ENTRIES, APPEND_BYTES)
@@ -152,16 +157,16 @@
     # --- copies
 
     def reset(self, index: int) -> None:
-        """A copy begins at that index: what was held before counts for nothing."""
+        """Drops everything; a copy starts from scratch at this index."""
         self.state.clear()
         self.items.clear()
         self.generation += 1
         self.rows_committed = True
         self.index = 0
-        self.recent.begin(index)
+        self.recent.reset(index)
 
     def apply_copy(self, index: int, changes: Iterable[tuple[int, Row]], entries: Iterable[Entry]) -> None:
-        """What a piece of a copy changes, which brings all that is held to an index."""
+        """Applies the changes of one piece of a copy, which brings all rows held to this index."""
         for at, row in changes:
             self.state.set(at, row)
             self._index_item(*row)
@@ -172,17 +177,20 @@
     # --- stores
 
     def store(self, entries: Iterable[Entry], max_rows: int = FLUSH_BATCH_ROWS, **meta: Any) -> Store:
-        """Of new entries, with `most` of the rows that were committed since the last store."""
+        """A store of new entries, with up to `max_rows` rows that were committed since the last store.
+
+        `meta`: values to store, by their names on disk.
+        """
         store = self.flush(max_rows, **meta)
         store.meta["place"], store.entries = self.index, list(entries)
         store.index, store.generation = self.index, self.generation
         return store
 
     def flush(self, max_rows: int = FLUSH_BATCH_ROWS, **meta: Any) -> Store:
-        """`most` of the committed rows that wait.
+        """A store of up to `max_rows` of the committed rows that wait.
 
-        Of an entry whose rows are not all in the store yet, the entry stays on disk too: it is taken again
-        after a start, which gives the same rows.
+        An entry whose rows are not all stored yet stays on disk too: it is applied again after a restart,
+        with the same result.
         """
         rows = [self.unflushed.popleft() for _ in range(min(max_rows, len(self.unflushed)))]
         reached = self.unflushed[0][0] - 1 if self.unflushed else self.state.index
@@ -190,7 +198,7 @@
         return Store({"base": base, **meta}, rows, committed=reached)
 
     def flush_if_due(self, now: int) -> list[Store]:
-        """Committed rows that wait for a store for too long get one of their own, in slices."""
+        """A store for committed rows that have waited too long or are too many, one batch at a time."""
         if not self.unflushed:
             self.flushed_at = now
         elif now - self.flushed_at >= FLUSH_AFTER_US or len(self.unflushed) >= FLUSH_ROWS:
--- a/brackengate/control/prepared_rows.py
+++ b/brackengate/control/prepared_rows.py
@@ -1,9 +1,9 @@
-"""Rows of large orders, read and encoded before they are entered.  Pure.
+"""Rows of large orders, parsed and encoded before they are appended to the log.  Pure.
 
-A replica that enters, stores or commits a large order does so in one step.  What that step needs of each row
-(the route that it sets, its value as JSON) is worked out beforehand, some rows at a time, while the order is
-being delivered.  Nothing depends on it but time: a row that is not prepared, or that was prepared with
-another value, is read and encoded when it is needed.
+A replica appends, stores or commits a large order in one step.  What that step needs of each row (the route
+that it sets, its value as JSON) is computed beforehand, some rows at a time, while the order is being
+delivered.  This is only an optimization: a row that is not prepared, or that was prepared with another value,
+is parsed and encoded when it is needed.
 """
 
 from __future__ import annotations
@@ -17,8 +17,8 @@
 from brackengate.protocol.config_items import Invalid, Item, Name, Route, route
 from brackengate.protocol.messages import ITEMS, Row
 
-SLICE_ROWS = 200  # that are worked on in one step of the loop
-MAX_PREPARED_ROWS = 20_000  # that are held, a kilobyte each; the oldest order goes
+SLICE_ROWS = 200  # prepared in one iteration of the event loop
+MAX_PREPARED_ROWS = 20_000  # a kilobyte each; the oldest order is evicted
 NO_ROUTES: Mapping[str, Route] = {}
 
 _encode = msgspec.json.Encoder().encode
@@ -26,59 +26,62 @@
 
 @dataclass(frozen=True, slots=True)
 class PreparedRow:
-    """`text`: `value` as JSON; `read`: the route that it sets, if it sets one."""
+    """A parsed row.  `value_json`: `value` as JSON; `parsed_route`: the route that it sets, if any."""
 
     value: Any
     item: Item
-    text: bytes
-    read: Route | None
+    value_json: bytes
+    parsed_route: Route | None
 
 
 @dataclass
 class PreparedRows:
-    """By the order that they are rows of, and by their names."""
+    """Prepared rows by the id of their order and by name."""
 
     orders: dict[str, dict[Name, PreparedRow]] = field(default_factory=dict)
 
-    def prepare(self, id_: str, rows: Iterable[Row], read: Mapping[str, Route] = NO_ROUTES) -> Iterator[None]:
-        """Pauses after each slice.  `read`: routes that were read before, by name."""
+    def prepare(
+        self, id_: str, rows: Iterable[Row], parsed_routes: Mapping[str, Route] = NO_ROUTES
+    ) -> Iterator[None]:
+        """Prepares the rows of an order, yielding after each slice.  `parsed_routes`: by name, if known."""
         held = self.orders[id_] = {}
         for count, (kind, name, value) in enumerate(rows, 1):
             if kind in ITEMS:
-                held[kind, name] = _prepared(kind, name, value, read)
+                held[kind, name] = _prepared(kind, name, value, parsed_routes)
             if count % SLICE_ROWS == 0:
                 self._evict_oldest(id_)
                 yield
 
-    def _evict_oldest(self, for_: str) -> None:
+    def _evict_oldest(self, keep_id: str) -> None:
         count = sum(map(len, self.orders.values()))
-        for id_ in [id_ for id_ in self.orders if id_ != for_]:
+        for id_ in [id_ for id_ in self.orders if id_ != keep_id]:
             if count <= MAX_PREPARED_ROWS:
                 return
             count -= len(self.orders.pop(id_))
 
     def find(self, id_: str, row: Row) -> PreparedRow | None:
-        """What was prepared of that order's row; None where its value is another one."""
+        """The prepared row of this order; None if there is none or it has another value."""
         found = self.orders.get(id_, {}).get((row[0], row[1]))
         return found if found is not None and found.value == row[2] else None
 
     def forget(self, id_: str) -> None:
+        """Drops the rows of an order."""
         self.orders.pop(id_, None)
 
 
-def _prepared(kind: str, name: str, value: Any, read: Mapping[str, Route]) -> PreparedRow:
+def _prepared(kind: str, name: str, value: Any, parsed_routes: Mapping[str, Route]) -> PreparedRow:
     item = item_of(value)
-    return PreparedRow(value, item, _encode(value), _route(kind, name, item, read))
+    return PreparedRow(value, item, _encode(value), _route(kind, name, item, parsed_routes))
 
 
-def _route(kind: str, name: str, item: Item, read: Mapping[str, Route]) -> Route | None:
+def _route(kind: str, name: str, item: Item, parsed_routes: Mapping[str, Route]) -> Route | None:
     if kind != "route" or item.body is None:
         return None
-    if name in read:
-        return read[name]
+    if name in parsed_routes:
+        return parsed_routes[name]
     try:
         return route(item)
-    except Invalid:  # let in by another version of the program: nobody follows it
+    except Invalid:  # accepted by another version of the program: no proxy applies it
         return None
 
 
--- a/brackengate/control/recent.py
+++ b/brackengate/control/recent.py
@@ -1,4 +1,4 @@
-"""The last committed entries, bounded in number and bytes: what whoever was away for a while has missed.
+"""The last committed entries, bounded in number and bytes, for replicas and followers that lag behind.
 
 Pure.  An entry is kept as JSON, which costs a fifth of what it costs as objects.
 """
@@ -18,35 +18,37 @@
 
 @dataclass
 class RecentEntries:
-    """`start`: every entry after this index is here, of those that are kept at all."""
+    """`start`: every entry after this index is held, of those that were added at all."""
 
     max_entries: int
     max_bytes: int
     start: int = 0
-    held: deque[tuple[int, bytes]] = field(default_factory=deque)
+    encoded: deque[tuple[int, bytes]] = field(default_factory=deque)
     size: int = 0
 
-    def begin(self, index: int) -> None:
-        self.held.clear()
+    def reset(self, index: int) -> None:
+        """Drops all entries; the next ones follow this index."""
+        self.encoded.clear()
         self.start, self.size = index, 0
 
     def add(self, entry: Entry) -> None:
+        """Adds the newest entry and drops the oldest ones beyond the bounds."""
         data = msgspec.json.encode(entry)
-        self.held.append((entry.index, data))
+        self.encoded.append((entry.index, data))
         self.size += len(data)
-        while len(self.held) > self.max_entries or self.size > self.max_bytes:
-            self.start, old = self.held.popleft()
+        while len(self.encoded) > self.max_entries or self.size > self.max_bytes:
+            self.start, old = self.encoded.popleft()
             self.size -= len(old)
 
     def reaches(self, index: int) -> bool:
-        """Whether whoever holds everything up to that index can go on with what is here."""
+        """Whether all entries after this index are held."""
         return index >= self.start
 
     def after(self, index: int, max_entries: int, max_bytes: int) -> tuple[tuple[Entry, ...], bool]:
-        """The next entries, one at least where there are any; and whether these are all."""
+        """The next entries within the bounds, at least one if there are any, and whether these are all."""
         found: list[Entry] = []
         size = 0
-        for _, data in self._from(index):
+        for _, data in self._encoded_after(index):
             if found and (len(found) >= max_entries or size + len(data) > max_bytes):
                 return tuple(found), False
             found.append(_decode(data))
@@ -54,13 +56,13 @@
         return tuple(found), True
 
     def all_after(self, index: int) -> list[Entry] | None:
-        """None: some are gone."""
-        return [_decode(data) for _, data in self._from(index)] if self.reaches(index) else None
+        """All entries after this index, or None if some have been dropped."""
+        return [_decode(data) for _, data in self._encoded_after(index)] if self.reaches(index) else None
 
-    def _from(self, index: int) -> list[tuple[int, bytes]]:
-        """From the back: whoever follows closely has missed little."""
+    def _encoded_after(self, index: int) -> list[tuple[int, bytes]]:
+        """Searched from the newest entry: a close follower lacks only few."""
         found = []
-        for one in reversed(self.held):
+        for one in reversed(self.encoded):
             if one[0] <= index:
                 break
             found.append(one)
--- a/brackengate/control/rows.py
+++ b/brackengate/control/rows.py
@@ -1,11 +1,11 @@
-"""The committed rows in memory, compact and in an order that every replica shares.  Pure.
+"""The committed rows in memory, compact and in an order that all replicas share.  Pure.
 
-A row is kept as one line of JSON, `["kind","name",index,value]`, among the others of its bucket.  The bucket
-follows from the name alone, so that "all rows of the buckets below n" means the same everywhere: a copy runs
-over the buckets and needs no sorting, no second index and no consistent cut of all rows at once.  A million
-rows cost some hundred bytes each, a tenth of what they cost as objects.
+A row is kept as one line of JSON, `["kind","name",index,value]`, together with the other rows of its bucket.
+The bucket is a hash of the name, so that "all rows of the buckets below n" means the same on every replica: a
+copy iterates over the buckets and needs no sorting, no second index and no consistent cut of all rows at
+once.  A million rows cost some hundred bytes each, a tenth of what they cost as objects.
 
-The checksum is a sum over the rows, whatever their order; it is kept up with each change.
+The checksum is a sum over the rows, independent of their order, and is updated with each change.
 """
 
 from __future__ import annotations
@@ -28,39 +28,40 @@
 
 
 def bucket_of(name: str) -> int:
+    """The bucket of a row with this name."""
     return crc32(name.encode()) % BUCKETS
 
 
 def is_deletion(kind: str, value: Any) -> bool:
-    """Whether the row is gone.  Public rows stay, with None as their value: followers have to learn of it."""
+    """Whether the value deletes the row.  Public rows stay, with value None: followers must be notified."""
     return value is None and kind not in PUBLIC
 
 
 def _record(kind: bytes, name: bytes, index: int, value: bytes) -> bytes:
-    """A row whose kind, name and value are JSON already."""
+    """The line of a row whose kind, name and value are already JSON."""
     return b"\n[%b,%b,%d,%b]" % (kind, name, index, value)
 
 
 def _key(kind: str, name: str) -> bytes:
-    """What the line of that row begins with, and no other."""
+    """The prefix of the row's line, which no other row's line has."""
     return b"\n[%b,%b," % (_encode(kind), _encode(name))
 
 
 @dataclass(frozen=True, slots=True)
 class EncodedRow:
-    """A row as it is held.  `key`: what its line begins with; `record`: the line, empty for a deletion."""
+    """A row in memory format.  `key`: the prefix of its line; `record`: the line, empty for a deletion."""
 
     bucket: int
     key: bytes
     record: bytes
 
 
-def encoded_row(kind: str, name: str, index: int, value: Any, text: bytes | None = None) -> EncodedRow:
-    """`text`: its value as JSON, where that is known."""
+def encoded_row(kind: str, name: str, index: int, value: Any, value_json: bytes | None = None) -> EncodedRow:
+    """Encodes a row.  `value_json`: its value as JSON, if already encoded."""
     key = _key(kind, name)
     if is_deletion(kind, value):
         return EncodedRow(bucket_of(name), key, b"")
-    record = b"%b%d,%b]" % (key, index, _encode(value) if text is None else text)
+    record = b"%b%d,%b]" % (key, index, _encode(value) if value_json is None else value_json)
     return EncodedRow(bucket_of(name), key, record)
 
 
@@ -74,6 +75,7 @@
 
     @classmethod
     def of(cls, rows: Iterable[tuple[str, str, int, Any]]) -> CommittedRows:
+        """Rows given as kind, name, index and value."""
         held = cls()
         held.add_records(
             (bucket_of(name), _record(_encode(kind), _encode(name), index, _encode(value)))
@@ -82,7 +84,7 @@
         return held
 
     def add_records(self, records: Iterable[tuple[int, bytes]]) -> None:
-        """Many rows at once, each as its bucket and its line; no name stands there twice, or is held."""
+        """Adds many rows, each given as bucket and line.  No row may occur twice or be held already."""
         found: dict[int, list[bytes]] = {}
         for bucket, record in records:
             found.setdefault(bucket, []).append(record)
@@ -100,6 +102,7 @@
                 yield row.kind, row.name, row.index, row.value
 
     def get(self, kind: str, name: str) -> tuple[int, Any] | None:
+        """The row's index and value, or None."""
         blob = self.buckets.get(bucket_of(name), b"")
         start, end = _span(blob, _key(kind, name))
         if start < 0:
@@ -108,11 +111,11 @@
         return row.index, row.value
 
     def set(self, kind: str, name: str, index: int, value: Any) -> None:
-        """A value of None drops the row, where its kind knows deletions."""
+        """Sets a row; a value of None deletes it unless its kind is public."""
         self.put(encoded_row(kind, name, index, value))
 
     def put(self, row: EncodedRow) -> None:
-        """In the place of the row of that kind and name, if there is one."""
+        """Adds a row, or replaces the row of the same kind and name."""
         blob = self.buckets.get(row.bucket, b"")
         start, end = _span(blob, row.key)
         if start >= 0:
@@ -129,10 +132,11 @@
             self.buckets.pop(row.bucket, None)
 
     def in_bucket(self, bucket: int) -> list[CommittedRow]:
+        """All rows of a bucket, decoded."""
         return [_decode(line) for line in self.buckets.get(bucket, b"").split(b"\n")[1:]]
 
     def names_up_to(self, bucket: int, kind: str, index: int) -> list[str]:
-        """The names of that kind whose rows are not newer than that index."""
+        """The names of the bucket's rows of this kind with an index up to `index`."""
         blob = self.buckets.get(bucket)
         if blob is None:
             return []
@@ -151,7 +155,7 @@
 
 
 def _span(blob: bytes, key: bytes) -> tuple[int, int]:
-    """Where that row's line stands; -1 where there is none.  JSON has no bare line feed: it begins a row."""
+    """Start and end of the row's line; -1 if there is none.  JSON has no raw line feed: each starts a row."""
     start = blob.find(key)
     if start < 0:
         return -1, -1
@@ -161,20 +165,20 @@
 
 @dataclass
 class CommittedState:
-    """All that is committed: every row, and again those that followers get."""
+    """The committed state: all rows, and a second copy of the public rows for followers."""
 
     index: int = 0
     rows: CommittedRows = field(default_factory=CommittedRows)
     public: CommittedRows = field(default_factory=CommittedRows)
     published: dict[Name, tuple[int, Any]] = field(default_factory=dict)  # the public rows, decoded
-    keys: int = 0
+    keys: int = 0  # number of rows of kind `key`
     public_index: int = -1  # of the last public row
 
-    def set(self, index: int, row: Row, text: bytes | None = None) -> None:
-        """`text`: the row's value as JSON, where that is known."""
+    def set(self, index: int, row: Row, value_json: bytes | None = None) -> None:
+        """Sets a committed row.  `value_json`: its value as JSON, if already encoded."""
         kind, name, value = row
         before = self.rows.count
-        encoded = encoded_row(kind, name, index, value, text)
+        encoded = encoded_row(kind, name, index, value, value_json)
         self.rows.put(encoded)
         if kind == KEY_KIND:
             self.keys += self.rows.count - before
@@ -195,6 +199,7 @@
 
 
 def committed_state(index: int, rows: Iterable[tuple[str, str, int, Any]]) -> CommittedState:
+    """The state that these rows (kind, name, index, value) make up at a log index."""
     if isinstance(rows, LoadedRows):
         state = CommittedState(index, rows.rows, keys=rows.keys)
         public = [row for row in rows.others if row[0] in PUBLIC]
@@ -210,14 +215,14 @@
 
 @dataclass
 class LoadedRows:
-    """What a disk held at the start, built beside the loop; it reads as its rows."""
+    """The rows of a disk at the start, built outside the event loop; iterates over them."""
 
     rows: CommittedRows
-    others: list[tuple[str, str, int, Any]]  # all that are no keys
-    keys: int
+    others: list[tuple[str, str, int, Any]]  # all rows that are not of kind `key`
+    keys: int  # number of rows of kind `key`
 
     def record(self, kind: bytes, name: bytes, index: int, value: bytes) -> tuple[int, bytes]:
-        """The bucket and the line of a row as it is on disk: kind and name as text, the value as JSON."""
+        """Bucket and line of a row from disk, with kind and name as text and the value as JSON."""
         self.keys += kind == b"key"
         return crc32(name) % BUCKETS, _record(_encode(kind.decode()), _encode(name.decode()), index, value)
 
@@ -226,7 +231,7 @@
 
 
 class LatestRows(Mapping[Name, tuple[int, Any]]):
-    """The committed rows with those laid over them that are not committed yet; each with its index."""
+    """The committed rows overlaid with the uncommitted ones, each as index and value."""
 
     def __init__(self, state: CommittedState, overlay: Mapping[Name, tuple[int, Any]]) -> None:
         self._state, self._overlay = state, overlay
--- a/tests/control/test_ages.py
+++ b/tests/control/test_ages.py
@@ -90,7 +90,9 @@
     for n in range(1, 2_000):
         log.append(Entry(n, (("plant", f"p{n % 9}", [n, "", {"Name": "x" * 5_000}]),)))
         log.commit(n)
-    assert log.recent.size <= log.recent.max_bytes and len(log.recent.held) < RECENT_ENTRIES
+    assert log.recent.size <= log.recent.max_bytes and len(log.recent.encoded) < RECENT_ENTRIES
     assert log.recent_public.size <= log.recent_public.max_bytes
     assert log.recent.start > 1_000 and not log.has_entries_after(log.recent.start - 1)
-    assert [one.index for batch in log.after(1_990, 1_999) for one in batch] == list(range(1_991, 2_000))
+    assert [one.index for batch in log.entries_after(1_990, 1_999) for one in batch] == list(
+        range(1_991, 2_000)
+    )
--- a/tests/control/test_bounded_steps.py
+++ b/tests/control/test_bounded_steps.py
@@ -120,7 +120,7 @@
     prepared, (one, *_) = PreparedRows(), rows_of(1)
     assert not list(prepared.prepare("id", [one]))
     found = prepared.find("id", one)
-    assert found is not None and found.read is not None and found.read.prefix == "/p0/"
+    assert found is not None and found.parsed_route is not None and found.parsed_route.prefix == "/p0/"
     assert prepared.find("id", (one[0], one[1], [2, *one[2][1:]])) is None
     assert prepared.find("other", one) is None
     prepared.forget("id")
--- a/tests/control/test_disk.py
+++ b/tests/control/test_disk.py
@@ -49,10 +49,10 @@
 def served(tmp_path: Path) -> Path:
     """A member that has served, seen a restart, and promised last."""
     folder = tmp_path / "data"
-    disk, _ = open_disk(str(folder), first=True)
+    disk, _ = open_disk(str(folder), initial_start=True)
     disk.write([Store({"view": VIEW, "lineage": 1}), rows(1, 60)])
     disk.close()  # merged into the file
-    disk, _ = open_disk(str(folder), first=True)
+    disk, _ = open_disk(str(folder), initial_start=True)
     disk.write([rows(60, 70), Store(rows=[(70, ("key", "k5", None))])])
     disk.write([Store({"promised": (7, "b:1")})])
     there = killed(folder, "served")
@@ -62,12 +62,12 @@
 
 def reopened(folder: Path) -> StoredState:
     """It is usable too: what is written now is found next time."""
-    disk, kept = open_disk(str(folder), first=True)
+    disk, kept = open_disk(str(folder), initial_start=True)
     try:
         disk.write([Store({"place": 500})])
     finally:
         disk.close()
-    disk, again = open_disk(str(folder), first=True)
+    disk, again = open_disk(str(folder), initial_start=True)
     disk.close()
     assert (again.incarnation, again.promised, again.index) == (kept.incarnation, kept.promised, 500)
     return kept
@@ -99,7 +99,7 @@
 @pytest.mark.parametrize("which", [DATABASE_NAME, f"{DATABASE_NAME}-wal"])
 def test_no_flipped_byte_is_believed(served: Path, which: str) -> None:
     """It has what it had, or a new life: never an older promise, never fewer rows."""
-    whole = state(open_disk(str(killed(served)), first=True)[1])
+    whole = state(open_disk(str(killed(served)), initial_start=True)[1])
     size = (served / which).stat().st_size
     found = 0
     for at in sorted({*range(0, 100, 3), 18, 19, 20, *range(100, size, 307)}):
@@ -118,8 +118,8 @@
 @pytest.mark.parametrize(
     ("value", "other", "found"),
     [
-        (b'[7,"b:1"]', b'[6,"b:1"]', "the sum over meta"),
-        (b"attempt 9", b"attempt 8", "the sum over its 68 rows"),
+        (b'[7,"b:1"]', b'[6,"b:1"]', "the checksum over meta"),
+        (b"attempt 9", b"attempt 8", "the checksum over its 68 rows"),
     ],
 )
 def test_a_value_that_reads_well_and_is_another_is_found(
@@ -127,7 +127,7 @@
 ) -> None:
     """An older ballot, a claim of another attempt: in a file without a log, which sqlite does not
     check."""
-    open_disk(str(served), first=True)[0].close()
+    open_disk(str(served), initial_start=True)[0].close()
     data = (served / DATABASE_NAME).read_bytes()
     assert value in data
     (served / DATABASE_NAME).write_bytes(data.replace(value, other))
@@ -137,7 +137,7 @@
 
 @pytest.mark.parametrize("which", [DATABASE_NAME, f"{DATABASE_NAME}-wal"])
 def test_no_file_that_was_cut_short_is_believed(served: Path, which: str) -> None:
-    whole = state(open_disk(str(killed(served)), first=True)[1])
+    whole = state(open_disk(str(killed(served)), initial_start=True)[1])
     for length in (0, 1, 100, 4096, 4500, (served / which).stat().st_size - 1):
         folder = killed(served)
         os.truncate(folder / which, length)
@@ -162,7 +162,7 @@
 def test_a_log_torn_by_a_loss_of_power_is_no_damage(served: Path) -> None:
     """The last commit was under way: nothing was said for it, and the small file is of some time before."""
     told = (served / TALLY_NAME).read_bytes()
-    disk, before = open_disk(str(served), first=True)
+    disk, before = open_disk(str(served), initial_start=True)
     disk.write([rows(70, 90)])
     for torn in (b"", told[:20], told):
         folder = killed(served)
@@ -212,7 +212,7 @@
             for name, function in real.items():
                 patch.setattr(os, name, dying(function))
             try:
-                open_disk(str(folder), first=True)[0].close()
+                open_disk(str(folder), initial_start=True)[0].close()
                 done = True
             except Killed:
                 pass
@@ -235,7 +235,7 @@
     db.execute("INSERT INTO rows VALUES ('key', 'k9', 9, ?)", (b'["gate","attempt"]',))
     folder = killed(tmp_path, "before")
     db.close()
-    disk, kept = open_disk(str(folder), first=False)
+    disk, kept = open_disk(str(folder), initial_start=False)
     assert (kept.incarnation, kept.promised, kept.index) == (FIRST_INCARNATION, (3, "c:1"), 9)
     assert list(kept.rows) == [("key", "k9", 9, ["gate", "attempt"])]
     after = killed(folder, "after")  # and it is on the disk at once
@@ -249,7 +249,7 @@
 
 
 def test_a_full_disk_is_no_damage_and_what_was_put_aside_gives_way(tmp_path: Path) -> None:
-    disk, _ = open_disk(str(tmp_path), first=True)
+    disk, _ = open_disk(str(tmp_path), initial_start=True)
     disk.write([rows(1, 50)])
     (tmp_path / DAMAGED_NAME).write_bytes(bytes(9000))
     disk.db.execute("PRAGMA max_page_count=1")  # sqlite takes the number of pages in use
@@ -268,7 +268,7 @@
     served: Path, monkeypatch: pytest.MonkeyPatch, spoilt: bool
 ) -> None:
     """Also where a new file has to be begun: what was put aside makes room for it."""
-    whole = state(open_disk(str(killed(served)), first=True)[1])
+    whole = state(open_disk(str(killed(served)), initial_start=True)[1])
     if spoilt:
         (served / DATABASE_NAME).write_bytes(b"spoilt")
     real = Disk.set_pragmas
@@ -279,7 +279,7 @@
 
     monkeypatch.setattr(Disk, "set_pragmas", full)
     with pytest.raises(sqlite3.OperationalError, match="full"):
-        open_disk(str(served), first=True)
+        open_disk(str(served), initial_start=True)
     monkeypatch.setattr(Disk, "set_pragmas", real)
     assert [file.stat().st_size for file in served.glob(f"{DAMAGED_NAME}*")] == [0, 0] * spoilt
     kept = reopened(served)
@@ -318,7 +318,7 @@
 def test_a_file_that_breaks_while_in_use_ends_the_process_and_the_next_start_mends_it(
     served: Path, caplog: pytest.LogCaptureFixture
 ) -> None:
-    disk, _ = open_disk(str(served), first=True)
+    disk, _ = open_disk(str(served), initial_start=True)
     disk.db.execute("PRAGMA cache_size=0")
     disk.db.execute("PRAGMA shrink_memory")
     for name in (DATABASE_NAME, f"{DATABASE_NAME}-wal"):
@@ -342,12 +342,12 @@
 
 
 def test_a_newer_programs_file_is_refused_in_a_sentence_and_left_alone(served: Path, tmp_path: Path) -> None:
-    disk, _ = open_disk(str(served), first=True)
+    disk, _ = open_disk(str(served), initial_start=True)
     disk.db.execute("UPDATE meta SET value = '4' WHERE name = 'form'")
     folder = killed(served)
     disk.close()
     with pytest.raises(NewerFormat):
-        open_disk(str(killed(served, "other")), first=True)
+        open_disk(str(killed(served, "other")), initial_start=True)
     process = lighthouse(folder, tmp_path / "local.toml")
     _, told = process.communicate(timeout=30)
     said = f"brackengate: {folder / DATABASE_NAME}: written by a newer program (form 4, this one reads 3)\n"
--- a/tests/control/test_disk_copies.py
+++ b/tests/control/test_disk_copies.py
@@ -54,7 +54,7 @@
 def older(tmp_path: Path) -> Path:
     """The disk of a member that was away: it holds a state of long ago, and an entry that was lost."""
     folder = tmp_path / "data"
-    disk, _ = open_disk(str(folder), first=True)
+    disk, _ = open_disk(str(folder), initial_start=True)
     rows = [(n, (KEY_KIND, f"old {n}", ["g", "1"])) for n in range(1, 40)]
     disk.write([Store({"place": 40, "base": 39, "lineage": 1, "view": VIEW}, rows)])
     disk.write([Store(entries=[entry(40, "lost", ["g", "1"])])])
@@ -67,7 +67,7 @@
 ) -> None:
     """Power is lost after each piece, and within the write of each."""
     monkeypatch.setattr(transfer, "PIECE_ROWS", 40)
-    disk, kept = open_disk(str(older), first=True)
+    disk, kept = open_disk(str(older), initial_start=True)
     log, learner = ReplicaLog(kept.index), Learner()
     log.load(kept.rows, kept.entries, kept.base_index)
     disk.write([restart_from_committed(log, learner)])
@@ -99,7 +99,7 @@
 ) -> None:
     monkeypatch.setattr(transfer, "PIECE_ROWS", 100)
     folder = tmp_path / "data"
-    disk, _ = open_disk(str(folder), first=True)
+    disk, _ = open_disk(str(folder), initial_start=True)
     log, learner = ReplicaLog(0), Learner()
     written = 0
     for store in stores(learner, log):
@@ -117,7 +117,7 @@
 
 def test_entries_that_are_not_committed_are_kept_beside_the_rows(tmp_path: Path) -> None:
     folder = tmp_path / "data"
-    disk, _ = open_disk(str(folder), first=True)
+    disk, _ = open_disk(str(folder), initial_start=True)
     log = ReplicaLog(0)
     log.load((), (), 0)
     for one in (entry(1, "a", ["g", "1"]), entry(2, "b", ["g", "1"]), entry(3, "a", None)):
@@ -126,7 +126,7 @@
     log.commit(2)
     log.append(entry(4, "c", ["g", "1"]))
     disk.write([log.store([entry(4, "c", ["g", "1"])])])
-    kept = open_disk(str(killed(folder)), first=True)[1]
+    kept = open_disk(str(killed(folder)), initial_start=True)[1]
     assert (kept.index, kept.base_index) == (4, 2)
     assert sorted(name for _, name, _, _ in kept.rows) == ["a", "b"]
     assert list(kept.entries) == [entry(3, "a", None), entry(4, "c", ["g", "1"])]
@@ -135,7 +135,7 @@
     assert sorted(name for _, name in again.rows) == ["b", "c"]
     log.commit(4)
     disk.write([log.flush()])
-    kept = open_disk(str(killed(folder)), first=True)[1]
+    kept = open_disk(str(killed(folder)), initial_start=True)[1]
     assert (kept.index, kept.base_index, list(kept.entries)) == (4, 4, [])
     assert sorted(name for _, name, _, _ in kept.rows) == ["b", "c"]
     disk.close()
@@ -143,21 +143,21 @@
 
 def test_entries_that_a_replica_drops_do_not_come_back(older: Path) -> None:
     """Another entry stands under their index by now."""
-    disk, kept = open_disk(str(older), first=True)
+    disk, kept = open_disk(str(older), initial_start=True)
     log, learner = ReplicaLog(kept.index), Learner()
     log.load(kept.rows, kept.entries, kept.base_index)
     disk.write([restart_from_committed(log, learner)])
-    assert list(open_disk(str(killed(older)), first=True)[1].entries) == []
+    assert list(open_disk(str(killed(older)), initial_start=True)[1].entries) == []
     log.append(entry(40, "found", ["g", "2"]))
     disk.write([log.store([entry(40, "found", ["g", "2"])])])
-    kept = open_disk(str(killed(older)), first=True)[1]
+    kept = open_disk(str(killed(older)), initial_start=True)[1]
     assert (kept.index, kept.base_index, list(kept.entries)) == (40, 39, [entry(40, "found", ["g", "2"])])
     disk.close()
 
 
 def test_an_entry_that_is_spoilt_is_found(tmp_path: Path, caplog: pytest.LogCaptureFixture) -> None:
     folder = tmp_path / "data"
-    disk, _ = open_disk(str(folder), first=True)
+    disk, _ = open_disk(str(folder), initial_start=True)
     disk.write([Store({"place": 1, "base": 0}, entries=[entry(1, "key one", ["gate", "attempt 9"])])])
     disk.close()
     data = (folder / DATABASE_NAME).read_bytes()
@@ -165,7 +165,7 @@
     (folder / DATABASE_NAME).write_bytes(data.replace(b"attempt 9", b"attempt 8"))
     kept = reopened(folder)
     assert kept.incarnation != FIRST_INCARNATION and not list(kept.entries)
-    assert "the sum over its 0 rows" in caplog.text
+    assert "the checksum over its 0 rows" in caplog.text
 
 
 def form_2(folder: Path) -> None:
@@ -190,15 +190,15 @@
 
 def test_rows_of_a_file_of_the_form_before_count_as_committed_once_that_is_heard(tmp_path: Path) -> None:
     form_2(tmp_path)
-    disk, kept = open_disk(str(tmp_path), first=False)
+    disk, kept = open_disk(str(tmp_path), initial_start=False)
     disk.close()
     assert (kept.index, kept.base_index, len(list(kept.rows))) == (29, None, 29)
-    disk, kept = open_disk(str(killed(tmp_path)), first=False)  # it is of this form by now
+    disk, kept = open_disk(str(killed(tmp_path)), initial_start=False)  # it is of this form by now
     held = ReplicaLog(kept.index)
     held.load(kept.rows, kept.entries, kept.base_index)
     disk.write([held.flush()])
     disk.close()
-    disk, kept = open_disk(str(tmp_path.with_name("killed")), first=False)
+    disk, kept = open_disk(str(tmp_path.with_name("killed")), initial_start=False)
     disk.close()
     assert (kept.index, kept.base_index, len(list(kept.rows))) == (29, None, 29)
 
--- a/tests/control/test_followers.py
+++ b/tests/control/test_followers.py
@@ -58,7 +58,7 @@
     for n in range(rows):
         made.submit_command(Report(f"10.0.0.{n}", {"id": f"i{n}"}), n, 0)
         made.on_stored(made.chain.index, made.chain.generation)
-    made.chain.replica_log.recent_public.begin(made.chain.index)  # as after a restart
+    made.chain.replica_log.recent_public.reset(made.chain.index)  # as after a restart
     made.serves = lambda now: True  # type: ignore[method-assign]
     return made
 
@@ -112,7 +112,7 @@
 
 def test_followers_from_many_indexes_do_not_make_it_keep_what_each_lacks() -> None:
     made = replica(40)
-    made.chain.replica_log.recent_public.begin(0)
+    made.chain.replica_log.recent_public.reset(0)
     messages = FollowerMessages(made.chain)
     for index in range(40):
         news = messages.missed_since(index)
--- a/tests/proxy/test_follower_copy.py
+++ b/tests/proxy/test_follower_copy.py
@@ -85,9 +85,9 @@
     sender, copy = Sender(), PublicCopy()
     for _ in range(5):
         copy.take(copy.position, sender.piece(copy))
-    sender.log.recent_public.begin(ITEMS)
+    sender.log.recent_public.reset(ITEMS)
     sender.set(ITEMS + 1, "plant", "p1", plant(1, 2))
-    sender.log.recent_public.begin(ITEMS + 1)
+    sender.log.recent_public.reset(ITEMS + 1)
     assert sender.piece(copy).anew
     finish(sender, copy)
     assert copy.rows.checksum == sender.log.state.public.checksum
--- a/tests/scale/test_slopes.py
+++ b/tests/scale/test_slopes.py
@@ -103,7 +103,7 @@
 def test_a_follower_that_takes_the_measured_copy_has_every_upstream_and_route() -> None:
     size = Size(600)  # more than one piece
     held, recent = public_rows(size), RecentEntries(1, 1)
-    recent.begin(1)
+    recent.reset(1)
     sent = pieces(CommittedRows.of((kind, name, 1, value) for kind, name, value in held), recent)
     assert len(sent) > 1
     table = take(sent)
