--- a/brackengate/model_check/disk.py
+++ b/brackengate/model_check/disk.py
@@ -51,7 +51,7 @@
         found = msgspec.json.decode(self.meta[name], type=kind) if name in self.meta else None
         return default if found is None else found
 
-    def kept(self) -> StoredState:
+    def stored_state(self) -> StoredState:
         rows = [
             (k, n, index, msgspec.json.decode(value)) for (k, n), (index, value) in self.committed.items()
         ]
