--- a/tests/control/conftest.py
+++ b/tests/control/conftest.py
@@ -1,4 +1,4 @@
-"""Tests of the lighthouse find their kit beside them."""
+"""Makes the helper modules of this folder importable by its tests."""
 
 import sys
 from pathlib import Path
--- a/tests/control/simulated_cluster.py
+++ b/tests/control/simulated_cluster.py
@@ -1,11 +1,11 @@
-"""A core of lighthouses in simulated time: links, disks and faults drawn from a seed.  The deciders run as
-they are.
+"""Control replicas in simulated time, with links, disks and faults drawn from a seed.
 
-A disk keeps what was stored whole; what was under way when power is lost is gone.  A link keeps the order of
-its lines; a cut loses them; a link that is held keeps them, and they arrive together when it is released.
+The production state machines run unchanged.  A disk keeps every completed write; writes in flight are lost
+with the power.  A link keeps the order of its messages; a cut link loses them; a held link queues them, and
+they arrive together when it is released.
 
-At every step of every run, whoever serves followers is checked: what was agreed by `LEASE` ago is in force
-there.
+At every step of every run, each replica that serves followers is checked: any view that was agreed `LEASE_US`
+ago or earlier must be in force there.
 """
 
 from __future__ import annotations
@@ -43,7 +43,7 @@
 
 
 class FileState:
-    """A disk that is a real store.  What a process leaves is copied to a folder of the next one's."""
+    """A disk backed by real files.  Each new process opens a copy of the folder that the last one left."""
 
     def __init__(self, folder: Path) -> None:
         self.folder, self.incarnations = folder, 0
@@ -66,12 +66,12 @@
         self._disk.write([store])
 
     def damage(self, what: bytes) -> None:
-        """In the log, else in the file."""
+        """Corrupts these bytes in the write-ahead log, or else in the database file."""
         assert any(spoil(self.here / name, what) for name in (f"{DATABASE_NAME}-wal", DATABASE_NAME)), what
 
 
 class Host:
-    """One machine of the core: its disk outlasts its process."""
+    """One machine of the cluster, whose disk outlives its process."""
 
     def __init__(self, cluster: SimulatedCluster, name: str) -> None:
         self.cluster, self.name = cluster, name
@@ -82,8 +82,8 @@
         self.answers: dict[int, Any] = {}
         self.pending_callbacks: dict[int, Callable[[Any], None]] = {}
         self.published: list[tuple[int, tuple[Any, ...]]] = []
-        self.follower_fetch_us: int | None = 0  # to fetch a large order; None: they never have it
-        self.staged: list[tuple[int, str]] = []  # when its delivery began, and which
+        self.follower_fetch_us: int | None = 0  # time to fetch a large order; None: never
+        self.staged: list[tuple[int, str]] = []  # deliveries: start time and order id
         self._queue: list[Store] = []
         self._writing = False
 
@@ -110,7 +110,7 @@
         self._tick(self.generation)
 
     def stop(self, wipe: bool = False, damage: str = "") -> None:
-        """`damage`: bytes in the disk's file that are found and spoilt."""
+        """Stops the process.  `wipe`: its disk is lost; `damage`: bytes to corrupt in the database file."""
         self.generation += 1
         self.replica = None
         if wipe:
@@ -148,7 +148,7 @@
             self.assert_serves_current()
 
     def assert_serves_current(self) -> None:
-        """Nothing that claims to be current is older than a lease."""
+        """Checks that a replica that serves followers is not behind by more than a lease."""
         replica, cluster = self.replica, self.cluster
         if replica is None:
             return
@@ -164,8 +164,8 @@
     def do(self, actions: Iterable[Action]) -> None:
         for action in actions:
             match action:
-                case Send(addr, word):
-                    line = msgspec.json.encode(word)
+                case Send(addr, message):
+                    line = msgspec.json.encode(message)
                     if addr == self.name:
                         self.cluster.later(
                             0, lambda line=line, generation=self.generation: self._self(line, generation)
@@ -235,7 +235,7 @@
         folder: Path | None = None,
         absent: Iterable[str] = (),
     ) -> None:
-        """`folder`: the disks are real files there.  `absent`: hosts that are not there at the beginning."""
+        """`folder`: use real files there as disks.  `absent`: hosts that are not started at the beginning."""
         self.disk: Callable[[str], DiskState | FileState] = lambda name: (
             DiskState() if folder is None else FileState(folder / name.partition(":")[0])
         )
@@ -243,13 +243,13 @@
         self.hosts = {name: Host(self, name) for name in names}
         self.seeds = list(self.hosts)[:seeds]
         self.cuts: set[tuple[str, str]] = set()
-        self.agreed: dict[int, int] = {}  # epochs, since when
-        self.served: dict[str, int] = {}  # who would serve followers, when last
-        self.holds: set[tuple[str, str]] = set()  # links whose lines lie in queues
-        self._queues: list[tuple[Host, str, bytes, int]] = []  # with the generation of the link
+        self.agreed: dict[int, int] = {}  # epochs, and when each was first known
+        self.served: dict[str, int] = {}  # the last time at which each host could serve followers
+        self.holds: set[tuple[str, str]] = set()  # links whose messages are queued
+        self._queues: list[tuple[Host, str, bytes, int]] = []  # with the link generation
         self._held: dict[
             tuple[str, str], int
-        ] = {}  # the generation of a link: lines of an older one are lost
+        ] = {}  # generation of each link: messages of an older one are lost
         self._due: dict[tuple[str, str], int] = {}
         self._events: list[tuple[int, int, Callable[[], None]]] = []
         self._count = 0
@@ -295,8 +295,7 @@
                 there.hear(host.name, line)
 
     def connect(self, host: Host) -> None:
-        """A process that starts, or links that are healed: what was under way is lost, both sides meet
-        anew."""
+        """Reconnects a host after a start or a heal: messages in flight are lost on all its links."""
         for other in self.hosts.values():
             for one, two in ((host, other), (other, host)):
                 pair = (one.name, two.name)
@@ -317,7 +316,7 @@
         self.holds.update(pairs)
 
     def release(self) -> None:
-        """All that lies in queues arrives together, each link's lines in their order."""
+        """Delivers all queued messages together, each link's in their order."""
         queues, self._queues = self._queues, []
         self.holds.clear()
         for host, addr, line, generation in queues:
@@ -338,7 +337,7 @@
         for name in touched:
             self.connect(self.hosts[name])
 
-    # --- what is looked at
+    # --- inspection
 
     def views(self) -> dict[str, Any]:
         return {
--- a/tests/control/test_ages.py
+++ b/tests/control/test_ages.py
@@ -1,4 +1,4 @@
-"""Old keys go, however many there are; and what is kept for those who were away is bounded."""
+"""Expired keys are deleted, however many there are, and the recent entries in memory are bounded."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 WINDOW = 4 * S
 
 
-def test_keys_go_after_two_windows_and_not_before() -> None:
+def test_keys_expire_after_two_windows_and_not_before() -> None:
     state, ages = CommittedState(), KeyAges(WINDOW)
     gone: dict[str, int] = {}
     for now in range(0, 24 * S, S // 4):
@@ -30,7 +30,7 @@
     assert len(ages.marks) < 3 * MARKS_PER_WINDOW
 
 
-def test_a_key_that_was_claimed_anew_is_as_young_as_its_last_claim() -> None:
+def test_a_key_that_was_claimed_again_has_the_age_of_its_last_claim() -> None:
     rows, ages = CommittedRows(), KeyAges(WINDOW)
     rows.set(KEY_KIND, "k", 1, ["g", "1"])
     ages.record(0, 1)
@@ -40,21 +40,21 @@
     assert [key for keys in found for key in keys] == []
 
 
-def alone() -> Replica:
-    """The only member, with a disk that takes all at once."""
+def single_member() -> Replica:
+    """A replica that is the only member, with a disk that completes writes at once."""
     replica = Replica("a:1", "", StoredState(FIRST_INCARNATION), ["a:1"], True, 1, WINDOW, 0)
     replica.start(0)
     return replica
 
 
-def test_the_head_frees_old_keys_while_claims_never_pause() -> None:
-    """More a second than a step takes, and an entry that is not committed yet at each step."""
-    replica = alone()
+def test_the_head_deletes_expired_keys_under_constant_claims() -> None:
+    """More claims a second than one step deletes, and an uncommitted entry at each step."""
+    replica = single_member()
     now, oldest = 0, 0
     for n in range(0, 4_500):
         now += 5_000
         replica.submit_command(Claim(f"k{n}", "g", "1"), n, now)
-        if n % 10 == 9:  # the disk is always behind
+        if n % 10 == 9:  # the disk always lags
             replica.on_stored(replica.chain.index - 1, replica.chain.generation)
         if n % 10 == 0:
             replica.tick(now)
@@ -64,9 +64,9 @@
     assert expected - 200 < oldest < expected * 1.3
 
 
-def test_claims_do_not_push_out_what_followers_have_to_hear() -> None:
-    """The suspect of the 2,000 entries: only entries with public rows are kept for followers."""
-    replica = alone()
+def test_claims_do_not_evict_the_public_entries_for_followers() -> None:
+    """Only entries with public rows count towards the 2,000 entries kept for followers."""
+    replica = single_member()
     replica.submit_command(Report("10.0.0.1", {"id": "i"}), 1, 0)
     replica.on_stored(1, replica.chain.generation)
     seen = replica.chain.commit_index
@@ -81,11 +81,11 @@
     assert changes is not None and len(changes.rows) == RECENT_PUBLIC_ENTRIES
     replica.submit_command(Report("10.0.0.1", {"id": "last"}), 1, 0)
     replica.on_stored(replica.chain.index, replica.chain.generation)
-    assert replica.chain.changes_since(seen) is None  # it takes a copy
+    assert replica.chain.changes_since(seen) is None  # it needs a copy
     assert replica.chain.changes_since(seen + 3 * RECENT_PUBLIC_ENTRIES + 1) is not None
 
 
-def test_what_is_kept_for_those_who_were_away_is_bounded_in_bytes() -> None:
+def test_recent_entries_are_bounded_in_bytes() -> None:
     log = ReplicaLog(0)
     for n in range(1, 2_000):
         log.append(Entry(n, (("plant", f"p{n % 9}", [n, "", {"Name": "x" * 5_000}]),)))
--- a/tests/control/test_bounded_steps.py
+++ b/tests/control/test_bounded_steps.py
@@ -1,5 +1,5 @@
-"""What a large order costs a replica in one step.  A replica that stands still for half a second is taken for
-dead: its work on an order is done in slices, or was done before the step that needs it.
+"""The cost of a large order for a replica in one event-loop step.  A replica that blocks for half a second
+counts as dead, so its work on an order is done in slices, or before the step that needs it.
 """
 
 from __future__ import annotations
@@ -36,7 +36,7 @@
 
 
 def most_in_one_step(mesh: Mesh, until: int, counted: Counter[str]) -> Counter[str]:
-    """Runs it, and tells the most that any event of any replica did of each kind."""
+    """Runs the mesh; returns the largest count of each kind of work within one event of any replica."""
     cluster, most = mesh.cluster, Counter[str]()
     while cluster._events and cluster._events[0][0] <= until:
         cluster.now, _, what = heapq.heappop(cluster._events)
@@ -66,8 +66,8 @@
 
 def test_no_step_reads_or_encodes_more_than_a_slice_of_a_large_order(monkeypatch: pytest.MonkeyPatch) -> None:
     """
-    a  rrrrrrr pppppp DDDDDDDD ! |
-    b          pppppp DDDDDDDD   |      r: read, p: prepared, D: delivered, |: in force
+    a  rrrrrrr pppppp DDDDDDDD ! |      r: parsed, p: prepared, D: delivered, !: appended,
+    b          pppppp DDDDDDDD   |      |: committed
     c          pppppp DDDDDDDD   |
     """
     counted = Counter[str]()
@@ -82,7 +82,7 @@
 
 
 def test_the_rows_of_a_large_order_go_to_the_disk_some_at_a_time() -> None:
-    """Whatever is cut off in between, what is on disk gives the same rows after a start."""
+    """After an interruption at any point, the disk gives the same rows at the next start."""
     made = ReplicaLog(0)
     stores = [made.store(())]
     for index, entry in enumerate((Entry(1, rows_of(FLUSH_ROWS + 300)), Entry(2, rows_of(7, 2))), 1):
@@ -103,7 +103,7 @@
 
 
 def _as_started(stores: list[Store]) -> ReplicaLog:
-    """What a disk with these stores gives at the next start."""
+    """The log that a disk with these stores gives at the next start."""
     disk, entries, base, place = CommittedState(), dict[int, Entry](), 0, 0
     for store in stores:
         for index, row in store.rows:
@@ -116,7 +116,7 @@
     return started
 
 
-def test_what_was_prepared_with_another_value_is_not_used() -> None:
+def test_a_row_prepared_with_another_value_is_not_used() -> None:
     prepared, (one, *_) = PreparedRows(), rows_of(1)
     assert not list(prepared.prepare("id", [one]))
     found = prepared.find("id", one)
@@ -127,7 +127,7 @@
     assert prepared.find("id", one) is None
 
 
-def test_the_oldest_order_goes_where_many_are_prepared() -> None:
+def test_the_oldest_order_is_evicted_if_many_rows_are_prepared() -> None:
     prepared, many = PreparedRows(), rows_of(MAX_PREPARED_ROWS // 2)
     for id_ in ("a", "b", "c"):
         for _ in prepared.prepare(id_, many):
@@ -135,7 +135,7 @@
     assert list(prepared.orders) == ["b", "c"]
 
 
-def test_two_long_orders_are_read_by_turns_and_one_that_cannot_be_read_holds_up_none(
+def test_two_long_orders_are_read_in_turn_and_an_unreadable_one_blocks_none(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     read, raised = config_items._checked, Counter[str]()
--- a/tests/control/test_commands_pending.py
+++ b/tests/control/test_commands_pending.py
@@ -1,4 +1,4 @@
-"""Commands that wait for their results, and the operator's calls behind them."""
+"""Pending commands, and the operator's calls that wait for them."""
 
 from __future__ import annotations
 
@@ -48,8 +48,8 @@
 
 
 @pytest.mark.parametrize("refused", REFUSED)
-def test_a_refusal_of_an_earlier_submission_is_no_result(refused: CommandResult) -> None:
-    """The later one may be taken."""
+def test_a_refusal_of_an_earlier_submission_is_ignored(refused: CommandResult) -> None:
+    """The later one may be accepted."""
     commands = PendingCommands(100)
     command = commands.add(ORDER, 7, 0)
     first, second = commands.submission(command, 1, 0).id, commands.submission(command, 1, 0).id
@@ -87,7 +87,7 @@
     assert (len(refused.refused_at), refused.holds("order 9", n)) == (MAX_REFUSED_ORDERS, False)
     assert refused.holds("order 10", 10 + HOLD_REFUSED_US)
     assert not refused.holds("order 10", 11 + HOLD_REFUSED_US)
-    large = "x" * (1 << 20)  # it may be under way for longer
+    large = "x" * (1 << 20)  # it may be in flight for longer
     refused.add(large, 0)
     assert refused.holds(large, operator_timeout_us(large))
     del refused.refused_at[large]
@@ -112,21 +112,21 @@
     ],
 )
 def test_what_an_operator_is_answered(result: CommandResult | None, status: int) -> None:
-    """400 and 409 end its call; after a 503 it is sent again."""
+    """The client ends its call after a 400 or 409 and retries after a 503."""
     assert answer_to(result)[0] == status
 
 
-class Asks:
-    """Stands for the replica's process."""
+class FakeReplicaProcess:
+    """Records the commands that the operator API submits and withdraws."""
 
     def __init__(self) -> None:
-        self.asked: list[Command] = []
+        self.submitted: list[Command] = []
         self.withdrawn: list[int] = []
 
     def ask(self, what: Command, done: Callable[[Any], None], give_up_after: int) -> int:
         assert give_up_after == OPERATOR_TIMEOUT_US
-        self.asked.append(what)
-        return len(self.asked)
+        self.submitted.append(what)
+        return len(self.submitted)
 
     def withdraw(self, number: int) -> None:
         self.withdrawn.append(number)
@@ -141,17 +141,17 @@
     return Arrival(b"POST", b"/v1/rpc?call=" + call.encode(), [], b"{}", True, 0)
 
 
-def test_an_order_whose_caller_goes_is_withdrawn() -> None:
-    asks, connection = Asks(), Connection()
-    Control(asks).begin(arrival("config.amend"), connection)  # type: ignore[arg-type]
-    Control(asks).begin(arrival("config.read"), Connection())  # type: ignore[arg-type]
-    assert asks.asked == [ORDER, Read()]
+def test_an_order_is_withdrawn_when_its_caller_disconnects() -> None:
+    process, connection = FakeReplicaProcess(), Connection()
+    Control(process).begin(arrival("config.amend"), connection)  # type: ignore[arg-type]
+    Control(process).begin(arrival("config.read"), Connection())  # type: ignore[arg-type]
+    assert process.submitted == [ORDER, Read()]
     connection.gone()
-    assert asks.withdrawn == [1]
+    assert process.withdrawn == [1]
 
 
-def test_a_command_is_submitted_again_after_longer_and_longer() -> None:
-    """Guards against replicas that keep a head full with what it has not come to yet."""
+def test_a_command_is_submitted_again_with_a_growing_delay() -> None:
+    """Guards against replicas that overload a busy head with repeated submissions."""
     commands, now, at = PendingCommands(100), 0, list[int]()
     command = commands.add(Read(), 8, 0)
     commands.submission(command, 1, 0)
--- a/tests/control/test_copies.py
+++ b/tests/control/test_copies.py
@@ -1,4 +1,4 @@
-"""Whoever was away catches up by a copy in pieces and the entries after it, and counts for nothing before."""
+"""A replica that lags catches up by a copy in pieces and the entries after it, and does not count before."""
 
 from __future__ import annotations
 
@@ -30,7 +30,7 @@
 
 
 def filled(disk: DiskState, members: list[str], rows: int = ROWS) -> None:
-    """As the disk of a member of the first view that has taken so many claims."""
+    """Fills a disk as of a member of the first view that has stored so many claims."""
     disk.incarnation = FIRST_INCARNATION
     view = View(1, tuple(Member(name, FIRST_INCARNATION, 1) for name in members))
     for name, value in {"place": rows, "base": rows, "lineage": 1, "view": view}.items():
@@ -40,7 +40,7 @@
 
 
 class Copies:
-    """A core of three with many keys, and a fourth replica that starts when it is told."""
+    """A cluster with many keys, and a further replica that starts later as a learner."""
 
     def __init__(self, members: int = 3, seed: int = 1, rows: int = ROWS) -> None:
         self.cluster = cluster = SimulatedCluster(NAMES[: members + 1], seed, seeds=3)
@@ -52,12 +52,12 @@
         self.learner.start = lambda first=False: None  # type: ignore[method-assign]
         self.acked: dict[str, str] = {}
         self.freed: set[str] = set()
-        self.pieces: list[tuple[str, CopyPiece]] = []  # that the learner heard
+        self.pieces: list[tuple[str, CopyPiece]] = []  # received by the learner
         cluster.run(1_500_000)
         del self.learner.start
 
     def begin(self) -> None:
-        """The learner starts, and what it hears is written down."""
+        """Starts the learner and records the pieces that it receives."""
         hear = self.learner.hear
 
         def heard(addr: str, line: bytes) -> None:
@@ -69,11 +69,11 @@
         self.learner.hear = heard  # type: ignore[method-assign]
         self.learner.start()
 
-    def until(self, what: Callable[[], bool], most: int = 20_000_000, step: int = 1_000) -> int:
-        """The time that it took."""
+    def until(self, condition: Callable[[], bool], timeout_us: int = 20_000_000, step: int = 1_000) -> int:
+        """Runs until the condition holds; returns the time that it took."""
         begun = self.cluster.now
-        while not what():
-            assert self.cluster.now - begun < most
+        while not condition():
+            assert self.cluster.now - begun < timeout_us
             self.cluster.run(self.cluster.now + step)
         return self.cluster.now - begun
 
@@ -92,7 +92,7 @@
         host.ask(Claim(key, host.name, "1"), done)
 
     def claims(self, every: int, until: int) -> None:
-        """Claims at all members by turns, while they are up."""
+        """Claims keys at all members in turn, while they are up."""
         numbers = iter(range(1_000_000))
 
         def one() -> None:
@@ -103,22 +103,22 @@
 
         one()
 
-    def alike(self) -> None:
-        """All hold the same, by rows and by sum, and all that was acknowledged."""
-        held = {_held(host) for host in self.hosts}
+    def assert_all_equal(self) -> None:
+        """Checks that all replicas hold the same rows, by checksum, and every acknowledged claim."""
+        held = {_snapshot_of(host) for host in self.hosts}
         assert len(held) == 1, held
         for host in self.hosts:
             assert host.replica is not None
             assert self.lacks(host) == []
 
     def lacks(self, host: Host) -> list[str]:
-        """What was acknowledged and is not held there."""
+        """The acknowledged keys that a replica does not hold."""
         assert host.replica is not None
         rows = host.replica.chain.rows
         return [key for key in self.acked if key not in self.freed and (KEY_KIND, key) not in rows]
 
 
-def _held(host: Host) -> tuple[int, int, int]:
+def _snapshot_of(host: Host) -> tuple[int, int, int]:
     assert host.replica is not None and host.replica.chain.has_snapshot, host.name
     state = host.replica.chain.state
     return state.index, state.rows.count, state.rows.checksum
@@ -132,14 +132,14 @@
     return sum(len(piece.rows) for _, piece in pieces)
 
 
-def test_a_new_replica_copies_before_it_takes_its_place_and_claims_go_on() -> None:
+def test_a_new_replica_copies_before_it_becomes_a_member_and_claims_continue() -> None:
     case = Copies()
     case.claims(5_000, case.cluster.now + 1_000_000)
     case.begin()
     epochs = set[int]()
     longest = 0
 
-    def look() -> bool:
+    def observe() -> bool:
         nonlocal longest
         replica = case.members[0].replica
         assert replica is not None and case.learner.replica is not None
@@ -149,16 +149,16 @@
             longest = max(longest, len(replica.chain._pending_replies))
         return case.is_in(case.learner)
 
-    case.until(look)
-    assert epochs == {1}  # nobody was missed, and nobody let in, while it copied
-    assert longest < 5  # and the chain did not stand still
+    case.until(observe)
+    assert epochs == {1}  # no member was dropped or admitted while it copied
+    assert longest < 5  # and the chain was not blocked
     case.cluster.run(case.cluster.now + 2_000_000)
-    case.alike()
+    case.assert_all_equal()
     assert anew(case.pieces) == 1 and len(case.pieces) > ROWS // 40
     assert len(case.acked) > 150
 
 
-def test_a_copy_that_is_cut_goes_on_where_it_was() -> None:
+def test_an_interrupted_copy_continues_where_it_was() -> None:
     case = Copies()
     case.begin()
     case.until(lambda: len(case.pieces) > 20)
@@ -171,12 +171,12 @@
     case.cluster.heal()
     case.until(lambda: case.is_in(case.learner))
     case.cluster.run(case.cluster.now + 1_000_000)
-    case.alike()
+    case.assert_all_equal()
     assert anew(case.pieces) == 1 and sent(case.pieces) <= ROWS + len(case.acked) + 40
 
 
 @pytest.mark.parametrize("how", ["stop", "leave", "cut"])
-def test_a_sender_that_loses_its_place_is_followed_by_another(how: str) -> None:
+def test_a_sender_that_leaves_the_view_is_replaced_by_another(how: str) -> None:
     case = Copies()
     case.claims(20_000, case.cluster.now + 1_500_000)
     case.begin()
@@ -199,29 +199,29 @@
         case.cluster.heal()
     case.until(lambda: case.is_in(sender))
     case.cluster.run(case.cluster.now + 1_000_000)
-    case.alike()
+    case.assert_all_equal()
     assert anew(case.pieces) == 1 and sent(case.pieces) <= ROWS + len(case.acked) + 40
     assert how == "leave" or len({addr for addr, _ in case.pieces}) > 1
 
 
-def test_a_sender_that_does_not_answer_is_passed_over() -> None:
-    """It is a member all along; it and the learner alone do not hear each other."""
+def test_a_sender_that_does_not_answer_is_skipped() -> None:
+    """It remains a member; only the links between it and the learner are cut."""
     case = Copies()
     case.begin()
     case.until(lambda: len(case.pieces) > 20)
     sender = case.cluster.hosts[case.pieces[-1][0]]
     case.cluster.cut(((sender.name, case.learner.name), (case.learner.name, sender.name)))
-    case.until(lambda: case.copied() >= 0, most=3_000_000)
+    case.until(lambda: case.copied() >= 0, timeout_us=3_000_000)
     assert len({addr for addr, _ in case.pieces}) == 2
     case.cluster.heal()
     case.until(lambda: case.is_in(case.learner))
     case.cluster.run(case.cluster.now + 1_000_000)
-    case.alike()
+    case.assert_all_equal()
     assert anew(case.pieces) == 1 and sent(case.pieces) <= ROWS + 40
 
 
 @pytest.mark.parametrize("after", [1, 7, 30, 45])
-def test_power_lost_in_the_middle_of_a_copy_is_never_taken_for_a_whole_one(after: int) -> None:
+def test_a_copy_interrupted_by_a_power_loss_never_looks_complete(after: int) -> None:
     case = Copies()
     case.begin()
     case.until(lambda: len(case.pieces) > after, step=300)
@@ -235,14 +235,14 @@
     assert held.state.rows.count < ROWS
     case.until(lambda: case.is_in(case.learner))
     case.cluster.run(case.cluster.now + 1_000_000)
-    case.alike()
+    case.assert_all_equal()
     assert anew(case.pieces) == 1 and sent(case.pieces) <= ROWS + len(case.acked) + 60
 
 
-def test_what_was_held_before_counts_for_nothing_once_a_copy_has_begun(
+def test_earlier_rows_are_dropped_once_a_copy_has_begun(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """A member is away for longer than the entries are kept: its place and its rows are of no use."""
+    """A member is away for longer than entries are kept: its membership and rows are of no use."""
     monkeypatch.setattr(log, "RECENT_ENTRIES", 10)
     case = Copies()
     case.learner = tail = case.members[2]
@@ -259,11 +259,11 @@
     assert case.copied() < 0
     case.until(lambda: case.is_in(tail))
     case.cluster.run(case.cluster.now + 1_000_000)
-    case.alike()
+    case.assert_all_equal()
     assert anew(case.pieces) == 1
 
 
-def test_a_short_absence_costs_no_rows() -> None:
+def test_a_short_absence_needs_no_copy() -> None:
     case = Copies()
     case.learner = tail = case.members[2]
     case.hosts = case.members
@@ -273,12 +273,12 @@
     case.begin()
     took = case.until(lambda: case.is_in(tail))
     case.cluster.run(case.cluster.now + 1_000_000)
-    case.alike()
+    case.assert_all_equal()
     assert sent(case.pieces) == 0 and anew(case.pieces) == 0
     assert took < 1_500_000
 
 
-def test_a_disk_that_takes_nothing_holds_up_the_copy_and_nothing_else() -> None:
+def test_a_stalled_disk_delays_the_copy_and_nothing_else() -> None:
     case = Copies()
     case.begin()
     case.until(lambda: len(case.pieces) > 10)
@@ -286,16 +286,16 @@
     before = len(case.pieces)
     case.claims(20_000, case.cluster.now + 2_000_000)
     case.cluster.run(case.cluster.now + 2_500_000)
-    assert len(case.pieces) <= before + 2  # no piece is asked for while two wait for the disk
+    assert len(case.pieces) <= before + 2  # no piece is requested while two wait for the disk
     assert len(case.acked) > 100
     case.until(lambda: case.is_in(case.learner))
     case.cluster.run(case.cluster.now + 1_000_000)
-    case.alike()
+    case.assert_all_equal()
     assert anew(case.pieces) == 1
 
 
-def test_a_copy_that_differs_does_not_count() -> None:
-    """A row is spoilt in the learner's memory: the sum at the end tells, and it begins anew."""
+def test_a_copy_with_a_wrong_checksum_is_discarded() -> None:
+    """A row is corrupted in the learner's memory: the final checksum differs, and it starts from scratch."""
     case = Copies()
     case.begin()
     case.until(lambda: len(case.pieces) > 30)
@@ -303,12 +303,12 @@
     case.learner.replica.chain.state.rows.set(KEY_KIND, "spoilt", 1, ["g", "2"])
     case.until(lambda: case.is_in(case.learner))
     case.cluster.run(case.cluster.now + 1_000_000)
-    case.alike()
+    case.assert_all_equal()
     assert anew(case.pieces) == 2
 
 
-def test_a_key_that_was_freed_is_free_at_a_replica_that_lagged_and_leads_later() -> None:
-    """C lacks the last entry, and B, which has to pass it on, starts anew in between."""
+def test_a_key_that_was_freed_is_free_at_a_replica_that_lagged_and_became_the_head() -> None:
+    """C lacks the last entry, and B, which has to forward it, restarts in between."""
     _, answers = play(
         """
         ms    | A              B              C              D
@@ -332,8 +332,8 @@
     assert answers == {"k1 g1": "ok", "k1 g2": "ok"}
 
 
-def test_a_new_member_that_lost_its_predecessor_before_it_was_fed_does_not_lead() -> None:
-    """It took its place with a copy that lacks the last entries: until it has them, it holds no snapshot."""
+def test_a_new_member_that_lost_its_predecessor_before_it_caught_up_is_not_the_head() -> None:
+    """It was admitted with a copy that lacks the last entries: until it has them, it holds no snapshot."""
     case = Copies()
     case.begin()
     case.claims(3_000, case.cluster.now + 3_000_000)
@@ -346,13 +346,13 @@
     replica = case.learner.replica
     assert replica is not None and not replica.chain.has_snapshot
     assert case.lacks(case.learner) and not replica.serves(case.cluster.now)
-    case.members[2].stop()  # the one before it, which it has not met yet
+    case.members[2].stop()  # its predecessor, which it has not synchronized with
     assert not replica.chain.has_snapshot
     case.until(lambda: case.is_in(case.learner))
     assert case.lacks(case.learner) == []
 
 
-def test_a_new_member_that_is_passed_its_entries_one_by_one_holds_no_snapshot_before_the_last(
+def test_a_new_member_that_receives_its_entries_one_by_one_holds_no_snapshot_before_the_last(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     monkeypatch.setattr(log, "APPEND_ENTRIES", 1)
@@ -367,17 +367,17 @@
 
     case.until(is_member, step=50)
     lacks = [len(case.lacks(case.learner))]
-    while lacks[-1]:  # whatever it lacks was acknowledged before its view
+    while lacks[-1]:  # these keys were acknowledged before its view
         assert not case.is_in(case.learner)
         case.cluster.run(case.cluster.now + 1)
         lacks.append(len(case.lacks(case.learner)))
-    assert len(set(lacks)) > 5  # it was seen in between
+    assert len(set(lacks)) > 5  # states in between were observed
     case.until(lambda: case.is_in(case.learner))
 
 
 @pytest.mark.parametrize("seed", range(3))
 def test_orders_and_keys_through_restarts_of_each_in_turn(seed: int) -> None:
-    """What `benchmarks/snapshots.py` does with 1,000 orders and 200,000 keys."""
+    """The same as `benchmarks/snapshots.py`, which uses 1,000 orders and 200,000 keys."""
     case = Copies(seed=seed + 1)
     hosts, orders = case.members, dict[int, bool]()
     case.hosts = hosts
@@ -397,7 +397,7 @@
         case.cluster.later(500_000 + n * 1_500_000, host.stop)
         case.cluster.later(500_000 + n * 1_500_000 + 150_000 + 400_000 * (n % 3), host.start)
     case.cluster.run(case.cluster.now + 14_000_000)
-    case.alike()
+    case.assert_all_equal()
     assert sum(orders.values()) > 150
     newest = {n: max(version for version, ok in orders.items() if ok and version % 7 == n) for n in range(7)}
     for host in hosts:
@@ -407,10 +407,10 @@
 
 
 @pytest.mark.parametrize("seed", range(6))
-def test_who_says_that_it_holds_all_does_so_whatever_happens(
+def test_a_member_that_claims_to_hold_a_snapshot_holds_all_acknowledged_claims(
     seed: int, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """Drawn faults over five replicas, with short logs so that copies begin anew; looked at all along."""
+    """Random faults over five replicas, with short logs so that copies restart; checked throughout."""
     monkeypatch.setattr(log, "RECENT_ENTRIES", 30)
     case, rng = Copies(members=4, seed=seed, rows=300), random.Random(seed)
     case.begin()
@@ -430,44 +430,44 @@
     def fault() -> None:
         if cluster.now > 15_000_000:
             return
-        host, lasts = rng.choice(hosts), rng.randrange(100_000, 2_000_000)
+        host, duration = rng.choice(hosts), rng.randrange(100_000, 2_000_000)
         others = [(host.name, other.name) for other in hosts if other is not host]
         kind = rng.choice(("down", "wipe", "cut", "stall", "freeze", "all"))
         if kind in ("down", "wipe"):
             host.stop(wipe=kind == "wipe")
-            cluster.later(lasts, host.start)
+            cluster.later(duration, host.start)
         elif kind == "cut":
             cluster.cut([*others, *((b, a) for a, b in others)])
-            cluster.later(lasts, cluster.heal)
+            cluster.later(duration, cluster.heal)
         elif kind == "stall":
-            host.stalled_until = cluster.now + lasts
+            host.stalled_until = cluster.now + duration
         elif kind == "freeze":
-            host.frozen_until = cluster.now + lasts
+            host.frozen_until = cluster.now + duration
         else:
             for one in hosts:
                 one.stop()
                 cluster.later(rng.randrange(50_000, 600_000), one.start)
-        cluster.later(lasts + 4_000_000, fault)
+        cluster.later(duration + 4_000_000, fault)
 
-    def look() -> None:
-        """The members of the newest view that say so hold all that was acknowledged and not freed."""
+    def observe() -> None:
+        """Members of the newest view with a snapshot hold all claims that were acknowledged and not freed."""
         newest = max((v for v in cluster.views().values()), key=lambda view: view.epoch, default=None)
         for host in hosts:
             if host.replica is None or host.replica.agreement.view != newest:
                 continue
             if host.replica.chain.has_snapshot:
                 assert case.lacks(host) == [], (host.name, cluster.now)
-        cluster.later(197_000, look)
+        cluster.later(197_000, observe)
 
     cluster.later(2_000_000, fault)
     cluster.later(500_000, free)
-    look()
+    observe()
     cluster.run(24_000_000)
-    case.alike()
+    case.assert_all_equal()
     assert len(case.acked) > 300
 
 
-def test_a_sender_that_has_less_than_the_taker_says_nothing() -> None:
+def test_a_sender_behind_the_receiver_does_not_answer() -> None:
     rows = CommittedRows.of((KEY_KIND, f"k{n}", n, ["g", "1"]) for n in range(1, 50))
     entries = recent.RecentEntries(10, 1_000, start=49)
     request = transfer.CopyRequest(5, transfer.CopyPosition(COMPLETE_BUCKET, 50))
--- a/tests/control/test_core.py
+++ b/tests/control/test_core.py
@@ -1,4 +1,4 @@
-"""The core under faults: what was acknowledged stands, whoever is lost within what may be lost."""
+"""The control plane under faults: no acknowledged write is lost while at most the tolerated replicas fail."""
 
 from __future__ import annotations
 
@@ -16,8 +16,8 @@
 from brackengate.protocol.messages import Amend, Claim, CommandDone, HeldBy, Read
 
 
-class Mending(TestCase):
-    def test_a_key_is_claimed_once_wherever_it_is_asked(self) -> None:
+class Repair(TestCase):
+    def test_a_key_is_claimed_once_through_whichever_replica(self) -> None:
         _, answers = play(
             """
             ms    | A              B              C
@@ -59,7 +59,7 @@
         )
         self.assertThat(answers, Equals({"k1 g1": "ok"}))
 
-    def test_a_member_that_is_cut_off_says_so_and_comes_back_by_a_snapshot(self) -> None:
+    def test_a_partitioned_member_stops_serving_and_comes_back_by_a_snapshot(self) -> None:
         _, answers = play(
             """
             ms    | A              B              C
@@ -72,9 +72,9 @@
             8000  |                serves
             """
         )
-        self.assertThat(answers, Equals({"k1 g1": "ok", "k2 g2": "ok"}))  # the first one once it is back
+        self.assertThat(answers, Equals({"k1 g1": "ok", "k2 g2": "ok"}))  # k1 once B is back
 
-    def test_a_head_that_is_cut_off_acknowledges_nothing_more(self) -> None:
+    def test_a_partitioned_head_acknowledges_nothing_more(self) -> None:
         _, answers = play(
             """
             ms    | A              B              C
@@ -88,7 +88,7 @@
         )
         self.assertThat(answers, Equals({"k1 g1": "held by g2", "k1 g2": "ok"}))
 
-    def test_a_member_that_only_hears_is_put_out(self) -> None:
+    def test_a_member_that_receives_but_cannot_send_is_removed(self) -> None:
         _, answers = play(
             """
             ms    | A              B              C
@@ -101,8 +101,8 @@
         )
         self.assertThat(answers, Equals({"k1 g1": "ok"}))
 
-    def test_nobody_is_refused_for_a_claim_that_was_never_agreed(self) -> None:
-        """A's claim stands in its memory alone, and is lost with it: B's is the one that holds."""
+    def test_nobody_is_refused_for_a_claim_that_was_never_committed(self) -> None:
+        """A's claim is only in its memory and is lost with the process: B's claim succeeds."""
         _, answers = play(
             """
             ms    | A              B              C
@@ -117,7 +117,7 @@
         self.assertThat(answers, Equals({"k1 g1": "silent", "k1 g2": "ok", "k1 g3": "held by g2"}))
 
     def test_a_claim_that_was_sent_twice_is_refused_only_if_both_were(self) -> None:
-        """C sleeps, so B asks anew; between its two words for k1 the key is freed, and the second holds."""
+        """C is paused, so B submits its claim again; k1 is freed between the two, and the second succeeds."""
         _, answers = play(
             """
             ms    | A              B              C
@@ -130,7 +130,7 @@
         )
         self.assertThat(answers, Equals({"k1 g1": "ok", "k1 g2": "ok", "k1 g3": "held by g2"}))
 
-    def test_a_frozen_head_wakes_and_is_no_head_any_more(self) -> None:
+    def test_a_head_that_was_paused_is_not_the_head_when_it_resumes(self) -> None:
         _, answers = play(
             """
             ms    | A              B              C
@@ -144,7 +144,7 @@
         self.assertThat(answers["k1 g2"], Equals("ok"))
         self.assertThat(answers["k1 g1"], Equals("held by g2"))
 
-    def test_a_disk_that_stalls_does_not_hold_up_the_chain(self) -> None:
+    def test_a_stalled_disk_does_not_block_the_chain(self) -> None:
         _, answers = play(
             """
             ms    | A              B              C
@@ -174,7 +174,7 @@
         )
         self.assertThat({view.epoch for view in cluster.views().values()}, HasLength(1))
 
-    def test_seeds_are_exchanged_for_new_machines(self) -> None:
+    def test_all_seeds_are_replaced_by_new_machines(self) -> None:
         _, answers = play(
             """
             ms    | A              B              C              D              E
@@ -192,7 +192,7 @@
 
 
 class Leaving(TestCase):
-    def test_a_member_leaves_and_stays_out_until_it_is_told(self) -> None:
+    def test_a_member_leaves_and_stays_out_until_it_rejoins(self) -> None:
         for leaver, head in (("A", "B"), ("B", "A"), ("C", "A")):
             look = {name: "out" if name == leaver else "head" if name == head else "in" for name in "ABC"}
             tell = {name: "leave" if name == leaver else "" for name in "ABC"}
@@ -212,7 +212,7 @@
             )
             self.assertThat(answers, Equals({"k1 g1": "ok", "k2 g2": "ok", leaver: ""}))
 
-    def test_a_start_anew_takes_the_word_back(self) -> None:
+    def test_a_restart_cancels_a_leave(self) -> None:
         play(
             """
             ms    | A              B              C
@@ -224,7 +224,7 @@
             """
         )
 
-    def test_no_seat_is_given_up_where_too_few_would_be_left(self) -> None:
+    def test_no_member_leaves_if_too_few_would_remain(self) -> None:
         _, answers = play(
             """
             ms    | A              B              C
@@ -239,8 +239,8 @@
         self.assertThat(answers["A"], Equals(answers["B"]))
         self.assertThat(answers["A"][:43], Equals("1 of the 2 members of view 2 would be left;"))
 
-    def test_of_two_that_are_told_at_the_same_moment_one_stays(self) -> None:
-        """Neither has heard of the other's wish: B works on until there is a third one."""
+    def test_of_two_that_are_asked_to_leave_at_the_same_moment_one_stays(self) -> None:
+        """Neither knows of the other's request: B stays until there is a third member."""
         _, answers = play(
             """
             ms    | A              B              C              D
@@ -255,7 +255,7 @@
         )
         self.assertThat(answers, Equals({"A": "", "B": "", "k1 g1": "ok"}))
 
-    def test_a_member_is_replaced_only_by_another_one(self) -> None:
+    def test_a_member_is_replaced_only_if_another_replica_can_be_admitted(self) -> None:
         _, answers = play(
             """
             ms    | A              B              C              D
@@ -314,7 +314,7 @@
             self.assertThat(answers, Equals({"k1 g1": "ok", "k1 g2": "held by g1"}), lost)
 
     def test_a_voter_with_an_empty_disk_has_no_vote(self) -> None:
-        """B knows of the second view alone.  With C's empty disk it must not make a third one."""
+        """Only B knows of the second view.  It must not agree on a third one with C's empty disk."""
         _, answers = play(
             """
             ms    | A              B              C
@@ -343,16 +343,16 @@
         self.assertThat(answers, Equals({"k1 g1": "ok", "k2 g2": "ok"}))
 
     def test_power_is_lost_around_each_step_of_an_acknowledgement(self) -> None:
-        """Whatever was said to be done by then is found, at every moment between the first store and the
-        last."""
+        """A claim acknowledged before the power loss is found, at every moment between the first store and
+        the last."""
         for late in range(0, 8_000, 250):
             cluster = SimulatedCluster([f"10.0.0.{n}:80" for n in (1, 2, 3)], seed=late)
-            said: list[Any] = []
+            answers_received: list[Any] = []
             hosts = list(cluster.hosts.values())
             cluster.run(2_000_000)
-            hosts[1].ask(Claim("k1", "g1", "1"), said.append)
+            hosts[1].ask(Claim("k1", "g1", "1"), answers_received.append)
             cluster.run(cluster.now + late)
-            acknowledged = list(said)
+            acknowledged = list(answers_received)
             for host in hosts:
                 host.stop(wipe=host is hosts[late % 3])
             for host in hosts:
@@ -366,7 +366,7 @@
             else:
                 self.assertThat(again, HasLength(1), f"{late} us")
 
-    def test_a_chain_shorter_than_what_may_be_lost_takes_no_writes(self) -> None:
+    def test_a_chain_shorter_than_min_replicas_accepts_no_writes(self) -> None:
         _, answers = play(
             """
             ms    | A              B              C
@@ -379,16 +379,16 @@
 
 
 class Configuration(TestCase):
-    def test_two_operators_race_and_the_higher_version_holds_everywhere(self) -> None:
+    def test_two_operators_race_and_the_higher_version_wins_everywhere(self) -> None:
         cluster = SimulatedCluster([f"10.0.0.{n}:80" for n in (1, 2, 3)], seed=3)
-        hosts, said = list(cluster.hosts.values()), list[Any]()
+        hosts, answers_received = list(cluster.hosts.values()), list[Any]()
         cluster.run(2_000_000)
         plant = '{"Apply":{"Plants":[{"Name":"p","HealthPath":"/%s","Revision":"r%d"}]}}'
-        hosts[0].ask(Amend(plant % ("old", 4)), said.append)
-        hosts[2].ask(Amend(plant % ("new", 7)), said.append)
-        hosts[1].ask(Amend(plant % ("older", 2)), said.append)
+        hosts[0].ask(Amend(plant % ("old", 4)), answers_received.append)
+        hosts[2].ask(Amend(plant % ("new", 7)), answers_received.append)
+        hosts[1].ask(Amend(plant % ("older", 2)), answers_received.append)
         cluster.run(cluster.now + 1_000_000)
-        self.assertThat(said, Equals([CommandDone()] * 3))
+        self.assertThat(answers_received, Equals([CommandDone()] * 3))
         for host in hosts:
             read: list[Any] = []
             host.ask(Read(), read.append)
@@ -397,7 +397,7 @@
                 read[0].content["Plants"], Equals([{"Name": "p", "HealthPath": "/new", "Revision": "r7"}])
             )
 
-    def test_what_is_published_never_goes_back_and_is_agreed(self) -> None:
+    def test_published_versions_never_go_back(self) -> None:
         cluster = SimulatedCluster([f"10.0.0.{n}:80" for n in (1, 2, 3)], seed=5)
         hosts = list(cluster.hosts.values())
         cluster.run(2_000_000)
@@ -414,8 +414,8 @@
             self.assertThat(seen, Equals(sorted(set(seen))), host.name)
 
 
-def test_a_member_with_a_damaged_file_is_let_in_anew(tmp_path: Path) -> None:
-    """All were in the first view; those that are damaged come back as others."""
+def test_a_member_with_a_damaged_file_is_admitted_again(tmp_path: Path) -> None:
+    """All were in the first view; those with damaged files come back as new incarnations."""
     cluster, answers = play(
         """
         ms    | A              B              C
@@ -437,12 +437,14 @@
         folder=tmp_path,
     )
     assert answers == {"k1 g1": "ok", "k2 g2": "ok"}
-    lives = {member.addr: member.incarnation for view in cluster.views().values() for member in view.members}
-    assert [lives[name] == FIRST_INCARNATION for name in cluster.hosts] == [False, True, True]
+    incarnations = {
+        member.addr: member.incarnation for view in cluster.views().values() for member in view.members
+    }
+    assert [incarnations[name] == FIRST_INCARNATION for name in cluster.hosts] == [False, True, True]
 
 
-def test_what_is_beside_a_promise_costs_the_vote(tmp_path: Path) -> None:
-    """B must not go on with C, whose file may have lost what it promised to A."""
+def test_damage_next_to_a_promise_costs_the_vote(tmp_path: Path) -> None:
+    """B must not form a view with C, whose file may have lost its promise to A."""
     _, answers = play(
         """
         ms    | A              B              C
@@ -461,7 +463,7 @@
 
 @pytest.mark.parametrize("members", [3, 4, 5])
 @pytest.mark.parametrize("seed", range(4))
-def test_drawn_faults_lose_no_claim_and_grant_none_twice(members: int, seed: int) -> None:
+def test_random_faults_lose_no_claim_and_grant_none_twice(members: int, seed: int) -> None:
     cluster, rng = SimulatedCluster([f"10.0.0.{n}:80" for n in range(members)], seed), random.Random(seed)
     hosts, granted, count = list(cluster.hosts.values()), dict[str, str](), [0]
 
@@ -483,27 +485,27 @@
     def fault() -> None:
         if cluster.now > 16_000_000:
             return
-        host, lasts = rng.choice(hosts), rng.randrange(500_000, 3_000_000)
+        host, duration = rng.choice(hosts), rng.randrange(500_000, 3_000_000)
         others = [(host.name, other.name) for other in hosts if other is not host]
         kind = rng.choice(("down", "wipe", "cut", "mute", "stall", "freeze", "leave", "all"))
         if kind in ("down", "wipe"):
             host.stop(wipe=kind == "wipe")
-            cluster.later(lasts, host.start)
+            cluster.later(duration, host.start)
         elif kind in ("cut", "mute"):
             cluster.cut([*others, *((b, a) for a, b in others if kind == "cut")])
-            cluster.later(lasts, cluster.heal)
+            cluster.later(duration, cluster.heal)
         elif kind == "leave" and host.replica is not None:
             host.replica.leave(rng.random() < 0.5, cluster.now)
-            cluster.later(lasts, host.replica.rejoin)
+            cluster.later(duration, host.replica.rejoin)
         elif kind == "stall":
-            host.stalled_until = cluster.now + lasts
+            host.stalled_until = cluster.now + duration
         elif kind == "freeze":
-            host.frozen_until = cluster.now + lasts
+            host.frozen_until = cluster.now + duration
         else:
             for one in hosts:
                 one.stop()
                 cluster.later(rng.randrange(100_000, 1_000_000), one.start)
-        cluster.later(lasts + 4_500_000, fault)
+        cluster.later(duration + 4_500_000, fault)
 
     cluster.later(1_500_000, client)
     cluster.later(2_500_000, fault)
--- a/tests/control/test_cut_off.py
+++ b/tests/control/test_cut_off.py
@@ -1,5 +1,5 @@
-"""A member that is cut off for twenty seconds: what it serves, what becomes of its orders, and how it comes
-back.  That nobody serves what is older than a lease is checked by the kit at each step."""
+"""Members that are partitioned for up to twenty seconds: what they serve, the outcome of their orders, and
+how they come back.  The simulated cluster checks at each step that nobody serves data older than a lease."""
 
 from __future__ import annotations
 
@@ -24,7 +24,7 @@
 
 @pytest.mark.parametrize("kind", KINDS)
 @pytest.mark.parametrize("lost", "ABC")  # the head, which coordinates views, the middle and the tail
-def test_a_member_is_cut_off_for_twenty_seconds(kind: str, lost: str) -> None:
+def test_a_member_is_partitioned_for_twenty_seconds(kind: str, lost: str) -> None:
     one, two = (name for name in "ABC" if name != lost)
     cluster, answers = play(
         timeline(
@@ -44,26 +44,28 @@
             row(29000, **{lost: "read"}),
         )
     )
-    assert {view.epoch for view in cluster.views().values()} == {3}  # it went, it came back
+    assert {view.epoch for view in cluster.views().values()} == {3}  # one view without it, one with it again
     assert answers["order 6"] == answers["k2 g2"] == "ok"
     assert answers["read"] == "r6"
-    assert answers["order 5"] in ("ok", "none", "silent")  # never refused
-    assert answers["k1 g1"] in ("none", "silent")  # not from the old side, and forgotten by the new one
+    assert answers["order 5"] in ("ok", "none", "silent")  # but never refused
+    assert answers["k1 g1"] in ("none", "silent")  # not granted by the old side, and given up by the new one
 
 
-@pytest.mark.parametrize(("thaws", "heals"), [(10_000, 20_000), (20_000, 20_000), (20_000, 10_000)])
+@pytest.mark.parametrize(("resumes_ms", "heals_ms"), [(10_000, 20_000), (20_000, 20_000), (20_000, 10_000)])
 @pytest.mark.parametrize("kind", ["cut", "hold"])
 @pytest.mark.parametrize("lost", "ABC")
-def test_a_member_is_frozen_and_cut_off_at_once(kind: str, lost: str, thaws: int, heals: int) -> None:
+def test_a_member_is_paused_and_partitioned_at_once(
+    kind: str, lost: str, resumes_ms: int, heals_ms: int
+) -> None:
     one, two = (name for name in "ABC" if name != lost)
     _, answers = play(
         timeline(
             row(2000, A="claim k0 g0"),
             row(2999, **{lost: "order 5"}),
             row(3000, **{lost: kind}),
-            row(3000, **{lost: f"freeze {thaws}"}),
+            row(3000, **{lost: f"freeze {resumes_ms}"}),
             row(4400, **{one: "order 6", two: "claim k0 g2"}),
-            row(3000 + heals, **{lost: "heal"}),
+            row(3000 + heals_ms, **{lost: "heal"}),
             row(29000, A="serves", B="serves", C="serves"),
             row(29000, **{lost: "read"}),
         )
@@ -73,9 +75,9 @@
 
 
 @pytest.mark.parametrize("kind", KINDS)
-def test_the_cut_heals_in_the_middle_of_the_view_change(kind: str) -> None:
+def test_the_partition_heals_in_the_middle_of_the_view_change(kind: str) -> None:
     """At moments from the loss of the first pings to the end of the change."""
-    for heals in range(3_400 + 12 * KINDS.index(kind), 3_800, 80):
+    for heals_ms in range(3_400 + 12 * KINDS.index(kind), 3_800, 80):
         for lost in "ABC":
             other = "B" if lost != "B" else "C"
             _, answers = play(
@@ -83,20 +85,20 @@
                     row(2999, **{lost: "order 5"}),
                     row(3000, **{lost: kind}),
                     row(3200, **{other: "order 6"}),
-                    row(heals, **{lost: "heal"}),
+                    row(heals_ms, **{lost: "heal"}),
                     row(7000, A="serves", B="serves", C="serves"),
                     row(7000, A="in", B="in", C="in"),
                     row(7000, **{lost: "read"}),
                 ),
-                seed=heals,
+                seed=heals_ms,
             )
             assert (answers["order 5"], answers["order 6"], answers["read"]) == ("ok", "ok", "r6"), (
                 lost,
-                heals,
+                heals_ms,
             )
 
 
-def test_the_smaller_side_of_five_serves_nothing_and_orders_wait_for_the_heal() -> None:
+def test_the_minority_of_five_serves_nothing_and_its_orders_wait_for_the_heal() -> None:
     cluster, answers = play(
         """
         ms    | A          B          C          D          E
@@ -112,11 +114,11 @@
         seeds=5,
     )
     assert answers["order 7"] == "ok" and answers["read"] == "r7"
-    assert answers["order 6"] == answers["k1 g1"] == "ok"  # sent again to the head of the new view
+    assert answers["order 6"] == answers["k1 g1"] == "ok"  # submitted again to the head of the new view
     assert {len(view.members) for view in cluster.views().values()} == {5}
 
 
-def test_two_regions_of_three_part_and_neither_goes_on() -> None:
+def test_neither_half_of_six_serves_or_accepts_writes_in_a_partition() -> None:
     cluster, answers = play(
         """
         ms    | A          B          C          D          E          F
@@ -137,8 +139,8 @@
 
 
 @pytest.mark.parametrize("seed", range(6))
-def test_drawn_cuts_confirm_nothing_twice_and_read_nothing_old(seed: int) -> None:
-    """Held, lost and one-way links, freezes, and orders all along, through any member."""
+def test_random_partitions_grant_nothing_twice_and_read_nothing_stale(seed: int) -> None:
+    """Held, lost and one-way links, pauses, and orders throughout, through any member."""
     cluster = SimulatedCluster([f"10.0.0.{n}:80" for n in range(3 + seed % 3)], seed, seeds=6)
     hosts, rng = list(cluster.hosts.values()), cluster.rng
     confirmed, granted, version = [0], dict[str, str](), [0]
@@ -158,11 +160,11 @@
                 holder = result.owner if isinstance(result, HeldBy) else gate
                 assert granted.setdefault(key, holder) == holder
 
-        least = confirmed[0]
+        min_version = confirmed[0]
 
         def read(result: Any) -> None:
-            if result is not None and least:
-                assert int(result.content["Plants"][0]["Revision"][1:]) >= least
+            if result is not None and min_version:
+                assert int(result.content["Plants"][0]["Revision"][1:]) >= min_version
 
         rng.choice(hosts).ask(Amend(body), ordered)
         rng.choice(hosts).ask(Claim(key, gate, "1"), claimed)
@@ -171,16 +173,16 @@
             cluster.later(rng.randrange(200_000), client)
 
     def fault() -> None:
-        host, lasts = rng.choice(hosts), rng.randrange(100_000, 3_000_000)
+        host, duration = rng.choice(hosts), rng.randrange(100_000, 3_000_000)
         others = rng.sample([one for one in hosts if one is not host], rng.randrange(1, len(hosts)))
         out_of, into = [(host.name, one.name) for one in others], [(one.name, host.name) for one in others]
         pairs = rng.choice((out_of, into, [*out_of, *into]))
         rng.choice((cluster.cut, cluster.hold))(pairs)
         if rng.random() < 0.4:
-            host.frozen_until = cluster.now + rng.randrange(lasts)
-        cluster.later(lasts, cluster.heal)
+            host.frozen_until = cluster.now + rng.randrange(duration)
+        cluster.later(duration, cluster.heal)
         if cluster.now < 18_000_000:
-            cluster.later(lasts + rng.randrange(3_000_000), fault)
+            cluster.later(duration + rng.randrange(3_000_000), fault)
 
     cluster.later(1_500_000, client)
     cluster.later(2_500_000, fault)
--- a/tests/control/test_disk.py
+++ b/tests/control/test_disk.py
@@ -1,4 +1,4 @@
-"""The state on disk: what a damaged file, a full disk and other programs' forms lead to."""
+"""The database on disk: damaged files, full disks, and formats of other versions."""
 
 from __future__ import annotations
 
@@ -38,7 +38,7 @@
 
 
 def killed(folder: Path, name: str = "killed") -> Path:
-    """The files as the death of a process leaves them: the log is not merged into the file."""
+    """A copy of the files as a killed process leaves them, with the log not merged into the database."""
     there = folder.with_name(name)
     shutil.rmtree(there, ignore_errors=True)
     shutil.copytree(folder, there)
@@ -47,11 +47,11 @@
 
 @pytest.fixture
 def served(tmp_path: Path) -> Path:
-    """A member that has served, seen a restart, and promised last."""
+    """The disk of a member that has served, was restarted, and made a promise last."""
     folder = tmp_path / "data"
     disk, _ = open_disk(str(folder), initial_start=True)
     disk.write([Store({"view": VIEW, "lineage": 1}), rows(1, 60)])
-    disk.close()  # merged into the file
+    disk.close()  # merges the log into the database
     disk, _ = open_disk(str(folder), initial_start=True)
     disk.write([rows(60, 70), Store(rows=[(70, ("key", "k5", None))])])
     disk.write([Store({"promised": (7, "b:1")})])
@@ -61,44 +61,44 @@
 
 
 def reopened(folder: Path) -> StoredState:
-    """It is usable too: what is written now is found next time."""
-    disk, kept = open_disk(str(folder), initial_start=True)
+    """Opens the disk and checks that it is usable: new writes are found at the next start."""
+    disk, stored = open_disk(str(folder), initial_start=True)
     try:
         disk.write([Store({"place": 500})])
     finally:
         disk.close()
     disk, again = open_disk(str(folder), initial_start=True)
     disk.close()
-    assert (again.incarnation, again.promised, again.index) == (kept.incarnation, kept.promised, 500)
-    return kept
+    assert (again.incarnation, again.promised, again.index) == (stored.incarnation, stored.promised, 500)
+    return stored
 
 
-def state(kept: StoredState) -> tuple[object, ...]:
-    return kept.incarnation, kept.view, kept.promised, kept.index, sorted(kept.rows)
+def state(stored: StoredState) -> tuple[object, ...]:
+    return stored.incarnation, stored.view, stored.promised, stored.index, sorted(stored.rows)
 
 
-def is_new_life(kept: StoredState) -> bool:
-    """As of a lost disk: no vote, no index, and the very first start is not claimed either."""
-    return kept.incarnation != FIRST_INCARNATION and state(kept)[1:] == (None, (0, ""), 0, [])
+def is_new_incarnation(stored: StoredState) -> bool:
+    """Whether it looks like a lost disk: no vote, no index, and not the first incarnation."""
+    return stored.incarnation != FIRST_INCARNATION and state(stored)[1:] == (None, (0, ""), 0, [])
 
 
 def test_what_was_written_is_read_after_a_kill(served: Path) -> None:
-    kept = reopened(served)
-    assert (kept.incarnation, kept.view, kept.promised, kept.index) == (
+    stored = reopened(served)
+    assert (stored.incarnation, stored.view, stored.promised, stored.index) == (
         FIRST_INCARNATION,
         VIEW,
         (7, "b:1"),
         69,
     )
-    assert [row[1] for row in sorted(kept.rows, key=lambda row: row[2])] == [
+    assert [row[1] for row in sorted(stored.rows, key=lambda row: row[2])] == [
         f"k{n}" for n in range(1, 70) if n != 5
     ]
     assert not (served / DAMAGED_NAME).exists()
 
 
 @pytest.mark.parametrize("which", [DATABASE_NAME, f"{DATABASE_NAME}-wal"])
-def test_no_flipped_byte_is_believed(served: Path, which: str) -> None:
-    """It has what it had, or a new life: never an older promise, never fewer rows."""
+def test_a_flipped_byte_is_never_believed(served: Path, which: str) -> None:
+    """The state is complete or a new incarnation: never an older promise, never fewer rows."""
     whole = state(open_disk(str(killed(served)), initial_start=True)[1])
     size = (served / which).stat().st_size
     found = 0
@@ -109,9 +109,9 @@
             byte = file.read(1)
             file.seek(at)
             file.write(bytes([byte[0] ^ 0x5A]))
-        kept = reopened(folder)
-        assert state(kept) == whole or is_new_life(kept), at
-        found += is_new_life(kept)
+        stored = reopened(folder)
+        assert state(stored) == whole or is_new_incarnation(stored), at
+        found += is_new_incarnation(stored)
     assert found > 15
 
 
@@ -122,45 +122,45 @@
         (b"attempt 9", b"attempt 8", "the checksum over its 68 rows"),
     ],
 )
-def test_a_value_that_reads_well_and_is_another_is_found(
+def test_a_changed_value_that_is_valid_is_found(
     served: Path, caplog: pytest.LogCaptureFixture, value: bytes, other: bytes, found: str
 ) -> None:
-    """An older ballot, a claim of another attempt: in a file without a log, which sqlite does not
+    """An older ballot, a claim of another attempt: in a database without a log, which sqlite does not
     check."""
     open_disk(str(served), initial_start=True)[0].close()
     data = (served / DATABASE_NAME).read_bytes()
     assert value in data
     (served / DATABASE_NAME).write_bytes(data.replace(value, other))
-    assert is_new_life(reopened(served))
+    assert is_new_incarnation(reopened(served))
     assert found in caplog.text
 
 
 @pytest.mark.parametrize("which", [DATABASE_NAME, f"{DATABASE_NAME}-wal"])
-def test_no_file_that_was_cut_short_is_believed(served: Path, which: str) -> None:
+def test_a_truncated_file_is_never_believed(served: Path, which: str) -> None:
     whole = state(open_disk(str(killed(served)), initial_start=True)[1])
     for length in (0, 1, 100, 4096, 4500, (served / which).stat().st_size - 1):
         folder = killed(served)
         os.truncate(folder / which, length)
-        kept = reopened(folder)  # pages that the log holds too are not missed
-        assert is_new_life(kept) or (
-            length >= 4096 and which == DATABASE_NAME and state(kept) == whole
+        stored = reopened(folder)  # pages that are also in the log are restored
+        assert is_new_incarnation(stored) or (
+            length >= 4096 and which == DATABASE_NAME and state(stored) == whole
         ), length
 
 
-def test_a_log_that_is_taken_away_costs_the_promise_and_a_closed_one_does_not(served: Path) -> None:
+def test_a_removed_log_counts_as_damage_unless_it_was_merged(served: Path) -> None:
     folder = killed(served)
-    connection = sqlite3.connect(folder / DATABASE_NAME)  # as an operator who looks into it
+    connection = sqlite3.connect(folder / DATABASE_NAME)  # as an operator may, who inspects it
     connection.execute("SELECT * FROM meta").fetchall()
     connection.close()
     assert not (folder / f"{DATABASE_NAME}-wal").exists()
     assert reopened(folder).promised == (7, "b:1")
     folder = killed(served)
     (folder / f"{DATABASE_NAME}-wal").unlink()
-    assert is_new_life(reopened(folder))
+    assert is_new_incarnation(reopened(folder))
 
 
-def test_a_log_torn_by_a_loss_of_power_is_no_damage(served: Path) -> None:
-    """The last commit was under way: nothing was said for it, and the small file is of some time before."""
+def test_a_log_torn_by_a_power_loss_is_no_damage(served: Path) -> None:
+    """The last commit was in flight: nothing was sent after it, and the tally file is older."""
     told = (served / TALLY_NAME).read_bytes()
     disk, before = open_disk(str(served), initial_start=True)
     disk.write([rows(70, 90)])
@@ -173,20 +173,20 @@
     disk.close()
 
 
-def test_the_damaged_file_is_put_aside_and_named(served: Path, caplog: pytest.LogCaptureFixture) -> None:
-    for spoilt in (b"", b"spoilt"):  # the second one takes the place of the first
-        (served / DATABASE_NAME).write_bytes(spoilt)
-        assert is_new_life(reopened(served))
-        assert (served / DAMAGED_NAME).read_bytes() == spoilt
+def test_the_damaged_file_is_set_aside_and_logged(served: Path, caplog: pytest.LogCaptureFixture) -> None:
+    for damaged_content in (b"", b"spoilt"):  # the second one replaces the first
+        (served / DATABASE_NAME).write_bytes(damaged_content)
+        assert is_new_incarnation(reopened(served))
+        assert (served / DAMAGED_NAME).read_bytes() == damaged_content
     assert f"file {served / DATABASE_NAME}: damaged: it is empty" in caplog.text
     assert f"file {served / DATABASE_NAME}: damaged: it does not begin as a file of sqlite" in caplog.text
     assert {file.name for file in served.iterdir()} <= {DATABASE_NAME, TALLY_NAME, *OTHERS}
 
 
-def test_a_start_cut_off_anywhere_on_its_way_to_a_new_life_is_no_first_start(
+def test_an_interrupted_start_after_damage_is_never_taken_for_the_first_start(
     served: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """The process dies at each rename, removal and sync in turn."""
+    """The process is killed at each rename, removal and sync in turn."""
 
     class Killed(BaseException):
         pass
@@ -216,12 +216,12 @@
                 done = True
             except Killed:
                 pass
-        assert is_new_life(reopened(folder)), calls
+        assert is_new_incarnation(reopened(folder)), calls
     assert calls[1] > 5
 
 
-def test_a_file_of_the_form_before_is_taken_over_in_place(tmp_path: Path) -> None:
-    """As the program before wrote it."""
+def test_a_file_of_an_older_format_is_upgraded_in_place(tmp_path: Path) -> None:
+    """The database as an earlier version wrote it."""
     db = sqlite3.connect(tmp_path / DATABASE_NAME, isolation_level=None)
     db.execute("PRAGMA journal_mode=WAL")
     db.execute("CREATE TABLE meta (name TEXT PRIMARY KEY, value BLOB) WITHOUT ROWID")
@@ -235,24 +235,24 @@
     db.execute("INSERT INTO rows VALUES ('key', 'k9', 9, ?)", (b'["gate","attempt"]',))
     folder = killed(tmp_path, "before")
     db.close()
-    disk, kept = open_disk(str(folder), initial_start=False)
-    assert (kept.incarnation, kept.promised, kept.index) == (FIRST_INCARNATION, (3, "c:1"), 9)
-    assert list(kept.rows) == [("key", "k9", 9, ["gate", "attempt"])]
-    after = killed(folder, "after")  # and it is on the disk at once
+    disk, stored = open_disk(str(folder), initial_start=False)
+    assert (stored.incarnation, stored.promised, stored.index) == (FIRST_INCARNATION, (3, "c:1"), 9)
+    assert list(stored.rows) == [("key", "k9", 9, ["gate", "attempt"])]
+    after = killed(folder, "after")  # the upgrade is on disk at once
     disk.close()
     held = sqlite3.connect(after / DATABASE_NAME)
     assert held.execute("SELECT value FROM meta WHERE name = 'form'").fetchone() == (b"3",)
     held.execute("DELETE FROM rows")
     held.commit()
     held.close()
-    assert is_new_life(reopened(after))
+    assert is_new_incarnation(reopened(after))
 
 
-def test_a_full_disk_is_no_damage_and_what_was_put_aside_gives_way(tmp_path: Path) -> None:
+def test_a_full_disk_is_no_damage_and_truncates_the_file_that_was_set_aside(tmp_path: Path) -> None:
     disk, _ = open_disk(str(tmp_path), initial_start=True)
     disk.write([rows(1, 50)])
     (tmp_path / DAMAGED_NAME).write_bytes(bytes(9000))
-    disk.db.execute("PRAGMA max_page_count=1")  # sqlite takes the number of pages in use
+    disk.db.execute("PRAGMA max_page_count=1")  # sqlite raises it to the number of pages in use
     with pytest.raises(sqlite3.OperationalError, match="full"):
         disk.write([rows(50, 400)])
     assert (tmp_path / DAMAGED_NAME).stat().st_size == 0
@@ -263,13 +263,13 @@
     assert len(list(reopened(folder).rows)) == 399
 
 
-@pytest.mark.parametrize("spoilt", [False, True])
-def test_a_disk_that_is_full_while_it_opens_is_tried_again(
-    served: Path, monkeypatch: pytest.MonkeyPatch, spoilt: bool
+@pytest.mark.parametrize("is_damaged", [False, True])
+def test_opening_a_full_disk_is_retried(
+    served: Path, monkeypatch: pytest.MonkeyPatch, is_damaged: bool
 ) -> None:
-    """Also where a new file has to be begun: what was put aside makes room for it."""
+    """Also if a new file has to be created: truncating the one set aside frees the space for it."""
     whole = state(open_disk(str(killed(served)), initial_start=True)[1])
-    if spoilt:
+    if is_damaged:
         (served / DATABASE_NAME).write_bytes(b"spoilt")
     real = Disk.set_pragmas
 
@@ -281,9 +281,9 @@
     with pytest.raises(sqlite3.OperationalError, match="full"):
         open_disk(str(served), initial_start=True)
     monkeypatch.setattr(Disk, "set_pragmas", real)
-    assert [file.stat().st_size for file in served.glob(f"{DAMAGED_NAME}*")] == [0, 0] * spoilt
-    kept = reopened(served)
-    assert is_new_life(kept) if spoilt else state(kept) == whole
+    assert [file.stat().st_size for file in served.glob(f"{DAMAGED_NAME}*")] == [0, 0] * is_damaged
+    stored = reopened(served)
+    assert is_new_incarnation(stored) if is_damaged else state(stored) == whole
 
 
 SETTINGS = """
@@ -302,7 +302,7 @@
     return subprocess.Popen(command, stderr=subprocess.PIPE, text=True)
 
 
-def test_one_that_waits_for_its_disk_can_be_told_to_stop(tmp_path: Path) -> None:
+def test_a_replica_that_waits_for_its_disk_can_be_stopped(tmp_path: Path) -> None:
     (tmp_path / "no folder").write_bytes(b"")
     process = lighthouse(tmp_path / "no folder", tmp_path / "local.toml")
     try:
@@ -315,7 +315,7 @@
         process.communicate()
 
 
-def test_a_file_that_breaks_while_in_use_ends_the_process_and_the_next_start_mends_it(
+def test_a_file_damaged_while_in_use_ends_the_process_and_the_next_start_recovers(
     served: Path, caplog: pytest.LogCaptureFixture
 ) -> None:
     disk, _ = open_disk(str(served), initial_start=True)
@@ -337,11 +337,11 @@
 
     assert asyncio.run(told()) == 1
     assert "; this ends here, and the next start" in caplog.text
-    assert is_new_life(reopened(killed(served)))
+    assert is_new_incarnation(reopened(killed(served)))
     disk.close()
 
 
-def test_a_newer_programs_file_is_refused_in_a_sentence_and_left_alone(served: Path, tmp_path: Path) -> None:
+def test_a_newer_programs_file_is_refused_and_not_changed(served: Path, tmp_path: Path) -> None:
     disk, _ = open_disk(str(served), initial_start=True)
     disk.db.execute("UPDATE meta SET value = '4' WHERE name = 'form'")
     folder = killed(served)
--- a/tests/control/test_disk_copies.py
+++ b/tests/control/test_disk_copies.py
@@ -1,4 +1,4 @@
-"""What a copy, and the entries that are not committed, look like on a disk after a restart."""
+"""Partial copies and uncommitted entries on disk after a restart."""
 
 from __future__ import annotations
 
@@ -32,7 +32,7 @@
 
 
 def stores(learner: Learner, log: ReplicaLog) -> Iterator[Store]:
-    """All that a copy writes, one piece after the other."""
+    """The stores of a whole copy, one piece after the other."""
     recent = RecentEntries(10, 1_000, start=ROWS)
     piece = None
     while piece is None or piece.total is None:
@@ -46,13 +46,13 @@
         learner.unstored_pieces = 0
 
 
-def found(kept: StoredState) -> tuple[int, int, int]:
-    return kept.copy_bucket, kept.snapshot_epoch, len(list(kept.rows))
+def found(stored: StoredState) -> tuple[int, int, int]:
+    return stored.copy_bucket, stored.snapshot_epoch, len(list(stored.rows))
 
 
 @pytest.fixture
 def older(tmp_path: Path) -> Path:
-    """The disk of a member that was away: it holds a state of long ago, and an entry that was lost."""
+    """The disk of a member that was away: an old state, and an entry that was never committed."""
     folder = tmp_path / "data"
     disk, _ = open_disk(str(folder), initial_start=True)
     rows = [(n, (KEY_KIND, f"old {n}", ["g", "1"])) for n in range(1, 40)]
@@ -62,14 +62,14 @@
     return folder
 
 
-def test_no_moment_of_a_copy_looks_complete_and_nothing_of_before_is_left(
+def test_a_partial_copy_never_looks_complete_and_no_old_row_is_left(
     older: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     """Power is lost after each piece, and within the write of each."""
     monkeypatch.setattr(transfer, "PIECE_ROWS", 40)
-    disk, kept = open_disk(str(older), initial_start=True)
-    log, learner = ReplicaLog(kept.index), Learner()
-    log.load(kept.rows, kept.entries, kept.base_index)
+    disk, stored = open_disk(str(older), initial_start=True)
+    log, learner = ReplicaLog(stored.index), Learner()
+    log.load(stored.rows, stored.entries, stored.base_index)
     disk.write([restart_from_committed(log, learner)])
     learner.unstored_pieces = 0
     seen = [found(reopened(killed(older)))]
@@ -103,19 +103,19 @@
     log, learner = ReplicaLog(0), Learner()
     written = 0
     for store in stores(learner, log):
-        disk.db.execute("PRAGMA max_page_count=1")  # sqlite takes the number of pages in use
+        disk.db.execute("PRAGMA max_page_count=1")  # sqlite raises it to the number of pages in use
         with pytest.raises(sqlite3.OperationalError, match="full"):
             disk.write([Store(rows=[(n, (KEY_KIND, f"fill {n}", ["g"] * 99)) for n in range(400)]), store])
         assert len(list(reopened(killed(folder)).rows)) == written
         disk.db.execute("PRAGMA max_page_count=10000")
-        disk.write([store])  # the same one again, as the carrier does
+        disk.write([store])  # the same one again, as the process does
         written = log.state.rows.count
         assert found(reopened(killed(folder))) == (learner.position.bucket, 0, written)
     assert written == ROWS
     disk.close()
 
 
-def test_entries_that_are_not_committed_are_kept_beside_the_rows(tmp_path: Path) -> None:
+def test_uncommitted_entries_are_kept_next_to_the_rows(tmp_path: Path) -> None:
     folder = tmp_path / "data"
     disk, _ = open_disk(str(folder), initial_start=True)
     log = ReplicaLog(0)
@@ -126,36 +126,40 @@
     log.commit(2)
     log.append(entry(4, "c", ["g", "1"]))
     disk.write([log.store([entry(4, "c", ["g", "1"])])])
-    kept = open_disk(str(killed(folder)), initial_start=True)[1]
-    assert (kept.index, kept.base_index) == (4, 2)
-    assert sorted(name for _, name, _, _ in kept.rows) == ["a", "b"]
-    assert list(kept.entries) == [entry(3, "a", None), entry(4, "c", ["g", "1"])]
-    again = ReplicaLog(kept.index)
-    again.load(kept.rows, kept.entries, kept.base_index)
+    stored = open_disk(str(killed(folder)), initial_start=True)[1]
+    assert (stored.index, stored.base_index) == (4, 2)
+    assert sorted(name for _, name, _, _ in stored.rows) == ["a", "b"]
+    assert list(stored.entries) == [entry(3, "a", None), entry(4, "c", ["g", "1"])]
+    again = ReplicaLog(stored.index)
+    again.load(stored.rows, stored.entries, stored.base_index)
     assert sorted(name for _, name in again.rows) == ["b", "c"]
     log.commit(4)
     disk.write([log.flush()])
-    kept = open_disk(str(killed(folder)), initial_start=True)[1]
-    assert (kept.index, kept.base_index, list(kept.entries)) == (4, 4, [])
-    assert sorted(name for _, name, _, _ in kept.rows) == ["b", "c"]
+    stored = open_disk(str(killed(folder)), initial_start=True)[1]
+    assert (stored.index, stored.base_index, list(stored.entries)) == (4, 4, [])
+    assert sorted(name for _, name, _, _ in stored.rows) == ["b", "c"]
     disk.close()
 
 
 def test_entries_that_a_replica_drops_do_not_come_back(older: Path) -> None:
-    """Another entry stands under their index by now."""
-    disk, kept = open_disk(str(older), initial_start=True)
-    log, learner = ReplicaLog(kept.index), Learner()
-    log.load(kept.rows, kept.entries, kept.base_index)
+    """Another entry may have their index by then."""
+    disk, stored = open_disk(str(older), initial_start=True)
+    log, learner = ReplicaLog(stored.index), Learner()
+    log.load(stored.rows, stored.entries, stored.base_index)
     disk.write([restart_from_committed(log, learner)])
     assert list(open_disk(str(killed(older)), initial_start=True)[1].entries) == []
     log.append(entry(40, "found", ["g", "2"]))
     disk.write([log.store([entry(40, "found", ["g", "2"])])])
-    kept = open_disk(str(killed(older)), initial_start=True)[1]
-    assert (kept.index, kept.base_index, list(kept.entries)) == (40, 39, [entry(40, "found", ["g", "2"])])
+    stored = open_disk(str(killed(older)), initial_start=True)[1]
+    assert (stored.index, stored.base_index, list(stored.entries)) == (
+        40,
+        39,
+        [entry(40, "found", ["g", "2"])],
+    )
     disk.close()
 
 
-def test_an_entry_that_is_spoilt_is_found(tmp_path: Path, caplog: pytest.LogCaptureFixture) -> None:
+def test_a_corrupted_entry_is_found(tmp_path: Path, caplog: pytest.LogCaptureFixture) -> None:
     folder = tmp_path / "data"
     disk, _ = open_disk(str(folder), initial_start=True)
     disk.write([Store({"place": 1, "base": 0}, entries=[entry(1, "key one", ["gate", "attempt 9"])])])
@@ -163,13 +167,13 @@
     data = (folder / DATABASE_NAME).read_bytes()
     assert b"attempt 9" in data
     (folder / DATABASE_NAME).write_bytes(data.replace(b"attempt 9", b"attempt 8"))
-    kept = reopened(folder)
-    assert kept.incarnation != FIRST_INCARNATION and not list(kept.entries)
+    stored = reopened(folder)
+    assert stored.incarnation != FIRST_INCARNATION and not list(stored.entries)
     assert "the checksum over its 0 rows" in caplog.text
 
 
-def form_2(folder: Path) -> None:
-    """As the program before wrote it: rows are stored with their entry, committed or not."""
+def write_format_2(folder: Path) -> None:
+    """A database of format 2: rows are stored with their entry, committed or not."""
     db = sqlite3.connect(folder / DATABASE_NAME, isolation_level=None)
     db.execute("PRAGMA journal_mode=WAL")
     db.execute("CREATE TABLE meta (name TEXT PRIMARY KEY, value BLOB) WITHOUT ROWID")
@@ -188,22 +192,22 @@
     db.close()
 
 
-def test_rows_of_a_file_of_the_form_before_count_as_committed_once_that_is_heard(tmp_path: Path) -> None:
-    form_2(tmp_path)
-    disk, kept = open_disk(str(tmp_path), initial_start=False)
+def test_rows_of_an_older_format_count_as_committed_once_their_index_is_known_to_be(tmp_path: Path) -> None:
+    write_format_2(tmp_path)
+    disk, stored = open_disk(str(tmp_path), initial_start=False)
     disk.close()
-    assert (kept.index, kept.base_index, len(list(kept.rows))) == (29, None, 29)
-    disk, kept = open_disk(str(killed(tmp_path)), initial_start=False)  # it is of this form by now
-    held = ReplicaLog(kept.index)
-    held.load(kept.rows, kept.entries, kept.base_index)
+    assert (stored.index, stored.base_index, len(list(stored.rows))) == (29, None, 29)
+    disk, stored = open_disk(str(killed(tmp_path)), initial_start=False)  # it has been upgraded
+    held = ReplicaLog(stored.index)
+    held.load(stored.rows, stored.entries, stored.base_index)
     disk.write([held.flush()])
     disk.close()
-    disk, kept = open_disk(str(tmp_path.with_name("killed")), initial_start=False)
+    disk, stored = open_disk(str(tmp_path.with_name("killed")), initial_start=False)
     disk.close()
-    assert (kept.index, kept.base_index, len(list(kept.rows))) == (29, None, 29)
+    assert (stored.index, stored.base_index, len(list(stored.rows))) == (29, None, 29)
 
     def begun() -> Replica:
-        replica = Replica("a:1", "", kept, ["a:1"], False, 2, 1_000, 0)
+        replica = Replica("a:1", "", stored, ["a:1"], False, 2, 1_000, 0)
         replica.start(0)
         return replica
 
@@ -211,7 +215,7 @@
     assert member.chain.has_snapshot and not member.chain.replica_log.rows_committed
     restart_from_committed(
         member.chain.replica_log, member.chain.learner
-    )  # it loses its membership before it hears
+    )  # it loses its membership before the commit is known
     assert member.chain.learner.position == transfer.EMPTY_POSITION
     member = begun()
     member.chain.replica_log.commit(29)
--- a/tests/control/test_item_index.py
+++ b/tests/control/test_item_index.py
@@ -1,4 +1,4 @@
-"""What an order may do is found by what it changes: the same as by reading everything, at its own cost."""
+"""Orders are checked by the index with the same result as by a full scan, at a cost of their own size."""
 
 from __future__ import annotations
 
@@ -17,23 +17,23 @@
 MANY = 4_000
 
 
-def sound(items: dict[Name, Item]) -> bool:
-    """By reading everything: no two routes at one place, and none to a service that is not known."""
+def is_valid(items: dict[Name, Item]) -> bool:
+    """By a full scan: no two routes have the same host and prefix, and every service exists."""
     services = {name for (kind, name), item in items.items() if kind == "plant" and item.body is not None}
     routes = [parsed(item) for (kind, _), item in items.items() if kind == "route" and item.body is not None]
-    places = {(it.host, it.prefix) for it in routes}
-    return len(places) == len(routes) and all(p.plant in services for it in routes for p in it.parts)
+    prefixes = {(it.host, it.prefix) for it in routes}
+    return len(prefixes) == len(routes) and all(p.plant in services for it in routes for p in it.parts)
 
 
 @pytest.mark.parametrize("seed", range(40))
-def test_drawn_orders_are_judged_as_by_reading_everything(seed: int) -> None:
+def test_random_orders_are_accepted_or_refused_as_by_a_full_scan(seed: int) -> None:
     rng, held = random.Random(seed), ItemIndex()
-    places = [f"/{name}/" for name in "abcd"]
+    prefixes = [f"/{name}/" for name in "abcd"]
     taken = refused = 0
     for version in range(1, 120):
         names = rng.sample("abcdef", rng.randint(0, 3))
         sets, drops = names[: rng.randint(0, 3)], names[3 - rng.randint(0, 3) :]
-        routes = [route(name, version, at=rng.choice(places), to=rng.choice("pq")) for name in sets]
+        routes = [route(name, version, at=rng.choice(prefixes), to=rng.choice("pq")) for name in sets]
         plants = [plant(name, version) for name in rng.sample("pq", rng.randint(0, 2))]
         gone = [(name, version) for name in rng.sample("pq", rng.randint(0, 1))]
         gone = [one for one in gone if one[0] not in {fields["Name"] for fields in plants}]
@@ -42,9 +42,9 @@
         try:
             asked = dict(read_call(body.encode()))
         except Invalid:
-            continue  # two at one place within the order
+            continue  # two routes with the same host and prefix in one order
         decision = decide(Amend(body), {}, held)
-        allowed = sound({**held, **asked})
+        allowed = is_valid({**held, **asked})
         assert isinstance(decision.result, InvalidOrder) is not allowed, body
         taken, refused = taken + allowed, refused + (not allowed)
         if allowed:
@@ -53,11 +53,11 @@
     assert taken > 10 and refused > 10
 
 
-def test_a_small_order_amid_many_routes_costs_its_own_size() -> None:
+def test_a_small_order_among_many_routes_costs_its_own_size() -> None:
     many = order(*(route(f"r{n}", 1, at=f"/{n}/") for n in range(MANY)), plants=[plant("p", 1)])
     few = order(*(route(f"r{n}", 1, at=f"/{n}/") for n in range(10)), plants=[plant("p", 1)])
     one = order(route("r1", 2, at="/1/"))
-    took = {}
+    seconds = {}
     for held in (ItemIndex.of(read_call(many.encode())), ItemIndex.of(read_call(few.encode()))):
         best = float("inf")
         for _ in range(7):
@@ -65,5 +65,5 @@
             for _ in range(20):
                 assert decide(Amend(one), {}, held).result == DONE
             best = min(best, time.process_time() - begun)
-        took[len(held)] = best
-    assert took[MANY + 1] < 4 * took[11], took
+        seconds[len(held)] = best
+    assert seconds[MANY + 1] < 4 * seconds[11], seconds
--- a/tests/control/test_membership.py
+++ b/tests/control/test_membership.py
@@ -1,4 +1,4 @@
-"""Which members the next view has, and what a quorum of a view is: pure."""
+"""Members of the next view, quorums, and one replica's agreement with scripted peers."""
 
 from __future__ import annotations
 
@@ -53,19 +53,19 @@
     ("given", "then"),
     [
         (facts("ABC"), "ABC"),
-        (facts("ABC", lost="C"), "AB"),  # two can write: the lost one is not waited for
-        (facts("ABC", lost="C", learner=NEW), "AB"),  # and nobody is admitted in the same step
+        (facts("ABC", lost="C"), "AB"),  # two can accept writes: no waiting for the lost one
+        (facts("ABC", lost="C", learner=NEW), "AB"),  # nobody is admitted in the same step
         (facts("ABC", learner=NEW), "ABCN"),
         (facts("ABCDE", lost="BD", minimum=3), "ACE"),
-        (facts("ABC", lost="C", minimum=3), "ABC"),  # two can't write: its copy may come back
-        (facts("ABC", wiped="C", minimum=3), "AB"),  # that one can't
+        (facts("ABC", lost="C", minimum=3), "ABC"),  # two can't accept writes: its copy may come back
+        (facts("ABC", wiped="C", minimum=3), "AB"),  # a wiped copy can't
         (facts("ABC", lost="C", minimum=3, learner=NEW), "ABN"),  # a complete copy takes over
-        (facts("ABC", lost="B", minimum=3, lacking="C"), "AC"),  # else C would wait for B for ever
-        (facts("ABC", lost="C", minimum=3, commit_known=False), "AB"),  # else no learner could copy
+        (facts("ABC", lost="B", minimum=3, lacking="C"), "AC"),  # otherwise C would wait for B for ever
+        (facts("ABC", lost="C", minimum=3, commit_known=False), "AB"),  # otherwise no learner could copy
         (facts("ABC", leaving="C"), "AB"),
-        (facts("ABC", leaving="C", copies=True), "ABC"),  # it stays until the other holds everything
+        (facts("ABC", leaving="C", copies=True), "ABC"),  # it stays until the learner holds everything
         (facts("ABC", leaving="C", learner=NEW), "ABCN"),
-        (facts("ABCD", leaving="D", copies=True), "ABC"),  # three outlast the next loss
+        (facts("ABCD", leaving="D", copies=True), "ABC"),  # three survive the next loss
         (facts("ABC", leaving="BC"), "AB"),  # the other one stays
         (facts("AB", leaving="B"), "AB"),
         (facts("ABC", leaving="A", lacking="C"), "ABC"),  # B would be the only other complete copy
@@ -78,8 +78,8 @@
     assert names(next_members(given)) == then
 
 
-def test_any_two_quorums_have_a_member_in_common_that_remembers() -> None:
-    """Also of one that knows of lost disks and one that doesn't; a lost member votes for neither later."""
+def test_any_two_quorums_share_a_member_that_kept_its_disk() -> None:
+    """Also if only one of them knows of lost disks; a lost member votes for neither later."""
     for size in range(1, 7):
         members = [Member(str(n), "i", 1) for n in range(size)]
         view = View(1, tuple(members))
@@ -100,15 +100,17 @@
     return Promise(2, (3, "A"), index, has_snapshot)
 
 
-def test_the_new_head_promised_and_holds_everything() -> None:
+def test_the_new_head_has_promised_and_holds_the_complete_log() -> None:
     assert change(promise(5), promise(4)).proposal() == View(2, (A, B, C))
-    assert change(None, promise(4), promise(4)).proposal() is None  # A may hold nothing: it is waited for
+    assert (
+        change(None, promise(4), promise(4)).proposal() is None
+    )  # A may lack its snapshot: wait for its answer
     made = change(promise(9, False), promise(4), promise(3)).proposal()
-    assert made == View(2, (B, C, Member("A", "i", 2)))  # what A holds counts no more: it starts anew
+    assert made == View(2, (B, C, Member("A", "i", 2)))  # A lacks its snapshot and starts from scratch
     assert change(promise(9, False), promise(4, False)).proposal() is None
 
 
-def test_what_may_have_been_agreed_is_proposed_again() -> None:
+def test_a_view_that_may_have_been_agreed_is_proposed_again() -> None:
     older, newer = View(2, (A, B)), View(2, (B, C))
     first = Promise(2, (3, "A"), 5, True, (1, "B"), older)
     second = Promise(2, (3, "A"), 5, True, (2, "C"), newer)
@@ -120,18 +122,18 @@
 
 
 class Scripted:
-    """A, the head of {A, B, C}, with words of the others by hand."""
+    """A, the head of {A, B, C}; the messages of the others are scripted."""
 
     def __init__(self, members: tuple[Member, ...] = (A, B, C)) -> None:
         self.agreement = Agreement("A", "i", "", 0, View(1, members), min_replicas=2)
         self.log = LogStatus(100, True, 1, 100)
         self.now = 0
 
-    def hear(self, addr: str, word: Line) -> list[Action]:
-        return self.agreement.on_message(addr, word, self.now, self.log)
+    def hear(self, addr: str, message: Line) -> list[Action]:
+        return self.agreement.on_message(addr, message, self.now, self.log)
 
     def round(self, *others: str, copied: int = -1, learner: str = "", answers: bool = True) -> list[Action]:
-        """150 ms, in which the others say that all is well."""
+        """150 ms in which the others send pings and, with `answers`, pongs."""
         out: list[Action] = []
         hears = ("A", "B", "C", "N")
         for _ in range(3):
@@ -142,25 +144,25 @@
         }
         for addr in others:
             inc = "n" if addr == learner else "i"
-            said = Ping(
+            ping = Ping(
                 inc, 1, 100, 1, addr == learner, hears=hears, copied=copied if addr == learner else -1
             )
-            out += self.hear(addr, said)
+            out += self.hear(addr, ping)
             if addr in pings and answers:
                 out += self.hear(addr, Pong(1, pings[addr].sent, False, inc))
         return out
 
 
 def prepares(actions: list[Action]) -> list[Send]:
-    told = [tell for action in actions if isinstance(action, Store) for tell in action.sends]
-    return [tell for tell in told if isinstance(tell.message, Prepare)]
+    sends = [send for action in actions if isinstance(action, Store) for send in action.sends]
+    return [send for send in sends if isinstance(send.message, Prepare)]
 
 
-def test_nobody_hears_of_a_ballot_before_it_is_on_its_coordinators_disk() -> None:
-    cluster, out = Scripted(), list[Action]()
-    for _ in range(6):  # C is taken for dead in the fourth
-        out += cluster.round("B") if not prepares(out) else []
-    assert [tell.addr for tell in prepares(out)] == ["B", "C"]
+def test_a_ballot_is_sent_only_once_it_is_on_its_coordinators_disk() -> None:
+    scripted, out = Scripted(), list[Action]()
+    for _ in range(6):  # C counts as dead in the fourth
+        out += scripted.round("B") if not prepares(out) else []
+    assert [send.addr for send in prepares(out)] == ["B", "C"]
     assert not [one for one in out if isinstance(one, Send) and isinstance(one.message, Prepare)]
     began = next(one for one in out if isinstance(one, Store) and one.sends)
     assert began.meta["promised"] == (1, "A")
@@ -168,89 +170,89 @@
 
 @pytest.mark.parametrize("copied", [-1, 0, MAX_ADMISSION_LAG_ENTRIES - 1, MAX_ADMISSION_LAG_ENTRIES])
 def test_a_learner_without_a_copy_is_not_admitted(copied: int) -> None:
-    cluster, out = Scripted(), list[Action]()
-    cluster.log.commit_index = 2 * MAX_ADMISSION_LAG_ENTRIES
+    scripted, out = Scripted(), list[Action]()
+    scripted.log.commit_index = 2 * MAX_ADMISSION_LAG_ENTRIES
     for _ in range(5):
-        out += cluster.round("B", "C", "N", learner="N", copied=copied)
+        out += scripted.round("B", "C", "N", learner="N", copied=copied)
     assert bool(prepares(out)) is (copied == MAX_ADMISSION_LAG_ENTRIES)
 
 
-def test_a_lost_disk_is_believed_by_an_answer_alone() -> None:
-    """Words of a process that was there before the member may still be under way."""
-    cluster = Scripted((A, B))
-    cluster.round("B")
-    cluster.hear("B", Ping("older", 1, joining=True))
-    assert cluster.agreement._quorum() == 2
-    cluster.hear("B", Pong(1, 12_345, False, "older"))
-    assert cluster.agreement._quorum() == 2
-    sent = cluster.now = cluster.now + 150_000
-    cluster.agreement.tick(sent, cluster.log)
-    cluster.hear("B", Pong(1, sent, False, "newer"))
-    assert cluster.agreement._quorum() == 1
+def test_a_disk_counts_as_lost_only_by_an_answer_to_a_ping() -> None:
+    """Messages of a process that preceded the member at its address may still be in flight."""
+    scripted = Scripted((A, B))
+    scripted.round("B")
+    scripted.hear("B", Ping("older", 1, joining=True))
+    assert scripted.agreement._quorum() == 2
+    scripted.hear("B", Pong(1, 12_345, False, "older"))
+    assert scripted.agreement._quorum() == 2
+    sent = scripted.now = scripted.now + 150_000
+    scripted.agreement.tick(sent, scripted.log)
+    scripted.hear("B", Pong(1, sent, False, "newer"))
+    assert scripted.agreement._quorum() == 1
 
 
-def test_a_lease_runs_from_the_sending_and_is_not_given_by_who_has_promised() -> None:
-    cluster = Scripted()
+def test_a_lease_runs_from_the_sending_and_a_member_that_promised_does_not_renew_it() -> None:
+    scripted = Scripted()
     for _ in range(3):
-        cluster.round("B", "C")
-    assert cluster.agreement.holds_lease(cluster.now)
-    cluster.round("B", "C", answers=False)
-    cluster.now += 450_000
-    cluster.hear("B", Pong(1, cluster.now - 600_000, False, "i"))
-    cluster.hear("C", Pong(1, cluster.now - 600_000, False, "i"))
-    assert not cluster.agreement.holds_lease(cluster.now)
-    cluster.agreement.tick(cluster.now, cluster.log)
-    cluster.hear("B", Pong(1, cluster.now, True, "i"))
-    cluster.hear("C", Pong(1, cluster.now, False, "other"))
-    assert not cluster.agreement.holds_lease(cluster.now)
-    cluster.hear("C", Pong(1, cluster.now, False, "i"))
-    assert not cluster.agreement.holds_lease(cluster.now)  # one answer to each ping
-    assert cluster.agreement._acceptor.promised == NO_BALLOT
+        scripted.round("B", "C")
+    assert scripted.agreement.holds_lease(scripted.now)
+    scripted.round("B", "C", answers=False)
+    scripted.now += 450_000
+    scripted.hear("B", Pong(1, scripted.now - 600_000, False, "i"))
+    scripted.hear("C", Pong(1, scripted.now - 600_000, False, "i"))
+    assert not scripted.agreement.holds_lease(scripted.now)
+    scripted.agreement.tick(scripted.now, scripted.log)
+    scripted.hear("B", Pong(1, scripted.now, True, "i"))
+    scripted.hear("C", Pong(1, scripted.now, False, "other"))
+    assert not scripted.agreement.holds_lease(scripted.now)
+    scripted.hear("C", Pong(1, scripted.now, False, "i"))
+    assert not scripted.agreement.holds_lease(scripted.now)  # only one answer counts for each ping
+    assert scripted.agreement._acceptor.promised == NO_BALLOT
 
 
 def test_the_vote_of_a_lost_disk_does_not_count_in_the_smaller_quorum() -> None:
     """D is lost: two of A, B, C agree.  B promises and is lost too: A is alone."""
     for lost in (False, True):
-        cluster, out = Scripted((A, B, C, D)), list[Action]()
+        scripted, out = Scripted((A, B, C, D)), list[Action]()
         for _ in range(3):
-            cluster.round("B", "C", "D")
+            scripted.round("B", "C", "D")
         for _ in range(3):
             if not prepares(out):
-                out = cluster.round("B", "C")
-                cluster.hear("D", Pong(1, cluster.now, False, "newer"))
-        assert cluster.agreement._quorum() == 2 and prepares(out)
-        cluster.hear("B", Promise(2, (1, "A"), 100, True))
+                out = scripted.round("B", "C")
+                scripted.hear("D", Pong(1, scripted.now, False, "newer"))
+        assert scripted.agreement._quorum() == 2 and prepares(out)
+        scripted.hear("B", Promise(2, (1, "A"), 100, True))
         if lost:
-            cluster.round("C")
-            cluster.hear("B", Pong(1, cluster.now, False, "newer"))
-        out = cluster.hear("A", Promise(2, (1, "A"), 100, True))
+            scripted.round("C")
+            scripted.hear("B", Pong(1, scripted.now, False, "newer"))
+        out = scripted.hear("A", Promise(2, (1, "A"), 100, True))
         assert any(isinstance(one, Send) and isinstance(one.message, Accept) for one in out) is not lost
 
 
 def test_its_own_promise_ends_the_lease() -> None:
-    """With B it is a majority, and with C, which it gave its promise to, another one that may go on."""
-    cluster = Scripted()
+    """A and B are a majority, but so are A and C, which has A's promise and may agree on a new view."""
+    scripted = Scripted()
     for _ in range(3):
-        cluster.round("B", "C")
-    cluster.hear("C", Prepare(2, (9, "C")))
-    promised = cluster.now
-    while cluster.now - promised < LEASE_US:
-        assert cluster.agreement.holds_lease(cluster.now)  # what was in force is not older than that
-        cluster.round("B")
-    assert not cluster.agreement.holds_lease(cluster.now)
+        scripted.round("B", "C")
+    scripted.hear("C", Prepare(2, (9, "C")))
+    promised = scripted.now
+    while scripted.now - promised < LEASE_US:
+        assert scripted.agreement.holds_lease(scripted.now)  # its view was current within this time
+        scripted.round("B")
+    assert not scripted.agreement.holds_lease(scripted.now)
 
 
-def test_machines_that_are_gone_are_forgotten_by_members() -> None:
-    cluster = Scripted()
+def test_members_remove_peers_that_have_been_silent_for_long() -> None:
+    scripted = Scripted()
     for n in range(50):
-        cluster.hear(f"gone{n}", Ping("n", 1, joining=True))
-    for cluster.now in range(0, FORGET_PEER_AFTER_US + 600_000, 300_000):
-        cluster.agreement.tick(cluster.now, cluster.log)
-    assert sorted(cluster.agreement.peers) == ["B", "C"]
+        scripted.hear(f"gone{n}", Ping("n", 1, joining=True))
+    for scripted.now in range(0, FORGET_PEER_AFTER_US + 600_000, 300_000):
+        scripted.agreement.tick(scripted.now, scripted.log)
+    assert sorted(scripted.agreement.peers) == ["B", "C"]
 
 
 def test_a_seed_that_comes_up_late_at_the_first_start_keeps_its_membership() -> None:
-    """Else the first view shrinks to those that were quick, and the next loss stops writes."""
+    """Otherwise the first view shrinks to the replicas that started first, and the next loss stops writes."""
     replica = Replica("A", "", StoredState(FIRST_INCARNATION), ["A", "B", "C"], True, 2, 60_000_000, 0)
     begun: int | None = None
     actions = replica.start(0)
--- a/tests/control/timeline.py
+++ b/tests/control/timeline.py
@@ -1,20 +1,23 @@
-"""Timelines as text: a column for each member of the core, a line for each moment in milliseconds.
+"""Timelines as text: a column for each replica, a line for each time in milliseconds.
 
     ms    | A              B              C
     2000  | claim k1 g1
     3000  | down
     5000  |                claim k1 g2
 
-What a cell may say: `claim KEY GATE`, `free KEY GATE`, `order VERSION` (of one service), `read`;
+Actions: `claim KEY GATE`, `free KEY GATE`, `order VERSION` (of one service), `read`;
 `down`, `wipe` (down, and the disk is lost), `up`;
-`damage TEXT` (down, and a byte of that text on the disk is spoilt);
-`cut` (from all, or `cut AB` from these), `mute` (what it sends is lost), `deaf` (what is sent to it is lost),
-`hold`, `holdout`, `holdin` (both ways, or one: it lies in queues until it arrives together), `heal`;
-`stall MS` (its disk), `freeze MS`; `leave`, `replaced` (leave where others can take its place), `rejoin`; and
-what is looked at: `head`, `in`, `out` (of the view), `has KEY`, `lacks KEY`, `serves`, `away`, `idle MS` (it
-has served no follower for so long).  Answers are kept by cell, as in `answers["k1 g1"]`, and why a member
-does not leave by its column, as in `answers["A"]`.  A column `(D)` is a machine that is not there before its
-first `up`.
+`damage TEXT` (down, and a byte of that text on the disk is corrupted);
+`cut` (from all, or `cut AB` from these), `mute` (its messages are lost), `deaf` (messages to it are lost),
+`hold`, `holdout`, `holdin` (messages both ways, from it or to it are queued until `heal`), `heal`;
+`stall MS` (its disk), `freeze MS` (its process); `leave`, `replaced` (leave if the others can survive the
+next loss or admit a learner), `rejoin`.
+
+Checks: `head`, `in`, `out` (of the view), `has KEY`, `lacks KEY`, `serves`, `away` (it does not serve),
+`idle MS` (it has served no follower for so long).
+
+Answers are kept by cell, as in `answers["k1 g1"]`, and the reason why a member may not leave by its column,
+as in `answers["A"]`.  A column `(D)` is a machine that is absent before its first `up`.
 """
 
 from __future__ import annotations
@@ -31,14 +34,17 @@
 
 
 class Broken(AssertionError):
-    """A timeline's line that does not hold."""
+    """A check of a timeline failed."""
 
 
 def play(
     text: str, seed: int = 1, min_replicas: int = 2, seeds: int = 3, folder: Path | None = None
 ) -> tuple[SimulatedCluster, dict[str, str]]:
-    """Play it to 8 s behind its last line; the core, and what became of each ask: ok, held by a gate, or
-    none.  With a folder the disks are real files there."""
+    """Runs a timeline until 8 s after its last line.
+
+    Returns the cluster and the answer to each command: ok, held by a gate, none (outcome unknown) or silent
+    (no answer).  With a folder the disks are real files there.
+    """
     lines = [line for line in text.splitlines() if "|" in line]
     title, body = lines[0], lines[1:]
     words = [(m.start(), m[0]) for m in re.finditer(r"\S+", title) if m.start() > title.index("|")]
@@ -120,7 +126,7 @@
 
 
 def _order(host: Host, cell: str, answers: dict[str, str]) -> None:
-    """`read` is answered with the version; the others with `ok`, or why they are turned down."""
+    """Answers to `read` are the version; others are `ok` or the refusal."""
     answers.setdefault(cell, "silent")
     version = cell.partition(" ")[2]
     body = f'{{"Apply":{{"Plants":[{{"Name":"p","Revision":"r{version}"}}]}}}}'
