--- a/brackengate/cli_lab.py
+++ b/brackengate/cli_lab.py
@@ -598,14 +598,14 @@
     import msgspec
 
     from brackengate.control.replica import Replica
-    from brackengate.model_check.chart import draw
+    from brackengate.model_check.history_text import format_history
     from brackengate.model_check.mistakes import MISTAKES
     from brackengate.model_check.model import Bounds, Model
-    from brackengate.model_check.search import Found, Limits, search
+    from brackengate.model_check.search import Limits, SearchResult, search
     from brackengate.model_check.workload import WORKLOADS
 
     if mistake is not None and mistake not in MISTAKES:
-        told = "\n".join(f"  {name:<14} {one.words}" for name, one in MISTAKES.items())
+        told = "\n".join(f"  {name:<14} {one.description}" for name, one in MISTAKES.items())
         if mistake == "list":
             click.echo(told)
             return
@@ -619,26 +619,26 @@
     bounds = replace(chosen.bounds if chosen is not None else Bounds(), **changes)
     if bounds.spare >= bounds.members:
         fail(f"--spare: {bounds.spare} of {bounds.members} members leave no first view", BAD)
-    most = WORKLOADS[bounds.workload].most_writes if bounds.workload else bounds.writes
+    most = WORKLOADS[bounds.workload].max_writes if bounds.workload else bounds.writes
     if bounds.writes > most:
         fail(f"--writes: {bounds.writes}; allowed for {bounds.workload}: up to {most}", BAD)
     if bounds.reads and bounds.reads > bounds.members:
         fail(f"--reads: {bounds.reads}; allowed: up to {bounds.members}, the number of members", BAD)
 
-    def heard(found: Found) -> None:
+    def heard(found: SearchResult) -> None:
         told_of = {"depth": found.depth, "states": found.states, "seconds": round(found.seconds, 1)}
         log.info("a layer is done", extra=told_of)
 
     kind = chosen.kind if chosen is not None else Replica
     found = search(Model(bounds, kind), Limits(depth, states, seconds), time.monotonic, heard)
-    drawn = draw(Model(bounds, kind), found.history, found.breach) if found.breach else ""
+    drawn = format_history(Model(bounds, kind), found.history, found.breach) if found.breach else ""
     figures = {
         "bounds": asdict(bounds),
         "mistake": mistake,
         "states": found.states,
-        "machine_states": found.vessels,
+        "machine_states": found.machine_states,
         "events": found.steps,
-        "cut": found.cut,
+        "cut": found.beyond_bounds,
         "depth": len(found.history) if found.breach else found.depth,
         "seconds": round(found.seconds, 2),
         "exhausted": not found.breach and not found.stopped,
--- a/brackengate/control/__init__.py
+++ b/brackengate/control/__init__.py
@@ -1,1 +1,1 @@
-"""The role on core machines: keeps what is agreed, and brings it to the pilots."""
+"""The control replica: keeps the replicated state and sends it to the proxies."""
--- a/brackengate/control/item_index.py
+++ b/brackengate/control/item_index.py
@@ -70,9 +70,9 @@
         item = self._items.get(("plant", name))
         return item is not None and item.body is not None
 
-    def routes_at(self, place: RouteKey) -> Set[str]:
+    def routes_at(self, key: RouteKey) -> Set[str]:
         """The names of the routes with this host and prefix."""
-        return self._routes_by_key.get(place, NO_NAMES)
+        return self._routes_by_key.get(key, NO_NAMES)
 
     def routes_to(self, service: str) -> Set[str]:
         """The names of the routes that forward to this service."""
--- a/brackengate/model_check/disk.py
+++ b/brackengate/model_check/disk.py
@@ -1,4 +1,4 @@
-"""A disk that outlasts its process: what `control/store.py` keeps, without a file.  Pure."""
+"""A simulated disk that outlives its process: the content that `control/store.py` keeps.  Pure."""
 
 from __future__ import annotations
 
@@ -16,12 +16,15 @@
 
 @dataclass
 class DiskState:
+    """The content of one disk.  `meta` and values are encoded as JSON."""
+
     incarnation: str = ""
     meta: dict[str, bytes] = field(default_factory=dict)
     committed: dict[tuple[str, str], tuple[int, bytes]] = field(default_factory=dict)
     entries: dict[int, bytes] = field(default_factory=dict)
 
     def write(self, store: Store) -> None:
+        """Executes one store; see `Store` for the order of its parts."""
         if store.drop_all:
             self.committed.clear()
         if store.drop_all or store.drop_entries:
@@ -29,7 +32,7 @@
         for name, value in store.meta.items():
             self.meta[name] = msgspec.json.encode(value)
         for index, row in store.rows:
-            _lay(self.committed, index, row)
+            _set_row(self.committed, index, row)
         for index in [index for index in self.entries if index <= store.committed]:
             del self.entries[index]
         for entry in store.entries:
@@ -37,21 +40,23 @@
 
     @property
     def rows(self) -> dict[tuple[str, str], tuple[int, bytes]]:
-        """All that is there, committed or not."""
+        """All rows, committed or not."""
         rows = self.committed.copy()
         for entry in self._log():
             for row in entry.rows:
-                _lay(rows, entry.index, row)
+                _set_row(rows, entry.index, row)
         return rows
 
     def _log(self) -> list[Entry]:
         return [msgspec.json.decode(data, type=Entry) for _, data in sorted(self.entries.items())]
 
     def get(self, name: str, kind: Any, default: Any) -> Any:
+        """A value of `meta`, decoded as `kind`; `default` if there is none."""
         found = msgspec.json.decode(self.meta[name], type=kind) if name in self.meta else None
         return default if found is None else found
 
     def stored_state(self) -> StoredState:
+        """The state that a process finds at its start."""
         rows = [
             (k, n, index, msgspec.json.decode(value)) for (k, n), (index, value) in self.committed.items()
         ]
@@ -70,7 +75,7 @@
         )
 
 
-def _lay(rows: dict[tuple[str, str], tuple[int, bytes]], index: int, row: Row) -> None:
+def _set_row(rows: dict[tuple[str, str], tuple[int, bytes]], index: int, row: Row) -> None:
     kind, name, value = row
     if is_deletion(kind, value):
         rows.pop((kind, name), None)
--- a/brackengate/model_check/chart.py
+++ b/brackengate/model_check/history_text.py
@@ -1,4 +1,4 @@
-"""A history drawn as text: a line for each event, a column for each member.  Pure."""
+"""A history as text: a line for each event, a column for each member.  Pure."""
 
 from __future__ import annotations
 
@@ -7,8 +7,8 @@
 
 import msgspec
 
-from brackengate.model_check.model import Event, Model, State, carry
-from brackengate.model_check.vessel import Effect, decode
+from brackengate.model_check.model import Event, Model, State, execute
+from brackengate.model_check.simulated_machine import Effect, decode
 from brackengate.model_check.workload import FREED, READ
 from brackengate.protocol.messages import (
     Accept,
@@ -40,13 +40,13 @@
 WIDTH = 30
 
 
-def draw(model: Model, history: tuple[Event, ...], breach: str = "") -> str:
-    """What each member did at each event; `<-` what it heard, `->` what it said, `=` what came of it."""
+def format_history(model: Model, history: tuple[Event, ...], breach: str = "") -> str:
+    """The history with each member's `<-` received messages, `->` sent messages and `=` results."""
     rows: list[dict[str, list[str]]] = []
     state = model.start()
     for event in history:
         rows.append(_cells(model, state, event))
-        state = carry(model, state, event)[0]
+        state = execute(model, state, event)[0]
     title = "     | " + "".join(f"{name:<{WIDTH}}" for name in model.names).rstrip()
     lines = [title, "-" * 5 + "+" + "-" * (len(model.names) * WIDTH)]
     for n, cells in enumerate(rows, 1):
@@ -70,7 +70,7 @@
     torn = event[0] == "torn"
     what, name, *rest = event[1:] if torn else event
     cells[name] = [_event(model, state, what, name, rest)]
-    for who, effect in carry(model, state, event)[1]:
+    for who, effect in execute(model, state, event)[1]:
         shown = _effect(effect)
         if shown and shown not in cells.setdefault(who, []):
             cells[who].append(shown)
@@ -83,11 +83,11 @@
     other: Any = rest[0] if rest else ""
     match what:
         case "ask":
-            return f"is asked: {_asked(other)}"
+            return f"is asked: {_command_text(other)}"
         case "resend":
-            return f"is asked again: {_asked(other)}"
+            return f"is asked again: {_command_text(other)}"
         case "hear":
-            return f"<- {other}: {_word(decode(model.first_line(state, other, name)))}"
+            return f"<- {other}: {_message_text(decode(model.next_message(state, other, name)))}"
     return {
         "ping": f"<- {other}: ping, and {other} hears the answer",
         "doubt": f"no longer hears {other}",
@@ -114,15 +114,15 @@
 def _effect(effect: Effect) -> str:
     match effect:
         case ("tell", addr, line):
-            return f"-> {addr}: {_word(decode(line))}"
+            return f"-> {addr}: {_message_text(decode(line))}"
         case ("answer", number, result):
-            return f"= answers {_asked(number)}: {_result(result)}"
+            return f"= answers {_command_text(number)}: {_result(result)}"
         case ("view", view):
             return f"= {_view(view)}" if view.epoch else ""
     return ""
 
 
-def _asked(number: int) -> str:
+def _command_text(number: int) -> str:
     if number > READ:
         return "read"
     return f"take back write {number - FREED}" if number > FREED else f"write {number}"
@@ -145,12 +145,12 @@
     return f"view {view.epoch}: {' '.join(member.addr for member in view.members)}"
 
 
-def _word(word: Line) -> str:
-    match word:
+def _message_text(message: Line) -> str:
+    match message:
         case Prepare(epoch, ballot):
             return f"prepare view {epoch}, ballot {ballot[0]}{ballot[1]}"
         case Promise(epoch, ballot):
-            taken = f", took {_view(word.taken)}" if word.taken is not None else ""
+            taken = f", took {_view(message.taken)}" if message.taken is not None else ""
             return f"promise for view {epoch}, ballot {ballot[0]}{ballot[1]}{taken}"
         case Accept(_, ballot, view):
             return f"accept {_view(view)}, ballot {ballot[0]}{ballot[1]}"
@@ -179,5 +179,5 @@
         case Ping():
             return "ping"
         case Pong():
-            return f"answers the ping: view {word.epoch}{', closed' if word.closed else ''}"
-    return type(word).__name__
+            return f"answers the ping: view {message.epoch}{', closed' if message.closed else ''}"
+    return type(message).__name__
--- a/brackengate/model_check/mistakes.py
+++ b/brackengate/model_check/mistakes.py
@@ -1,4 +1,4 @@
-"""Mistakes that the search has to find: each a decider with one thing done wrong.  Pure."""
+"""Faulty variants of the state machines, each with one mistake that the search has to find.  Pure."""
 
 from __future__ import annotations
 
@@ -32,7 +32,7 @@
 
 class _HastyChain(Chain):
     def _store_entries(self, entries: tuple[Entry, ...], now: int) -> list[Action]:
-        """Counts as stored what has only been handed to the disk."""
+        """Counts entries as stored that were only handed to the disk."""
         out = super()._store_entries(entries, now)
         return out + (self.on_stored(self.index, self.generation) if entries else [])
 
@@ -41,7 +41,7 @@
     def __init__(
         self, me: str, min_replicas: int, window: int, index: int, snapshot_epoch: int, now: int
     ) -> None:
-        """One disk is min_replicas, whatever may be lost."""
+        """One disk is enough to acknowledge a write, whatever may be lost."""
         super().__init__(me, 1, window, index, snapshot_epoch, now)
 
 
@@ -49,7 +49,7 @@
     def submit_command(
         self, what: Command, request_id: int, now: int, give_up_after: int = GIVE_UP_AFTER_US
     ) -> list[Action]:
-        """The tail answers a read from what it holds, without a look at whether it still is the tail."""
+        """The tail answers a read from its state, without checking whether it still is the tail."""
         if isinstance(what, Read) and 0 <= self._chain_position() == len(self.view.members) - 1:
             return [Answer(request_id, self.configuration())]
         return super().submit_command(what, request_id, now, give_up_after)
@@ -58,7 +58,7 @@
 class _WipedVotes(Agreement):
     @property
     def is_member(self) -> bool:
-        """Its address is min_replicas, whatever has become of its disk."""
+        """The address is enough to be a member, whatever happened to the disk."""
         return self.view.member(self.me) is not None
 
     def _wiped(self, member: Member) -> bool:
@@ -67,14 +67,14 @@
 
 class _NumberAgain(Agreement):
     def _on_promise(self, addr: str, word: Promise, now: int, log: LogStatus) -> list[Action]:
-        """Its own view under a number for which another may have been accepted."""
+        """Proposes its own view under a number for which another may have been accepted."""
         blank = Promise(word.epoch, word.ballot, word.index, word.has_snapshot)
         return super()._on_promise(addr, blank, now, log)
 
 
 class _LeaseFromReceipt(Agreement):
     def _on_pong(self, peer: Peer, pong: Pong, now: int, log: LogStatus) -> list[Action]:
-        """The lease runs from when the answer was heard, however long it was under way."""
+        """The lease runs from the receipt of the answer, however long that was in flight."""
         out = super()._on_pong(peer, pong, now, log)
         if not pong.closed:
             peer.open_since = now
@@ -90,14 +90,14 @@
 
 class _LeaseByDetection(Agreement):
     def holds_lease(self, now: int) -> bool:
-        """Who is not known to be dead vouches: after a freeze that is everybody."""
+        """Members not known to be dead renew the lease: after a pause these are all members."""
         heard = sum(self.is_alive(member.addr, now) for member in self._other_members())
         return self.is_member and heard + 1 >= self.view.majority
 
 
 class _AdmitsAtOnce(Agreement):
     def _admissible_learner(self, alive: list[Member], now: int, log: LogStatus) -> Member | None:
-        """Whoever waits becomes a member, and copies then."""
+        """Admits a learner at once, which copies afterwards."""
         for addr, said in self._learners(now):
             return Member(addr, said.incarnation, self.view.epoch + 1)
         return None
@@ -105,7 +105,7 @@
 
 class _KeepsWhatIsFreed(Chain):
     def _on_copy_piece(self, addr: str, piece: CopyPiece) -> list[Action]:
-        """What follows a copy is taken without its deletions, and is not checked whole."""
+        """Applies entries after a copy without their deletions, and does not check the total."""
         entries = tuple(
             Entry(entry.index, tuple(row for row in entry.rows if row[2] is not None))
             for entry in piece.entries
@@ -116,7 +116,7 @@
 
 class _EqualVersionChain(Chain):
     def _reply(self, reply: PendingReply) -> list[Action]:
-        """An order of equal version and other content gives no news, and is acknowledged."""
+        """Acknowledges an order with the same version and other content as if it changed nothing."""
         if isinstance(reply.result, ConflictingOrder):
             reply.result = CommandDone()
         return super()._reply(reply)
@@ -124,7 +124,7 @@
 
 class _ForgetfulChain(Chain):
     def _execute(self, addr: str, word: Submit, now: int) -> list[Action]:
-        """An order is judged by what holds now, also where it was acknowledged before."""
+        """Decides an order by the current state alone, even if it was acknowledged before."""
         out = super()._execute(addr, word, now)
         if isinstance(word.what, Amend) and self._pending_replies:
             known = {name for (kind, name), item in self.items.items() if kind == "plant" and item.body}
@@ -184,7 +184,7 @@
 
 LEASES = Bounds(
     writes=0, views=2, bids=1, crashes=0, doubts=1, pings=1, clock=2, freezes=1, delays=0
-)  # a member is frozen while the others agree on a view without it
+)  # a member is paused while the others agree on a view without it
 
 
 LEARNER = Bounds(
@@ -197,9 +197,11 @@
 
 @dataclass(frozen=True)
 class Mistake:
-    words: str
+    """A faulty variant of the replica, and bounds within which the search finds it."""
+
+    description: str
     kind: type[Replica]
-    bounds: Bounds  # small ones, within which it shows
+    bounds: Bounds  # small ones within which the mistake is found
 
 
 MISTAKES = {
--- a/brackengate/model_check/search.py
+++ b/brackengate/model_check/search.py
@@ -1,5 +1,5 @@
-"""The search: breadth first, so that the first breach that it finds has the shortest history.  Pure but for
-the clock that it is handed."""
+"""Breadth-first search, so that the first violation that it finds has the shortest history.  Pure except for
+the clock that it is given."""
 
 from __future__ import annotations
 
@@ -11,32 +11,39 @@
 
 @dataclass(frozen=True)
 class Limits:
+    """Limits at which a search stops."""
+
     depth: int = 10_000
     states: int = 10_000_000
     seconds: float = 3600.0
 
 
 @dataclass
-class Found:
+class SearchResult:
+    """Counts of a search, and the first violation with its history if one was found."""
+
     states: int = 0
-    steps: int = 0  # events that were tried
-    cut: int = 0  # of these, turned away by the bounds
-    depth: int = 0  # events to the furthest state
+    steps: int = 0  # events executed
+    beyond_bounds: int = 0  # of these, rejected by the bounds
+    depth: int = 0  # events up to the furthest state
     layers: list[int] = field(default_factory=list)  # states by depth
-    vessels: int = 0  # states of single machines
+    machine_states: int = 0  # states of single machines
     seconds: float = 0.0
-    stopped: str = ""  # by which limit; empty: all within the bounds was seen
+    stopped: str = ""  # the limit that stopped it; empty: every state within the bounds was visited
     breach: str = ""
     history: tuple[Event, ...] = ()
 
 
 def search(
-    model: Model, limits: Limits, clock: Callable[[], float], heard: Callable[[Found], None] | None = None
-) -> Found:
-    """All states within the bounds, or up to the first breach or limit."""
-    begun, found = clock(), Found()
+    model: Model,
+    limits: Limits,
+    clock: Callable[[], float],
+    on_layer_done: Callable[[SearchResult], None] | None = None,
+) -> SearchResult:
+    """Visits all states within the bounds, up to the first violation or limit."""
+    begun, found = clock(), SearchResult()
     first = model.start()
-    came: dict[State, tuple[State, Event] | None] = {first: None}
+    predecessors: dict[State, tuple[State, Event] | None] = {first: None}
     layer = [first]
     while layer and not found.breach and not found.stopped:
         found.layers.append(len(layer))
@@ -49,33 +56,41 @@
             if n % 256 == 0 and clock() - begun > limits.seconds:
                 found.stopped = "seconds"
                 break
-            if len(came) > limits.states:
+            if len(predecessors) > limits.states:
                 found.stopped = "states"
                 break
             for event, new, breach in model.steps(state):
                 found.steps += 1
                 if breach:
-                    found.breach, found.history = breach, (*_history(came, state), event)
+                    found.breach, found.history = breach, (*_history(predecessors, state), event)
                     break
                 if new is None:
-                    found.cut += 1
-                elif new not in came:
-                    came[new] = (state, event)
+                    found.beyond_bounds += 1
+                elif new not in predecessors:
+                    predecessors[new] = (state, event)
                     after.append(new)
             if found.breach:
                 break
         layer = after
-        found.states, found.vessels, found.seconds = len(came), len(model.vessels), clock() - begun
-        if heard is not None:
-            heard(found)
-    found.states, found.vessels, found.seconds = len(came), len(model.vessels), clock() - begun
+        found.states, found.machine_states, found.seconds = (
+            len(predecessors),
+            len(model.machines),
+            clock() - begun,
+        )
+        if on_layer_done is not None:
+            on_layer_done(found)
+    found.states, found.machine_states, found.seconds = (
+        len(predecessors),
+        len(model.machines),
+        clock() - begun,
+    )
     return found
 
 
-def _history(came: dict[State, tuple[State, Event] | None], state: State) -> tuple[Event, ...]:
+def _history(predecessors: dict[State, tuple[State, Event] | None], state: State) -> tuple[Event, ...]:
     events: list[Event] = []
-    step = came[state]
+    step = predecessors[state]
     while step is not None:
         events.append(step[1])
-        step = came[step[0]]
+        step = predecessors[step[0]]
     return tuple(reversed(events))
--- a/brackengate/model_check/vessel.py
+++ b/brackengate/model_check/simulated_machine.py
@@ -1,7 +1,7 @@
-"""One machine as the search sees it: the deciders as they are, a disk, and no clock.  Pure.
+"""One machine of the model: the production state machines, a disk, and no clock.  Pure.
 
-Time stands still at 0; what a decider would do once some time has passed is an event of its own.  After each
-event what is kept of time is set to one of two values, fresh or long ago, so that states can be compared.
+Time stays at 0; whatever a state machine does after some time has passed is an event of its own.  After each
+event all stored times are set to one of two values, recent or long ago, so that states can be compared.
 """
 
 from __future__ import annotations
@@ -30,7 +30,7 @@
     View,
 )
 
-WINDOW = 60_000_000
+WINDOW = 60_000_000  # microseconds in which a key may be repeated
 Act = tuple[Any, ...]
 Effect = tuple[Any, ...]
 decode: Callable[[bytes], Line] = msgspec.json.Decoder(Line).decode
@@ -38,123 +38,127 @@
 
 
 @dataclass(frozen=True)
-class Waters:
-    """What is the same in all states."""
+class ModelSettings:
+    """The settings that are the same in all states of a search."""
 
     seeds: tuple[str, ...]
     min_replicas: int
     kind: type[Replica] = Replica
     workload: Workload = WORKLOADS["claims"]
-    apart: bool = False  # whether a store is an event of its own, else part of what asked for it
-    clock: bool = False  # whether time passes: leases run out, and pings are lines like others
+    apart: bool = False  # whether a store is an event of its own, or part of the event that requested it
+    clock: bool = False  # whether time passes: leases expire, and pings are sent like other messages
 
 
 @dataclass
-class Vessel:
+class SimulatedMachine:
+    """One machine: its disk, its process while it runs, and the stores that are not on disk yet."""
+
     name: str
     disk: DiskState = field(default_factory=DiskState)
-    starts: int = 0
+    starts: int = 0  # number of process starts
     replica: Replica | None = None
     queue: deque[Store] = field(default_factory=deque)
 
 
-def copied(value: Any) -> Any:
-    """Apart from the old one in all that is ever changed in place."""
+def copy_mutable(value: Any) -> Any:
+    """A copy that shares no part that is ever mutated."""
     match value:
         case dict():
-            return {key: copied(one) for key, one in value.items()}
+            return {key: copy_mutable(one) for key, one in value.items()}
         case list() | deque() | set():
-            return type(value)(copied(one) for one in value)
+            return type(value)(copy_mutable(one) for one in value)
         case Replica() | Agreement() | Chain():
             decider = copy.copy(value)
-            decider.__dict__.update((key, copied(one)) for key, one in value.__dict__.items())
+            decider.__dict__.update((key, copy_mutable(one)) for key, one in value.__dict__.items())
             return decider
-        case Store():  # never changed once it is asked for
+        case Store():  # never mutated once it is returned
             return value
     if is_dataclass(value):
         new = copy.copy(value)
         for one in fields(value):
-            setattr(new, one.name, copied(getattr(value, one.name)))
+            setattr(new, one.name, copy_mutable(getattr(value, one.name)))
         return new
     return value
 
 
-def plain(value: Any) -> Any:
-    """The same for equal states, and hashable."""
+def canonical(value: Any) -> Any:
+    """A hashable value that is equal for equal states."""
     kind = type(value)
     if kind in (str, int, float, bytes, bool) or value is None:
         return value
     if kind is tuple or kind is list or kind is deque:
-        return tuple([plain(one) for one in value])
+        return tuple([canonical(one) for one in value])
     if kind is dict:
-        return tuple(sorted([(plain(key), plain(one)) for key, one in value.items()]))
+        return tuple(sorted([(canonical(key), canonical(one)) for key, one in value.items()]))
     if kind is set:
         return tuple(sorted(value))
-    names = _names.get(kind)
+    names = _field_names.get(kind)
     if names is None:
-        names = _names[kind] = (
+        names = _field_names[kind] = (
             value.__struct_fields__
             if isinstance(value, msgspec.Struct)
             else tuple(one.name for one in fields(value))
             if is_dataclass(value)
-            else tuple(value.__dict__)  # the deciders set all that they have at once
+            else tuple(value.__dict__)  # the state machines set all attributes in `__init__`
         )
-    return (kind.__name__, *[plain(getattr(value, name)) for name in names])
+    return (kind.__name__, *[canonical(getattr(value, name)) for name in names])
 
 
-_names: dict[type, tuple[str, ...]] = {}
+_field_names: dict[type, tuple[str, ...]] = {}
 
 
-def step(old: Vessel, act: Act, waters: Waters, now: int = 0) -> tuple[Vessel, tuple[Effect, ...]]:
-    """What comes of one event at a time, by this machine's clock.
+def step(
+    old: SimulatedMachine, act: Act, settings: ModelSettings, now: int = 0
+) -> tuple[SimulatedMachine, tuple[Effect, ...]]:
+    """The machine after one event at a time of its clock, and the effects of the event.
 
     Effects: ("tell", whom, line), ("pong", whom, line), ("answer", number, result), ("bid", epoch),
     ("vote", epoch), ("view", view) and ("tail", epoch): it answered as the tail.
     """
-    vessel: Vessel = copied(old)
+    machine: SimulatedMachine = copy_mutable(old)
     if act[0] in ("kill", "power", "wipe"):
-        for store in vessel.queue if act[0] == "kill" else ():  # the thread that writes may still get it done
-            vessel.disk.write(store)
+        for store in machine.queue if act[0] == "kill" else ():  # the disk thread may still finish
+            machine.disk.write(store)
         if act[0] == "wipe":
-            vessel.disk = DiskState()
-        vessel.replica = None
-        vessel.queue.clear()
-        return vessel, ()
-    turn = _Turn(vessel, waters, now)
+            machine.disk = DiskState()
+        machine.replica = None
+        machine.queue.clear()
+        return machine, ()
+    turn = _MachineStep(machine, settings, now)
     torn = act[0] == "torn"
-    if torn:  # what needs no store is said, then power is lost
+    if torn:  # messages that need no store are sent, then power is lost
         act = act[1:]
     actions = turn.begin(act)
     turn.carry_out(actions, torn)
     if torn:
-        vessel.replica = None
-        vessel.queue.clear()
-    elif vessel.replica is not None:
-        _still(vessel.replica, waters.clock)
-    return vessel, tuple(turn.effects)
+        machine.replica = None
+        machine.queue.clear()
+    elif machine.replica is not None:
+        _normalize_times(machine.replica, settings.clock)
+    return machine, tuple(turn.effects)
 
 
-def serves(vessel: Vessel, now: int) -> bool:
-    """Whether followers may take what it holds for current."""
-    if vessel.replica is None:
+def serves(machine: SimulatedMachine, now: int) -> bool:
+    """Whether followers may treat the data of this machine as current."""
+    if machine.replica is None:
         return False
-    replica: Replica = copied(vessel.replica)
-    _awake(replica, now)
+    replica: Replica = copy_mutable(machine.replica)
+    _set_times_current(replica, now)
     return replica.serves(now)
 
 
-def ping(vessel: Vessel, addr: str, now: int) -> bytes | None:
-    """The line that says to that member how this one stands."""
-    replica: Replica = copied(vessel.replica)
-    _awake(replica, now)
+def ping(machine: SimulatedMachine, addr: str, now: int) -> bytes | None:
+    """The ping that this machine sends to that member, or None."""
+    replica: Replica = copy_mutable(machine.replica)
+    _set_times_current(replica, now)
     for action in replica.agreement._ping(now, replica.chain.log_status()):
         if isinstance(action, Send) and action.addr == addr and isinstance(action.message, Ping):
-            return encode(msgspec.structs.replace(action.message, index=0))  # nobody decides by the index
+            return encode(msgspec.structs.replace(action.message, index=0))  # not used in decisions
     return None
 
 
-def _awake(replica: Replica, now: int) -> None:
-    """Who was heard still is: whom a replica no longer hears is an event of its own.  Leases have run on."""
+def _set_times_current(replica: Replica, now: int) -> None:
+    """Keeps live peers alive: that a peer falls silent is an event of its own.  Leases keep running."""
     agreement = replica.agreement
     agreement._last_ping_sent_at = agreement._last_tick_at = replica.chain.learner.requested_at = now
     for peer in agreement.peers.values():
@@ -164,8 +168,8 @@
         agreement._change.started_at = now
 
 
-def _still(replica: Replica, clock: bool) -> None:
-    """What is kept of time is set to fresh or long ago; where time passes, what leases run from stays."""
+def _normalize_times(replica: Replica, clock: bool) -> None:
+    """Sets stored times to recent or long ago; if time passes, the times that leases depend on stay."""
     agreement, chain = replica.agreement, replica.chain
     agreement._last_ping_sent_at = agreement._last_tick_at = 0
     if not clock:
@@ -189,47 +193,49 @@
         pending.submitted_at = pending.last_sent_at = 0
 
 
-class _Turn:
-    def __init__(self, vessel: Vessel, waters: Waters, now: int) -> None:
-        self.vessel, self.waters, self.now = vessel, waters, now
+class _MachineStep:
+    """One event at one machine, and the effects that it has."""
+
+    def __init__(self, machine: SimulatedMachine, settings: ModelSettings, now: int) -> None:
+        self.machine, self.settings, self.now = machine, settings, now
         self._pongs_are_lines = self.probing = False
         self.effects: list[Effect] = []
-        self._seen = _seen(vessel.replica)
+        self._seen = _seen(machine.replica)
 
     def begin(self, act: Act) -> list[Action]:
-        vessel = self.vessel
+        machine = self.machine
         if act[0] == "start":
-            vessel.starts += 1
-            vessel.disk.incarnation = vessel.disk.incarnation or act[1]
+            machine.starts += 1
+            machine.disk.incarnation = machine.disk.incarnation or act[1]
             first = act[1] == FIRST_INCARNATION
-            waters, begins = self.waters, vessel.starts * 1000  # commands are numbered from there
-            replica = vessel.replica = waters.kind(
-                vessel.name,
+            settings, begins = self.settings, machine.starts * 1000  # commands are numbered from there
+            replica = machine.replica = settings.kind(
+                machine.name,
                 "",
-                vessel.disk.stored_state(),
-                waters.seeds,
+                machine.disk.stored_state(),
+                settings.seeds,
                 first,
-                waters.min_replicas,
+                settings.min_replicas,
                 WINDOW,
                 begins,
             )
             replica.agreement._view_adopted_at = self.now
-            _still(replica, waters.clock)
+            _normalize_times(replica, settings.clock)
             return replica.start(self.now)
         return self.act(self.alive(), act, self.now)
 
     def act(self, replica: Replica, act: Act, now: int) -> list[Action]:
         agreement, chain = replica.agreement, replica.chain
-        _awake(replica, now)
+        _set_times_current(replica, now)
         match act:
             case ("hear", addr, line):
-                self._pongs_are_lines = self.waters.clock
+                self._pongs_are_lines = self.settings.clock
                 return replica.on_message(addr, decode(line), now)
             case ("ping", addr, line):
                 return replica.on_message(addr, decode(line), now)
             case ("probe", addr):
                 self.probing = True
-                return _only(agreement._ping(now, chain.log_status()), addr)
+                return _sends_to(agreement._ping(now, chain.log_status()), addr)
             case ("pong", addr, line):
                 agreement.peers[addr].on_ping_sent(now)
                 return replica.on_message(addr, decode(line), now)
@@ -238,7 +244,7 @@
                 return replica.on_reconnected(addr, now)
             case ("sync",):
                 return self.sync()
-            case ("mend", *doubted):  # all pauses are over
+            case ("mend", *doubted):  # all delays have passed
                 for addr in doubted:
                     agreement.peers[addr].last_answer_at = agreement.peers[addr].last_ping_at = NEVER
                 agreement._change = None
@@ -246,11 +252,11 @@
                 agreement._change_wanted_since = NEVER
                 return replica._apply_view(agreement._reconfigure(now, chain.log_status()), now)
             case ("ask", number):
-                return replica.submit_command(self.waters.workload.command(number), number, now)
+                return replica.submit_command(self.settings.workload.command(number), number, now)
             case ("again",):
                 numbers = list(chain._commands.by_id)
                 return [action for number in numbers for action in chain._submit(number, now)]
-            case ("learn",):  # its pause is over
+            case ("learn",):  # its delay has passed
                 chain.learner.requested_at = NEVER
                 return chain._request_copy(now)
             case ("have",):
@@ -258,49 +264,49 @@
         raise ValueError(act)
 
     def alive(self) -> Replica:
-        assert self.vessel.replica is not None
-        return self.vessel.replica
+        assert self.machine.replica is not None
+        return self.machine.replica
 
     def sync(self) -> list[Action]:
-        store = self.vessel.queue.popleft()
-        self.vessel.disk.write(store)
-        told: list[Action] = list(store.sends)
-        return told + (self.alive().on_stored(store.index, store.generation) if store.index >= 0 else [])
+        store = self.machine.queue.popleft()
+        self.machine.disk.write(store)
+        actions: list[Action] = list(store.sends)
+        return actions + (self.alive().on_stored(store.index, store.generation) if store.index >= 0 else [])
 
     def carry_out(self, actions: Iterable[Action], torn: bool) -> None:
-        vessel, me = self.vessel, self.vessel.name
+        machine, me = self.machine, self.machine.name
         own: deque[Line] = deque()
         while True:
             for action in actions:
                 match action:
-                    case Send(addr, word):
-                        if isinstance(word, Promise | Accepted):
-                            self.effects.append(("vote", word.epoch))
+                    case Send(addr, message):
+                        if isinstance(message, Promise | Accepted):
+                            self.effects.append(("vote", message.epoch))
                         if addr == me:
-                            own.append(word)
-                        elif isinstance(word, Pong) and not self._pongs_are_lines:
-                            self.effects.append(("pong", addr, encode(word)))
-                        elif not isinstance(word, Ping) or self.probing:  # those are events of their own
-                            self.effects.append(("tell", addr, encode(_bare(word))))
+                            own.append(message)
+                        elif isinstance(message, Pong) and not self._pongs_are_lines:
+                            self.effects.append(("pong", addr, encode(message)))
+                        elif not isinstance(message, Ping) or self.probing:  # those are events of their own
+                            self.effects.append(("tell", addr, encode(_without_index(message))))
                     case Store():
-                        vessel.queue.append(action)
+                        machine.queue.append(action)
                     case Answer(number, result):
                         self.effects.append(("answer", number, encode(result)))
-            self.look()
+            self.record_changes()
             if torn:
                 return
             if own:
                 actions = self.alive().on_message(me, own.popleft(), self.now)
-            elif vessel.queue and not self.waters.apart:
+            elif machine.queue and not self.settings.apart:
                 actions = self.sync()
             else:
                 return
 
-    def look(self) -> None:
-        """What has changed that somebody outside may care for."""
-        before, self._seen = self._seen, _seen(self.vessel.replica)
+    def record_changes(self) -> None:
+        """Adds effects for changes that the invariants depend on: ballots, views, and commits as the tail."""
+        before, self._seen = self._seen, _seen(self.machine.replica)
         bid, view, agreed = self._seen
-        replica = self.vessel.replica
+        replica = self.machine.replica
         if replica is None:
             return
         if bid is not None and bid != before[0]:
@@ -312,7 +318,7 @@
             self.effects.append(("tail", chain.view.epoch))
 
 
-def _only(actions: Iterable[Action], addr: str) -> list[Action]:
+def _sends_to(actions: Iterable[Action], addr: str) -> list[Action]:
     return [one for one in actions if isinstance(one, Send) and one.addr == addr]
 
 
@@ -324,5 +330,5 @@
     return named, replica.agreement.view, replica.chain.commit_index
 
 
-def _bare(word: Line) -> Line:
-    return msgspec.structs.replace(word, index=0) if isinstance(word, Promise) else word
+def _without_index(message: Line) -> Line:
+    return msgspec.structs.replace(message, index=0) if isinstance(message, Promise) else message
--- a/brackengate/model_check/workload.py
+++ b/brackengate/model_check/workload.py
@@ -1,4 +1,4 @@
-"""What callers ask of the replicas in one search: claims of a key, or orders of the operator.  Pure."""
+"""The commands that clients submit in one search: claims of a key, or orders of the operator.  Pure."""
 
 from __future__ import annotations
 
@@ -9,32 +9,35 @@
 
 from brackengate.protocol.messages import Amend, Claim, Command, Read, Unclaim
 
-FREED, READ = 50, 100  # writes are numbered from 1, takings back of a write and reads from here on
+FREED, READ = 50, 100  # first numbers of undone writes and of reads; writes start at 1
 Rows = dict[tuple[str, str], tuple[int, bytes]]  # as on a disk: log index and value
 
 
 class Workload(ABC):
-    """Writes are numbered from 1."""
+    """A set of commands.  Writes are numbered from 1."""
 
-    most_writes = READ  # that it has
-    frees = False  # whether a write can be taken back
+    max_writes = READ  # number of writes available
+    frees = False  # whether a write can be undone
 
     @abstractmethod
-    def write(self, number: int) -> Command: ...
+    def write(self, number: int) -> Command:
+        """The write with this number."""
+        ...
 
     @abstractmethod
     def held(self, rows: Rows, writes: int) -> frozenset[int]:
-        """Of the writes up to that number, those that these rows hold, or that later ones overtook."""
+        """The writes up to that number that these rows contain, or that later ones superseded."""
 
     def in_force(self, rows: Rows, writes: int) -> frozenset[int]:
-        """Of the writes up to that number, those that these rows say as they were asked for."""
+        """The writes up to that number whose exact values these rows contain."""
         return self.held(rows, writes)
 
     @abstractmethod
     def conflict(self, one: int, other: int) -> str:
-        """Why these two must not both be confirmed; empty: they may."""
+        """The reason why these two may not both be acknowledged; empty if they may."""
 
     def command(self, number: int) -> Command:
+        """The write, undo or read with this number."""
         if number > READ:
             return Read()
         if number > FREED:
@@ -43,7 +46,7 @@
 
 
 class Claims(Workload):
-    """All of one key, by different proxies."""
+    """Claims of one key by different proxies."""
 
     frees = True
 
@@ -90,7 +93,7 @@
 class Overtaken(Workload):
     """1: service p, and a route to it; 2: service q, and the route moves to it; 3: service p is removed."""
 
-    most_writes = 3
+    max_writes = 3
 
     def write(self, number: int) -> Command:
         match number:
--- a/tests/model_check/test_search.py
+++ b/tests/model_check/test_search.py
@@ -1,4 +1,4 @@
-"""The search finds each mistake by its shortest history, and nothing in the deciders as they are."""
+"""The search finds each mistake by its shortest history, and no violation in the production code."""
 
 from __future__ import annotations
 
@@ -10,13 +10,13 @@
 from click.testing import CliRunner
 
 from brackengate.cli import main
-from brackengate.model_check.chart import draw
+from brackengate.model_check.history_text import format_history
 from brackengate.model_check.mistakes import MISTAKES, ORDERS
 from brackengate.model_check.model import Bounds, Model
-from brackengate.model_check.search import Found, Limits, search
+from brackengate.model_check.search import Limits, SearchResult, search
 
 
-def look(model: Model) -> Found:
+def explore(model: Model) -> SearchResult:
     return search(model, Limits(seconds=150), time.monotonic)
 
 
@@ -38,15 +38,19 @@
 )
 def test_each_mistake_is_found_by_its_shortest_history(name: str, events: int, breach: str) -> None:
     mistake = MISTAKES[name]
-    found = look(Model(mistake.bounds, mistake.kind))
+    found = explore(Model(mistake.bounds, mistake.kind))
     assert (found.breach, len(found.history)) == (breach, events)
-    assert draw(Model(mistake.bounds, mistake.kind), found.history, found.breach).count("\n") > events
+    assert (
+        format_history(Model(mistake.bounds, mistake.kind), found.history, found.breach).count("\n") > events
+    )
 
 
-def test_a_history_is_drawn_with_a_column_for_each_member() -> None:
+def test_a_history_is_formatted_with_a_column_for_each_member() -> None:
     mistake = MISTAKES["wiped-voter"]
     model = Model(mistake.bounds, mistake.kind)
-    lines = draw(Model(mistake.bounds, mistake.kind), look(model).history, "so it is").splitlines()
+    lines = format_history(
+        Model(mistake.bounds, mistake.kind), explore(model).history, "so it is"
+    ).splitlines()
     assert lines[0] == "     | A                             B                             C"
     assert lines[2] == "   1 |                               LOSES ITS DISK, and stops"
     assert lines[-1] == "     | BROKEN: so it is"
@@ -55,35 +59,35 @@
 @pytest.mark.parametrize(
     "bounds",
     [
-        Bounds(writes=1, crashes=0),  # a write around a change of the view
+        Bounds(writes=1, crashes=0),  # a write around a view change
         Bounds(writes=1, crashes=1, doubts=0, views=1, bids=0, apart=True),  # power lost around each store
         Bounds(members=2, writes=1, wipes=1, pings=1, doubts=0, crashes=0, losses=1),  # of two, one lost
         Bounds(writes=0, wipes=1, pings=1, doubts=0, crashes=0, delays=1),
-        Bounds(writes=0, crashes=0, pings=0, clock=2, freezes=1, delays=0),  # leases run out
+        Bounds(writes=0, crashes=0, pings=0, clock=2, freezes=1, delays=0),  # leases expire
         Bounds(writes=0, wipes=1, pings=3, doubts=0, crashes=0, delays=0, views=3, bids=2),  # a learner
         replace(ORDERS, delays=1),  # an order comes again after its service was removed
     ],
 )
-def test_the_deciders_keep_to_it_within_small_bounds(bounds: Bounds) -> None:
+def test_the_production_state_machines_keep_the_invariants_within_small_bounds(bounds: Bounds) -> None:
     model = Model(bounds)
-    found = look(model)
+    found = explore(model)
     assert (found.breach, found.stopped) == ("", "")
     got = [past for past in model._pasts if past.views and past.views[-1].epoch == bounds.views]
-    assert any(len(past.acked) == bounds.writes for past in got)  # the search came to what matters
+    assert any(len(past.acked) == bounds.writes for past in got)  # the search reached the relevant states
 
 
-def test_a_limit_is_told() -> None:
+def test_the_limit_that_stopped_a_search_is_reported() -> None:
     assert search(Model(Bounds()), Limits(depth=3), time.monotonic).stopped == "depth"
     assert search(Model(replace(Bounds(), writes=0)), Limits(states=100), time.monotonic).stopped == "states"
 
 
-def test_the_command_tells_figures_and_whether_it_is_broken() -> None:
+def test_the_command_reports_counts_and_whether_an_invariant_is_violated() -> None:
     run = CliRunner().invoke
-    told = run(main, ["lab", "check-agreement", "--mistake", "chain-of-one", "--json"])
-    figures = json.loads(told.output)
-    assert (told.exit_code, figures["depth"], figures["bounds"]["members"]) == (5, 5, 2)
-    kept = run(main, ["lab", "check-agreement", "--members", "2", "--crashes", "0", "--doubts", "0"])
-    assert kept.exit_code == 0 and "all of it was seen" in kept.output
+    json_run = run(main, ["lab", "check-agreement", "--mistake", "chain-of-one", "--json"])
+    figures = json.loads(json_run.output)
+    assert (json_run.exit_code, figures["depth"], figures["bounds"]["members"]) == (5, 5, 2)
+    text_run = run(main, ["lab", "check-agreement", "--members", "2", "--crashes", "0", "--doubts", "0"])
+    assert text_run.exit_code == 0 and "all of it was seen" in text_run.output
     for wrong in (["--mistake", "none"], ["--spare", "3"], ["--reads", "4"]):
         assert run(main, ["lab", "check-agreement", *wrong]).exit_code == 2
     assert run(main, ["lab", "model-check", "--workload", "overtaken", "--writes", "4"]).exit_code == 2
@@ -92,9 +96,9 @@
     assert one.exit_code == 0 and "all of it was seen" in one.output
 
 
-def test_the_orders_that_differ_under_one_version_are_never_both_confirmed() -> None:
-    """And one of them is, whichever comes first."""
+def test_orders_that_differ_under_one_version_are_never_both_acknowledged() -> None:
+    """But one of them is, whichever comes first."""
     model = Model(MISTAKES["equal-version"].bounds)
-    found = look(model)
+    found = explore(model)
     assert (found.breach, found.stopped) == ("", "")
     assert {past.acked for past in model._pasts} == {frozenset(), frozenset({1}), frozenset({2})}
