--- a/benchmarks/scale/units.py
+++ b/benchmarks/scale/units.py
@@ -17,7 +17,7 @@
 from brackengate.control.item_index import ItemIndex
 from brackengate.control.recent import RecentEntries
 from brackengate.control.rows import CommittedRows
-from brackengate.control.transfer import NOTHING, next_piece
+from brackengate.control.transfer import EMPTY_POSITION, next_piece
 from brackengate.protocol.config_items import parse_change
 from brackengate.protocol.messages import (
     Changes,
@@ -76,7 +76,7 @@
 
 def pieces(rows: CommittedRows, recent: RecentEntries) -> list[bytes]:
     """A whole copy, as it goes over the wire."""
-    position, sent = NOTHING, list[bytes]()
+    position, sent = EMPTY_POSITION, list[bytes]()
     while True:
         piece = next_piece(rows, recent, 1, SnapshotRequest(1, position))
         assert piece is not None
@@ -99,7 +99,7 @@
 def units(proxies: int) -> Units:
     size = Size(proxies)
     held, recent = public_rows(size), RecentEntries(1, 1)
-    recent.begin(1)
+    recent.reset(1)
     rows = CommittedRows.of((kind, name, 1, value) for kind, name, value in held)
     sent = pieces(rows, recent)
     table, ip = take(sent), proxy_ip(0)
--- a/brackengate/control/item_index.py
+++ b/brackengate/control/item_index.py
@@ -1,6 +1,7 @@
-"""The operator's items as a head holds them, with the places and services of routes kept up.  Pure.
+"""The operator's configuration items at the head, with indexes of routes by host and prefix and by service.
 
-What an order may do is found by what it changes, so that it costs its own size and not the configuration's.
+Pure.  With the indexes an order is checked only against what it affects, so that the cost depends on the size
+of the order and not on that of the configuration.
 """
 
 from __future__ import annotations
@@ -12,31 +13,34 @@
 from brackengate.protocol.config_items import InvalidConfig, Item, ItemName, Route, parse_route
 
 _Key = TypeVar("_Key")
-Place = tuple[str, str]  # host, prefix
-NOBODY: frozenset[str] = frozenset()
+RouteKey = tuple[str, str]  # host, prefix
+NO_NAMES: frozenset[str] = frozenset()
 
 
 @dataclass(eq=False)
 class ItemIndex(Mapping[ItemName, Item]):
-    """Items by kind and name; those that were dropped too, with their versions."""
+    """Items by kind and name, including deleted ones, which keep their versions."""
 
     _items: dict[ItemName, Item] = field(default_factory=dict)
-    _routes: dict[str, Route] = field(default_factory=dict)  # that stand
-    _at_place: dict[Place, set[str]] = field(default_factory=dict)  # names of routes
-    _users: dict[str, set[str]] = field(default_factory=dict)  # names of routes, by the service they go to
+    _routes: dict[str, Route] = field(default_factory=dict)  # that are not deleted
+    _routes_by_key: dict[RouteKey, set[str]] = field(default_factory=dict)  # names of routes
+    _routes_by_service: dict[str, set[str]] = field(
+        default_factory=dict
+    )  # names of routes, by the service they go to
 
     @classmethod
     def of(cls, items: Iterable[tuple[ItemName, Item]]) -> ItemIndex:
-        made = cls()
+        """An index of these items."""
+        index = cls()
         for name, item in items:
-            made.put(name, item)
-        return made
+            index.put(name, item)
+        return index
 
     def __getitem__(self, name: ItemName) -> Item:
         return self._items[name]
 
     def get(self, name: ItemName, default: Any = None) -> Any:
-        """As of any mapping, without an exception for each name that is new."""
+        """Same as `Mapping.get`, but without raising an exception internally for each unknown name."""
         return self._items.get(name, default)
 
     def __contains__(self, name: object) -> bool:
@@ -48,57 +52,61 @@
     def __len__(self) -> int:
         return len(self._items)
 
-    def put(self, name: ItemName, item: Item, read: Route | None = None) -> None:
-        """`read`: the route that the item sets, where it was read before."""
+    def put(self, name: ItemName, item: Item, parsed_route: Route | None = None) -> None:
+        """Adds or replaces an item.  `parsed_route`: the route that it sets, if already parsed."""
         self._items[name] = item
         if name[0] == "route":
-            self._set_route(name[1], item, read)
+            self._set_route(name[1], item, parsed_route)
 
     def clear(self) -> None:
+        """Removes all items."""
         self._items.clear()
         self._routes.clear()
-        self._at_place.clear()
-        self._users.clear()
+        self._routes_by_key.clear()
+        self._routes_by_service.clear()
 
     def has_service(self, name: str) -> bool:
+        """Whether a service of this name exists and is not deleted."""
         item = self._items.get(("plant", name))
         return item is not None and item.body is not None
 
-    def at_place(self, place: Place) -> Set[str]:
-        """The names of the routes that stand there."""
-        return self._at_place.get(place, NOBODY)
+    def routes_at(self, key: RouteKey) -> Set[str]:
+        """The names of the routes with this host and prefix."""
+        return self._routes_by_key.get(key, NO_NAMES)
 
-    def users(self, service: str) -> Set[str]:
-        """The names of the routes that go to a service."""
-        return self._users.get(service, NOBODY)
+    def routes_to(self, service: str) -> Set[str]:
+        """The names of the routes that forward to this service."""
+        return self._routes_by_service.get(service, NO_NAMES)
 
-    def _set_route(self, name: str, item: Item, read: Route | None) -> None:
-        before = self._routes.pop(name, None)
-        if before is not None:
-            _take_out(self._at_place, place_of(before), name)
-            for service in services_of(before):
-                _take_out(self._users, service, name)
+    def _set_route(self, name: str, item: Item, parsed_route: Route | None) -> None:
+        previous = self._routes.pop(name, None)
+        if previous is not None:
+            _remove(self._routes_by_key, route_key(previous), name)
+            for service in services_of(previous):
+                _remove(self._routes_by_service, service, name)
         if item.body is None:
             return
         try:
-            now = read or parse_route(item)
-        except InvalidConfig:  # let in by another version of the program: nobody follows it
+            current = parsed_route or parse_route(item)
+        except InvalidConfig:  # accepted by another version of the program: no proxy applies it
             return
-        self._routes[name] = now
-        self._at_place.setdefault(place_of(now), set()).add(name)
-        for service in services_of(now):
-            self._users.setdefault(service, set()).add(name)
+        self._routes[name] = current
+        self._routes_by_key.setdefault(route_key(current), set()).add(name)
+        for service in services_of(current):
+            self._routes_by_service.setdefault(service, set()).add(name)
 
 
-def place_of(it: Route) -> Place:
-    return it.host, it.prefix
+def route_key(route_: Route) -> RouteKey:
+    """The host and prefix of a route."""
+    return route_.host, route_.prefix
 
 
-def services_of(it: Route) -> set[str]:
-    return {part.service for part in it.services}
+def services_of(route_: Route) -> set[str]:
+    """The services that a route forwards to."""
+    return {part.service for part in route_.services}
 
 
-def _take_out(index: dict[_Key, set[str]], key: _Key, name: str) -> None:
+def _remove(index: dict[_Key, set[str]], key: _Key, name: str) -> None:
     names = index.get(key)
     if names is not None:
         names.discard(name)
--- a/brackengate/control/role.py
+++ b/brackengate/control/role.py
@@ -18,16 +18,16 @@
     Continue,
     Deliver,
     Publish,
-    Restart,
+    ResetFollowers,
+    Send,
     Store,
-    Tell,
 )
 from brackengate.control.admin_commands import AdminCommands
-from brackengate.control.commands import GIVE_UP_AFTER
+from brackengate.control.commands import GIVE_UP_AFTER_US
 from brackengate.control.follower_connections import FollowerConnections
 from brackengate.control.operator_api import OperatorApi
-from brackengate.control.replica import FIRST, Replica, StoredState
-from brackengate.control.store import Damaged, Drive, Waits, damaged
+from brackengate.control.replica import FIRST_INCARNATION, Replica, StoredState
+from brackengate.control.store import AsyncDisk, DamagedFile, ThreadedDisk, is_damage
 from brackengate.net.environment import Environment
 from brackengate.net.node import Clock
 from brackengate.net.sockets import Address
@@ -59,7 +59,7 @@
 
 class ControlReplica:
     def __init__(
-        self, settings: Settings, ground: Environment | None = None, drive: Waits | None = None
+        self, settings: Settings, ground: Environment | None = None, drive: AsyncDisk | None = None
     ) -> None:
         """`ground`, `drive`: what it stands on, and its disk; by default the machine's."""
         self.settings = settings
@@ -70,7 +70,7 @@
         self.me = f"{control[0]}:{control[1]}"
         self._port = settings.control_plane_port
         self._left: asyncio.Future[int] = self._loop.create_future()
-        self._drive: Waits = drive or Drive(settings.data_dir or ".")
+        self._drive: AsyncDisk = drive or ThreadedDisk(settings.data_dir or ".")
         self.replica: Replica
         self.followers: FollowerConnections
         self._admin_commands: AdminCommands
@@ -93,11 +93,11 @@
         if kept is None:
             return 0
         settings, now = self.settings, self.now()
-        first = settings.initial_start and kept.incarnation == FIRST
+        first = settings.initial_start and kept.incarnation == FIRST_INCARNATION
         seeds = [f"{host}:{port}" for host, port in settings.seeds]
         window = settings.bounds.dedupe_window
         self.replica = Replica(self.me, settings.zone, kept, seeds, first, settings.min_replicas, window, now)
-        self.replica.chain.deliver_within(settings.bounds.ack * DELIVERY_SHARE_PERCENT // 100)
+        self.replica.chain.set_delivery_timeout(settings.bounds.ack * DELIVERY_SHARE_PERCENT // 100)
         self.followers = FollowerConnections(
             self.replica, self.now, self._carry_out, self.submit, self.withdraw
         )
@@ -144,7 +144,7 @@
                 return None
             try:
                 return opening.result()
-            except (OSError, sqlite3.Error, Damaged) as error:
+            except (OSError, sqlite3.Error, DamagedFile) as error:
                 log.error("store: step open, folder %s: %s; tried again", self.settings.data_dir, error)
                 await asyncio.sleep(DISK_RETRY_S)
 
@@ -165,7 +165,7 @@
 
     def _carry_out(self, actions: list[Action]) -> None:
         for action in actions:
-            if isinstance(action, Tell):
+            if isinstance(action, Send):
                 self._tell(action)
             elif isinstance(action, Store):
                 self._queue.append(action)
@@ -179,22 +179,22 @@
                 self.followers.deliver(action.order)
             elif isinstance(action, Continue):
                 self._proceed_soon()
-            elif isinstance(action, Restart):
+            elif isinstance(action, ResetFollowers):
                 self.followers.restart()
         if self._queue and not self._writing_since:
             self._write()
 
-    def _tell(self, tell: Tell) -> None:
+    def _tell(self, tell: Send) -> None:
         if tell.addr == self.me:
-            self._loop.call_soon(self._heard, self.me, tell.word)
+            self._loop.call_soon(self._heard, self.me, tell.message)
             return
         link = self._links.get(tell.addr)
         if link is None:
             link = self._links[tell.addr] = self._dial(tell.addr)
-        if isinstance(tell.word, StageChange):
-            link.send_raw(self._encoded_stage(tell.word))
+        if isinstance(tell.message, StageChange):
+            link.send_raw(self._encoded_stage(tell.message))
         else:
-            link.send(tell.word)
+            link.send(tell.message)
 
     def _encoded_stage(self, stage: StageChange) -> EncodedMessage:
         """Made once for all members that it goes to."""
@@ -209,10 +209,10 @@
 
     def _proceed(self) -> None:
         self._proceeds = False
-        self._carry_out(self.replica.proceed(self.now()))
+        self._carry_out(self.replica.run_slice(self.now()))
 
     def _heard(self, addr: str, word: Message) -> None:
-        self._carry_out(self.replica.heard(addr, word, self.now()))
+        self._carry_out(self.replica.on_message(addr, word, self.now()))
 
     def _write(self) -> None:
         batch = self._next_batch()
@@ -233,7 +233,7 @@
 
     def _written(self, batch: list[Store], done: asyncio.Future[None]) -> None:
         error = done.exception()
-        if damaged(error):
+        if is_damage(error):
             log.error("store: step write: %s; this ends here, and the next start begins a new life", error)
             self.stop(1)
             return
@@ -249,9 +249,9 @@
         self._failed, self._writing_since = False, 0
         actions: list[Action] = []
         for store in batch:
-            actions += store.tells
+            actions += store.sends
             if store.index >= 0:
-                actions += self.replica.stored(store.index, store.generation)
+                actions += self.replica.on_stored(store.index, store.generation)
         self._carry_out(actions)
 
     # --- links to the other lighthouses
@@ -262,10 +262,10 @@
 
         def opened(dialer: Dialer) -> None:
             dialer.send(Hello(self.me))
-            self._carry_out(self.replica.reconnected(addr, self.now()))
+            self._carry_out(self.replica.on_reconnected(addr, self.now()))
 
         def refused() -> None:
-            self._carry_out(self.replica.refused(addr, self.now()))
+            self._carry_out(self.replica.on_connection_refused(addr, self.now()))
 
         return Dialer(address, lambda word: self._heard(addr, word), opened, on_refused=refused)
 
@@ -280,8 +280,8 @@
             if word.is_proxy:
                 self.followers.add(lines)
             else:
-                self.replica.met(word.addr, self.now())
-                self._carry_out(self.replica.reconnected(word.addr, self.now()))
+                self.replica.add_peer(word.addr, self.now())
+                self._carry_out(self.replica.on_reconnected(word.addr, self.now()))
         elif lines in self.followers.by_connection:
             if isinstance(word, ProgressReport):
                 self._admin_commands.receive_progress(lines, word)
@@ -295,12 +295,12 @@
     def _on_lost(self, lines: JsonConnection) -> None:
         self.followers.remove(lines)
 
-    def submit(self, what: Command, done: Callable[[Any], None], give_up_after: int = GIVE_UP_AFTER) -> int:
+    def submit(self, what: Command, done: Callable[[Any], None], give_up_after: int = GIVE_UP_AFTER_US) -> int:
         """`done` gets the result once; None: it is not known what becomes of it.  A number to withdraw it."""
         self._last_ask += 1
         number = self._last_ask
         self._pending[number] = done
-        self._carry_out(self.replica.ask(what, number, self.now(), give_up_after))
+        self._carry_out(self.replica.submit_command(what, number, self.now(), give_up_after))
         return number
 
     def withdraw(self, number: int) -> None:
--- a/brackengate/control/status.py
+++ b/brackengate/control/status.py
@@ -28,7 +28,7 @@
     )
     neighbours = []
     for addr, peer in sorted(agreement.peers.items()):
-        said, heard = peer.said, agreement.hears(addr, now)
+        said, heard = peer.last_ping, agreement.is_alive(addr, now)
         if said is None:
             neighbours.append(PeerStatus(addr, reachable=heard))
         else:
@@ -50,7 +50,7 @@
         chain.has_snapshot,
         replica.serves(now),
         agreement.disk_healthy,
-        agreement.leaves,
+        agreement.leaving,
         agreement.epoch_closed,
         chain.state.keys,
         sum(1 for (kind, _), item in chain.items.items() if kind == "route" and item.body is not None),
--- a/brackengate/proxy/control_client.py
+++ b/brackengate/proxy/control_client.py
@@ -14,7 +14,7 @@
 from dataclasses import dataclass
 from typing import Any
 
-from brackengate.control.transfer import NOTHING, Differs
+from brackengate.control.transfer import EMPTY_POSITION, CopyMismatch
 from brackengate.net.sockets import parse_address
 from brackengate.protocol.json_connection import Dialer
 from brackengate.protocol.messages import (
@@ -79,7 +79,7 @@
         self.last_received = client.now()
         self.established = False
         self.clock = ClockOffset()
-        self._requested_position, self._request_id = NOTHING, 0  # the piece of a copy that comes next
+        self._requested_position, self._request_id = EMPTY_POSITION, 0  # the piece of a copy that comes next
         host = parse_address(addr)[0]
         address = host, client.port
         self._dialer = Dialer(
@@ -291,7 +291,7 @@
             return
         try:
             complete = self.snapshot.receive(requested_after, piece)
-        except Differs as reason:
+        except CopyMismatch as reason:
             log.error("follow: step copy, from %s: it differs: %s", link.addr, reason)
             self.drop_link(link, "its copy differs")
             return
--- a/brackengate/proxy/snapshot_receiver.py
+++ b/brackengate/proxy/snapshot_receiver.py
@@ -5,7 +5,7 @@
 from dataclasses import dataclass, field
 
 from brackengate.control.rows import CommittedRows
-from brackengate.control.transfer import NOTHING, Differs, check, taken
+from brackengate.control.transfer import EMPTY_POSITION, CopyMismatch, check_total, changed_rows
 from brackengate.protocol.messages import Row, SnapshotPiece, SnapshotPosition
 
 
@@ -13,7 +13,7 @@
 class SnapshotReceiver:
     """It goes on where it was cut off, at whichever replica."""
 
-    position: SnapshotPosition = NOTHING
+    position: SnapshotPosition = EMPTY_POSITION
     rows: CommittedRows = field(default_factory=CommittedRows)
 
     def receive(self, requested_after: SnapshotPosition, piece: SnapshotPiece) -> bool:
@@ -23,15 +23,15 @@
         """
         if not piece.from_start and requested_after != self.position:
             return False
-        changes = taken(self.position, piece)
+        changes = changed_rows(self.position, piece)
         if piece.from_start:
             self.rows.clear()
         for index, (kind, name, value) in changes:
             self.rows.set(kind, name, index, value)
         self.position = piece.position
         try:
-            check(self.rows, piece)
-        except Differs:
+            check_total(self.rows, piece)
+        except CopyMismatch:
             self.restart()
             raise
         return piece.total is not None
@@ -44,5 +44,5 @@
         return index, rows
 
     def restart(self) -> None:
-        self.position = NOTHING
+        self.position = EMPTY_POSITION
         self.rows.clear()
--- a/tests/control/corekit.py
+++ b/tests/control/simulated_cluster.py
@@ -1,11 +1,11 @@
-"""A core of lighthouses in simulated time: links, disks and faults drawn from a seed.  The deciders run as
-they are.
+"""Control replicas in simulated time, with links, disks and faults drawn from a seed.
 
-A disk keeps what was stored whole; what was under way when power is lost is gone.  A link keeps the order of
-its lines; a cut loses them; a link that is held keeps them, and they arrive together when it is released.
+The production state machines run unchanged.  A disk keeps every completed write; writes in flight are lost
+with the power.  A link keeps the order of its messages; a cut link loses them; a held link queues them, and
+they arrive together when it is released.
 
-At every step of every run, whoever serves followers is checked: what was agreed by `LEASE` ago is in force
-there.
+At every step of every run, each replica that serves followers is checked: any view that was agreed `LEASE_US`
+ago or earlier must be in force there.
 """
 
 from __future__ import annotations
@@ -25,14 +25,14 @@
     Continue,
     Deliver,
     Publish,
-    Restart,
+    ResetFollowers,
+    Send,
     Store,
-    Tell,
 )
-from brackengate.control.commands import GIVE_UP_AFTER
-from brackengate.control.failure_detector import LEASE
-from brackengate.control.replica import FIRST, Replica, StoredState
-from brackengate.control.store import NAME, open_disk
+from brackengate.control.commands import GIVE_UP_AFTER_US
+from brackengate.control.failure_detector import LEASE_US
+from brackengate.control.replica import FIRST_INCARNATION, Replica, StoredState
+from brackengate.control.store import DATABASE_NAME, open_disk
 from brackengate.model_check.disk import DiskState
 from brackengate.protocol.messages import Command, Message
 from standins.mesh import spoil
@@ -43,47 +43,47 @@
 
 
 class FileState:
-    """A disk that is a real store.  What a process leaves is copied to a folder of the next one's."""
+    """A disk backed by real files.  Each new process opens a copy of the folder that the last one left."""
 
     def __init__(self, folder: Path) -> None:
-        self.folder, self.lives = folder, 0
+        self.folder, self.incarnations = folder, 0
 
     @property
     def here(self) -> Path:
-        return self.folder / str(self.lives)
+        return self.folder / str(self.incarnations)
 
     def open(self, first: bool) -> None:
         left = self.here
-        self.lives += 1
+        self.incarnations += 1
         if left.exists():
             shutil.copytree(left, self.here)
         self._disk, self._kept = open_disk(str(self.here), first)
 
-    def kept(self) -> StoredState:
+    def stored_state(self) -> StoredState:
         return self._kept
 
     def write(self, store: Store) -> None:
         self._disk.write([store])
 
     def damage(self, what: bytes) -> None:
-        """In the log, else in the file."""
-        assert any(spoil(self.here / name, what) for name in (f"{NAME}-wal", NAME)), what
+        """Corrupts these bytes in the write-ahead log, or else in the database file."""
+        assert any(spoil(self.here / name, what) for name in (f"{DATABASE_NAME}-wal", DATABASE_NAME)), what
 
 
 class Host:
-    """One machine of the core: its disk outlasts its process."""
+    """One machine of the cluster, whose disk outlives its process."""
 
-    def __init__(self, core: Core, name: str) -> None:
-        self.core, self.name = core, name
-        self.disk: DiskState | FileState = core.disk(name)
+    def __init__(self, cluster: SimulatedCluster, name: str) -> None:
+        self.cluster, self.name = cluster, name
+        self.disk: DiskState | FileState = cluster.disk(name)
         self.generation = 0
         self.replica: Replica | None = None
         self.stalled_until = self.frozen_until = 0
         self.answers: dict[int, Any] = {}
-        self.asked: dict[int, Callable[[Any], None]] = {}
+        self.pending_callbacks: dict[int, Callable[[Any], None]] = {}
         self.published: list[tuple[int, tuple[Any, ...]]] = []
-        self.followers_take: int | None = 0  # to fetch a large order; None: they never have it
-        self.staged: list[tuple[int, str]] = []  # when its delivery began, and which
+        self.follower_fetch_us: int | None = 0  # time to fetch a large order; None: never
+        self.staged: list[tuple[int, str]] = []  # deliveries: start time and order id
         self._queue: list[Store] = []
         self._writing = False
 
@@ -92,18 +92,25 @@
         if isinstance(self.disk, FileState):
             self.disk.open(first)
         elif not self.disk.incarnation:
-            self.disk.incarnation = FIRST if first else f"disk{self.core.rng.getrandbits(40)}"
-        core = self.core
+            self.disk.incarnation = FIRST_INCARNATION if first else f"disk{self.cluster.rng.getrandbits(40)}"
+        cluster = self.cluster
         self.replica = Replica(
-            self.name, "", self.disk.kept(), core.seeds, first, core.min_replicas, WINDOW, core.now
+            self.name,
+            "",
+            self.disk.stored_state(),
+            cluster.seeds,
+            first,
+            cluster.min_replicas,
+            WINDOW,
+            cluster.now,
         )
-        self._queue, self._writing, self.asked = [], False, {}
-        core.connect(self)
-        self.do(self.replica.start(core.now))
+        self._queue, self._writing, self.pending_callbacks = [], False, {}
+        cluster.connect(self)
+        self.do(self.replica.start(cluster.now))
         self._tick(self.generation)
 
     def stop(self, wipe: bool = False, damage: str = "") -> None:
-        """`damage`: bytes in the disk's file that are found and spoilt."""
+        """Stops the process.  `wipe`: its disk is lost; `damage`: bytes to corrupt in the database file."""
         self.generation += 1
         self.replica = None
         if wipe:
@@ -112,93 +119,93 @@
             assert isinstance(self.disk, FileState)
             self.disk.damage(damage.encode())
 
-    def ask(self, what: Command, done: Callable[[Any], None], give_up_after: int = GIVE_UP_AFTER) -> int:
-        number = self.core.number()
+    def ask(self, what: Command, done: Callable[[Any], None], give_up_after: int = GIVE_UP_AFTER_US) -> int:
+        number = self.cluster.number()
         if self.replica is not None:
-            self.asked[number] = done
-            self.do(self.replica.ask(what, number, self.core.now, give_up_after))
+            self.pending_callbacks[number] = done
+            self.do(self.replica.submit_command(what, number, self.cluster.now, give_up_after))
         return number
 
     def withdraw(self, number: int) -> None:
-        if self.asked.pop(number, None) is not None and self.replica is not None:
+        if self.pending_callbacks.pop(number, None) is not None and self.replica is not None:
             self.replica.withdraw(number)
 
     def _tick(self, generation: int) -> None:
         if generation == self.generation and self.replica is not None:
-            if self.core.now >= self.frozen_until:
-                slow = self._writing and self.core.now < self.stalled_until
+            if self.cluster.now >= self.frozen_until:
+                slow = self._writing and self.cluster.now < self.stalled_until
                 self.replica.set_disk_healthy(not slow)
-                self.do(self.replica.tick(self.core.now))
-                self.check_current()
-            self.core.later(TICK, lambda: self._tick(generation))
+                self.do(self.replica.tick(self.cluster.now))
+                self.assert_serves_current()
+            self.cluster.later(TICK, lambda: self._tick(generation))
 
     def hear(self, addr: str, line: bytes) -> None:
         if self.replica is not None:
-            if self.core.now < self.frozen_until:
-                self.core.later(self.frozen_until - self.core.now + 1, lambda: self.hear(addr, line))
+            if self.cluster.now < self.frozen_until:
+                self.cluster.later(self.frozen_until - self.cluster.now + 1, lambda: self.hear(addr, line))
                 return
-            self.do(self.replica.heard(addr, _decode(line), self.core.now))
-            self.check_current()
+            self.do(self.replica.on_message(addr, _decode(line), self.cluster.now))
+            self.assert_serves_current()
 
-    def check_current(self) -> None:
-        """Nothing that claims to be current is older than a lease."""
-        replica, core = self.replica, self.core
+    def assert_serves_current(self) -> None:
+        """Checks that a replica that serves followers is not behind by more than a lease."""
+        replica, cluster = self.replica, self.cluster
         if replica is None:
             return
         epoch = replica.agreement.view.epoch
-        core.agreed.setdefault(epoch, core.now)
-        if replica.serves(core.now):
-            core.served[self.name] = core.now
-            newer = [since for other, since in core.agreed.items() if other > epoch]
+        cluster.agreed.setdefault(epoch, cluster.now)
+        if replica.serves(cluster.now):
+            cluster.served[self.name] = cluster.now
+            newer = [since for other, since in cluster.agreed.items() if other > epoch]
             assert all(
-                core.now - since <= LEASE for since in newer
-            ), f"{core.now} us: {self.name} serves by view {epoch}; agreed: {core.agreed}"
+                cluster.now - since <= LEASE_US for since in newer
+            ), f"{cluster.now} us: {self.name} serves by view {epoch}; agreed: {cluster.agreed}"
 
     def do(self, actions: Iterable[Action]) -> None:
         for action in actions:
             match action:
-                case Tell(addr, word):
-                    line = msgspec.json.encode(word)
+                case Send(addr, message):
+                    line = msgspec.json.encode(message)
                     if addr == self.name:
-                        self.core.later(
+                        self.cluster.later(
                             0, lambda line=line, generation=self.generation: self._self(line, generation)
                         )
                     else:
-                        self.core.send(self, addr, line)
+                        self.cluster.send(self, addr, line)
                 case Store():
                     self._queue.append(action)
                 case Answer(number, result):
-                    done = self.asked.pop(number, None)
+                    done = self.pending_callbacks.pop(number, None)
                     if done is not None:
                         done(result)
                 case Publish(index, rows):
                     self.published.append((index, rows))
-                case Restart():
+                case ResetFollowers():
                     self.published.append((-1, ()))
                 case Continue():
-                    self.core.later(0, lambda generation=self.generation: self._proceed(generation))
+                    self.cluster.later(0, lambda generation=self.generation: self._proceed(generation))
                 case Deliver(order):
-                    self.staged.append((self.core.now, order.id))
-                    if self.followers_take is not None:
-                        self.core.later(
-                            self.followers_take,
+                    self.staged.append((self.cluster.now, order.id))
+                    if self.follower_fetch_us is not None:
+                        self.cluster.later(
+                            self.follower_fetch_us,
                             lambda id_=order.id, generation=self.generation: self._delivered(id_, generation),
                         )
         if self._queue and not self._writing:
             self._writing = True
             batch, self._queue = self._queue, []
-            wait = max(self.core.now, self.stalled_until, self.frozen_until) - self.core.now + SYNC
-            self.core.later(wait, lambda generation=self.generation: self._written(batch, generation))
+            wait = max(self.cluster.now, self.stalled_until, self.frozen_until) - self.cluster.now + SYNC
+            self.cluster.later(wait, lambda generation=self.generation: self._written(batch, generation))
 
     def _proceed(self, generation: int) -> None:
-        if self.core.now < self.frozen_until:
-            self.core.later(self.frozen_until - self.core.now + 1, lambda: self._proceed(generation))
+        if self.cluster.now < self.frozen_until:
+            self.cluster.later(self.frozen_until - self.cluster.now + 1, lambda: self._proceed(generation))
         elif generation == self.generation and self.replica is not None:
-            self.do(self.replica.proceed(self.core.now))
+            self.do(self.replica.run_slice(self.cluster.now))
 
     def _delivered(self, id_: str, generation: int) -> None:
         if generation == self.generation and self.replica is not None:
-            self.do(self.replica.delivered(id_, self.core.now))
+            self.do(self.replica.on_delivered(id_, self.cluster.now))
 
     def _self(self, line: bytes, generation: int) -> None:
         if generation == self.generation:
@@ -212,13 +219,13 @@
             self.disk.write(store)
         self._writing = False
         for store in batch:
-            out += store.tells
+            out += store.sends
             if store.index >= 0:
-                out += self.replica.stored(store.index, store.generation)
+                out += self.replica.on_stored(store.index, store.generation)
         self.do(out)
 
 
-class Core:
+class SimulatedCluster:
     def __init__(
         self,
         names: Iterable[str],
@@ -228,7 +235,7 @@
         folder: Path | None = None,
         absent: Iterable[str] = (),
     ) -> None:
-        """`folder`: the disks are real files there.  `absent`: hosts that are not there at the beginning."""
+        """`folder`: use real files there as disks.  `absent`: hosts that are not started at the beginning."""
         self.disk: Callable[[str], DiskState | FileState] = lambda name: (
             DiskState() if folder is None else FileState(folder / name.partition(":")[0])
         )
@@ -236,13 +243,13 @@
         self.hosts = {name: Host(self, name) for name in names}
         self.seeds = list(self.hosts)[:seeds]
         self.cuts: set[tuple[str, str]] = set()
-        self.agreed: dict[int, int] = {}  # epochs, since when
-        self.served: dict[str, int] = {}  # who would serve followers, when last
-        self.holds: set[tuple[str, str]] = set()  # links whose lines lie in queues
-        self._queues: list[tuple[Host, str, bytes, int]] = []  # with the generation of the link
+        self.agreed: dict[int, int] = {}  # epochs, and when each was first known
+        self.served: dict[str, int] = {}  # the last time at which each host could serve followers
+        self.holds: set[tuple[str, str]] = set()  # links whose messages are queued
+        self._queues: list[tuple[Host, str, bytes, int]] = []  # with the link generation
         self._held: dict[
             tuple[str, str], int
-        ] = {}  # the generation of a link: lines of an older one are lost
+        ] = {}  # generation of each link: messages of an older one are lost
         self._due: dict[tuple[str, str], int] = {}
         self._events: list[tuple[int, int, Callable[[], None]]] = []
         self._count = 0
@@ -283,13 +290,12 @@
         if pair not in self.cuts and self._held[pair] == generation:
             there = self.hosts[addr]
             if there.replica is None and host.replica is not None:
-                host.do(host.replica.refused(addr, self.now))
+                host.do(host.replica.on_connection_refused(addr, self.now))
             else:
                 there.hear(host.name, line)
 
     def connect(self, host: Host) -> None:
-        """A process that starts, or links that are healed: what was under way is lost, both sides meet
-        anew."""
+        """Reconnects a host after a start or a heal: messages in flight are lost on all its links."""
         for other in self.hosts.values():
             for one, two in ((host, other), (other, host)):
                 pair = (one.name, two.name)
@@ -300,8 +306,8 @@
     def _met(self, one: Host, two: Host) -> None:
         for here, there in ((one, two), (two, one)):
             if here.replica is not None and there.replica is not None:
-                here.replica.met(there.name, self.now)
-                here.do(here.replica.reconnected(there.name, self.now))
+                here.replica.add_peer(there.name, self.now)
+                here.do(here.replica.on_reconnected(there.name, self.now))
 
     def cut(self, pairs: Iterable[tuple[str, str]]) -> None:
         self.cuts.update(pairs)
@@ -310,7 +316,7 @@
         self.holds.update(pairs)
 
     def release(self) -> None:
-        """All that lies in queues arrives together, each link's lines in their order."""
+        """Delivers all queued messages together, each link's in their order."""
         queues, self._queues = self._queues, []
         self.holds.clear()
         for host, addr, line, generation in queues:
@@ -331,7 +337,7 @@
         for name in touched:
             self.connect(self.hosts[name])
 
-    # --- what is looked at
+    # --- inspection
 
     def views(self) -> dict[str, Any]:
         return {
--- a/tests/control/test_bounded_steps.py
+++ b/tests/control/test_bounded_steps.py
@@ -1,5 +1,5 @@
-"""What a large order costs a replica in one step.  A replica that stands still for half a second is taken for
-dead: its work on an order is done in slices, or was done before the step that needs it.
+"""The cost of a large order for a replica in one event-loop step.  A replica that blocks for half a second
+counts as dead, so its work on an order is done in slices, or before the step that needs it.
 """
 
 from __future__ import annotations
@@ -16,9 +16,9 @@
 from brackengate.control.actions import Store
 from brackengate.control.change_coordinator import AwaitDelivery, ChangeCoordinator, Examining
 from brackengate.control.item_index import ItemIndex
-from brackengate.control.log import FOLD_AT_ONCE, FOLD_MOST, ReplicaLog
-from brackengate.control.prepared_rows import MOST_ROWS, SLICE_ROWS, PreparedRows
-from brackengate.control.rows import State
+from brackengate.control.log import FLUSH_BATCH_ROWS, FLUSH_ROWS, ReplicaLog
+from brackengate.control.prepared_rows import MAX_PREPARED_ROWS, SLICE_ROWS, PreparedRows
+from brackengate.control.rows import CommittedState
 from brackengate.protocol import config_items
 from brackengate.protocol.config_items import Item
 from brackengate.protocol.messages import Amend, Entry, Row
@@ -36,15 +36,15 @@
 
 
 def most_in_one_step(mesh: Mesh, until: int, counted: Counter[str]) -> Counter[str]:
-    """Runs it, and tells the most that any event of any replica did of each kind."""
-    core, most = mesh.core, Counter[str]()
-    while core._events and core._events[0][0] <= until:
-        core.now, _, what = heapq.heappop(core._events)
+    """Runs the mesh; returns the largest count of each kind of work within one event of any replica."""
+    cluster, most = mesh.cluster, Counter[str]()
+    while cluster._events and cluster._events[0][0] <= until:
+        cluster.now, _, what = heapq.heappop(cluster._events)
         counted.clear()
         what()
         for kind, count in counted.items():
             most[kind] = max(most[kind], count)
-    core.now = until
+    cluster.now = until
     return most
 
 
@@ -66,34 +66,34 @@
 
 def test_no_step_reads_or_encodes_more_than_a_slice_of_a_large_order(monkeypatch: pytest.MonkeyPatch) -> None:
     """
-    a  rrrrrrr pppppp DDDDDDDD ! |
-    b          pppppp DDDDDDDD   |      r: read, p: prepared, D: delivered, |: in force
+    a  rrrrrrr pppppp DDDDDDDD ! |      r: parsed, p: prepared, D: delivered, !: appended,
+    b          pppppp DDDDDDDD   |      |: committed
     c          pppppp DDDDDDDD   |
     """
     counted = Counter[str]()
     mesh = Mesh(members=3)
     for host in mesh.hosts:
-        host.followers_take = 500 * MS
+        host.follower_fetch_us = 500 * MS
     counting(monkeypatch, counted)
     sent: Sent = mesh.operator.send(order(*(route(f"big{n}", 5) for n in range(ROUTES))))
-    most = most_in_one_step(mesh, mesh.core.now + 3 * S, counted)
+    most = most_in_one_step(mesh, mesh.cluster.now + 3 * S, counted)
     assert sent.status == 200
     assert 0 < most["routes read"] <= SLICE_ROWS and 0 < most["values encoded"] <= SLICE_ROWS
 
 
 def test_the_rows_of_a_large_order_go_to_the_disk_some_at_a_time() -> None:
-    """Whatever is cut off in between, what is on disk gives the same rows after a start."""
+    """After an interruption at any point, the disk gives the same rows at the next start."""
     made = ReplicaLog(0)
     stores = [made.store(())]
-    for index, entry in enumerate((Entry(1, rows_of(FOLD_MOST + 300)), Entry(2, rows_of(7, 2))), 1):
-        made.take(entry)
+    for index, entry in enumerate((Entry(1, rows_of(FLUSH_ROWS + 300)), Entry(2, rows_of(7, 2))), 1):
+        made.append(entry)
         stores.append(made.store((entry,)))
         made.commit(index)
     now = 0
-    while made.folded:
+    while made.unflushed:
         now += 50 * MS
-        stores += made.fold_if_due(now)
-    assert max(len(store.rows) for store in stores) == FOLD_AT_ONCE
+        stores += made.flush_if_due(now)
+    assert max(len(store.rows) for store in stores) == FLUSH_BATCH_ROWS
     whole = _as_started(stores)
     assert (whole.state.index, whole.state.rows.checksum) == (2, made.state.rows.checksum)
     for cut in range(3, len(stores)):  # both entries are on disk
@@ -103,8 +103,8 @@
 
 
 def _as_started(stores: list[Store]) -> ReplicaLog:
-    """What a disk with these stores gives at the next start."""
-    disk, entries, base, place = State(), dict[int, Entry](), 0, 0
+    """The log that a disk with these stores gives at the next start."""
+    disk, entries, base, place = CommittedState(), dict[int, Entry](), 0, 0
     for store in stores:
         for index, row in store.rows:
             disk.set(index, row)
@@ -116,26 +116,26 @@
     return started
 
 
-def test_what_was_prepared_with_another_value_is_not_used() -> None:
+def test_a_row_prepared_with_another_value_is_not_used() -> None:
     prepared, (one, *_) = PreparedRows(), rows_of(1)
     assert not list(prepared.prepare("id", [one]))
     found = prepared.find("id", one)
-    assert found is not None and found.read is not None and found.read.prefix == "/p0/"
+    assert found is not None and found.parsed_route is not None and found.parsed_route.prefix == "/p0/"
     assert prepared.find("id", (one[0], one[1], [2, *one[2][1:]])) is None
     assert prepared.find("other", one) is None
     prepared.forget("id")
     assert prepared.find("id", one) is None
 
 
-def test_the_oldest_order_goes_where_many_are_prepared() -> None:
-    prepared, many = PreparedRows(), rows_of(MOST_ROWS // 2)
+def test_the_oldest_order_is_evicted_if_many_rows_are_prepared() -> None:
+    prepared, many = PreparedRows(), rows_of(MAX_PREPARED_ROWS // 2)
     for id_ in ("a", "b", "c"):
         for _ in prepared.prepare(id_, many):
-            assert sum(map(len, prepared.orders.values())) <= MOST_ROWS + SLICE_ROWS
+            assert sum(map(len, prepared.orders.values())) <= MAX_PREPARED_ROWS + SLICE_ROWS
     assert list(prepared.orders) == ["b", "c"]
 
 
-def test_two_long_orders_are_read_by_turns_and_one_that_cannot_be_read_holds_up_none(
+def test_two_long_orders_are_read_in_turn_and_an_unreadable_one_blocks_none(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     read, raised = config_items._validated_route, Counter[str]()
--- a/tests/control/test_copies.py
+++ b/tests/control/test_copies.py
@@ -1,4 +1,4 @@
-"""Whoever was away catches up by a copy in pieces and the entries after it, and counts for nothing before."""
+"""A replica that lags catches up by a copy in pieces and the entries after it, and does not count before."""
 
 from __future__ import annotations
 
@@ -8,14 +8,14 @@
 
 import msgspec
 import pytest
-from corekit import Core, Host
+from simulated_cluster import Host, SimulatedCluster
 from timeline import play
 
 from brackengate.control import log, recent, transfer
 from brackengate.control.learning import Learner
-from brackengate.control.replica import FIRST
-from brackengate.control.rows import KEY, CommittedRows
-from brackengate.control.transfer import COMPLETE
+from brackengate.control.replica import FIRST_INCARNATION
+from brackengate.control.rows import KEY_KIND, CommittedRows
+from brackengate.control.transfer import COMPLETE_BUCKET
 from brackengate.model_check.disk import DiskState
 from brackengate.protocol.messages import (
     Amend,
@@ -39,21 +39,21 @@
 
 
 def filled(disk: DiskState, members: list[str], rows: int = ROWS) -> None:
-    """As the disk of a member of the first view that has taken so many claims."""
-    disk.incarnation = FIRST
-    view = View(1, tuple(Member(name, FIRST, 1) for name in members))
+    """Fills a disk as of a member of the first view that has stored so many claims."""
+    disk.incarnation = FIRST_INCARNATION
+    view = View(1, tuple(Member(name, FIRST_INCARNATION, 1) for name in members))
     for name, value in {"place": rows, "base": rows, "lineage": 1, "view": view}.items():
         disk.meta[name] = msgspec.json.encode(value)
     for n in range(rows):
-        disk.committed[KEY, f"old {n}"] = (n + 1, msgspec.json.encode(["g", "1"]))
+        disk.committed[KEY_KIND, f"old {n}"] = (n + 1, msgspec.json.encode(["g", "1"]))
 
 
 class Copies:
-    """A core of three with many keys, and a fourth replica that starts when it is told."""
+    """A cluster with many keys, and a further replica that starts later as a learner."""
 
     def __init__(self, members: int = 3, seed: int = 1, rows: int = ROWS) -> None:
-        self.core = core = Core(NAMES[: members + 1], seed, seeds=3)
-        self.hosts = list(core.hosts.values())
+        self.cluster = cluster = SimulatedCluster(NAMES[: members + 1], seed, seeds=3)
+        self.hosts = list(cluster.hosts.values())
         self.members, self.learner = self.hosts[:members], self.hosts[members]
         for host in self.members:
             assert isinstance(host.disk, DiskState)
@@ -61,12 +61,12 @@
         self.learner.start = lambda first=False: None  # type: ignore[method-assign]
         self.acked: dict[str, str] = {}
         self.freed: set[str] = set()
-        self.pieces: list[tuple[str, SnapshotPiece]] = []  # that the learner heard
-        core.run(1_500_000)
+        self.pieces: list[tuple[str, SnapshotPiece]] = []  # received by the learner
+        cluster.run(1_500_000)
         del self.learner.start
 
     def begin(self) -> None:
-        """The learner starts, and what it hears is written down."""
+        """Starts the learner and records the pieces that it receives."""
         hear = self.learner.hear
 
         def heard(addr: str, line: bytes) -> None:
@@ -78,17 +78,17 @@
         self.learner.hear = heard  # type: ignore[method-assign]
         self.learner.start()
 
-    def until(self, what: Callable[[], bool], most: int = 20_000_000, step: int = 1_000) -> int:
-        """The time that it took."""
-        begun = self.core.now
-        while not what():
-            assert self.core.now - begun < most
-            self.core.run(self.core.now + step)
-        return self.core.now - begun
+    def until(self, condition: Callable[[], bool], timeout_us: int = 20_000_000, step: int = 1_000) -> int:
+        """Runs until the condition holds; returns the time that it took."""
+        begun = self.cluster.now
+        while not condition():
+            assert self.cluster.now - begun < timeout_us
+            self.cluster.run(self.cluster.now + step)
+        return self.cluster.now - begun
 
     def copied(self, host: Host | None = None) -> int:
         replica = (host or self.learner).replica
-        return replica.chain.log().copied if replica is not None else -1
+        return replica.chain.log_status().copied if replica is not None else -1
 
     def is_in(self, host: Host) -> bool:
         return host.replica is not None and host.replica.chain.has_snapshot
@@ -101,33 +101,33 @@
         host.ask(Claim(key, host.name, "1"), done)
 
     def claims(self, every: int, until: int) -> None:
-        """Claims at all members by turns, while they are up."""
+        """Claims keys at all members in turn, while they are up."""
         numbers = iter(range(1_000_000))
 
         def one() -> None:
             n = next(numbers)
             self.claim(f"new {n}", self.members[n % len(self.members)])
-            if self.core.now < until:
-                self.core.later(every, one)
+            if self.cluster.now < until:
+                self.cluster.later(every, one)
 
         one()
 
-    def alike(self) -> None:
-        """All hold the same, by rows and by sum, and all that was acknowledged."""
-        held = {_held(host) for host in self.hosts}
+    def assert_all_equal(self) -> None:
+        """Checks that all replicas hold the same rows, by checksum, and every acknowledged claim."""
+        held = {_snapshot_of(host) for host in self.hosts}
         assert len(held) == 1, held
         for host in self.hosts:
             assert host.replica is not None
             assert self.lacks(host) == []
 
     def lacks(self, host: Host) -> list[str]:
-        """What was acknowledged and is not held there."""
+        """The acknowledged keys that a replica does not hold."""
         assert host.replica is not None
         rows = host.replica.chain.rows
-        return [key for key in self.acked if key not in self.freed and (KEY, key) not in rows]
+        return [key for key in self.acked if key not in self.freed and (KEY_KIND, key) not in rows]
 
 
-def _held(host: Host) -> tuple[int, int, int]:
+def _snapshot_of(host: Host) -> tuple[int, int, int]:
     assert host.replica is not None and host.replica.chain.has_snapshot, host.name
     state = host.replica.chain.state
     return state.index, state.rows.count, state.rows.checksum
@@ -141,51 +141,53 @@
     return sum(len(piece.rows) for _, piece in pieces)
 
 
-def test_a_new_replica_copies_before_it_takes_its_place_and_claims_go_on() -> None:
+def test_a_new_replica_copies_before_it_becomes_a_member_and_claims_continue() -> None:
     case = Copies()
-    case.claims(5_000, case.core.now + 1_000_000)
+    case.claims(5_000, case.cluster.now + 1_000_000)
     case.begin()
     epochs = set[int]()
     longest = 0
 
-    def look() -> bool:
+    def observe() -> bool:
         nonlocal longest
         replica = case.members[0].replica
         assert replica is not None and case.learner.replica is not None
         if not case.learner.replica.agreement.is_member and case.copied() < 0:
             epochs.add(replica.agreement.view.epoch)
-            assert not case.learner.replica.serves(case.core.now)
+            assert not case.learner.replica.serves(case.cluster.now)
             longest = max(longest, len(replica.chain._pending_replies))
         return case.is_in(case.learner)
 
-    case.until(look)
-    assert epochs == {1}  # nobody was missed, and nobody let in, while it copied
-    assert longest < 5  # and the chain did not stand still
-    case.core.run(case.core.now + 2_000_000)
-    case.alike()
+    case.until(observe)
+    assert epochs == {1}  # no member was dropped or admitted while it copied
+    assert longest < 5  # and the chain was not blocked
+    case.cluster.run(case.cluster.now + 2_000_000)
+    case.assert_all_equal()
     assert anew(case.pieces) == 1 and len(case.pieces) > ROWS // 40
     assert len(case.acked) > 150
 
 
-def test_a_copy_that_is_cut_goes_on_where_it_was() -> None:
+def test_an_interrupted_copy_continues_where_it_was() -> None:
     case = Copies()
     case.begin()
     case.until(lambda: len(case.pieces) > 20)
-    case.core.cut((a.name, b.name) for m in case.members for a, b in ((m, case.learner), (case.learner, m)))
-    case.claims(20_000, case.core.now + 1_500_000)
-    case.core.run(case.core.now + 2_000_000)
+    case.cluster.cut(
+        (a.name, b.name) for m in case.members for a, b in ((m, case.learner), (case.learner, m))
+    )
+    case.claims(20_000, case.cluster.now + 1_500_000)
+    case.cluster.run(case.cluster.now + 2_000_000)
     assert case.copied() < 0
-    case.core.heal()
+    case.cluster.heal()
     case.until(lambda: case.is_in(case.learner))
-    case.core.run(case.core.now + 1_000_000)
-    case.alike()
+    case.cluster.run(case.cluster.now + 1_000_000)
+    case.assert_all_equal()
     assert anew(case.pieces) == 1 and sent(case.pieces) <= ROWS + len(case.acked) + 40
 
 
 @pytest.mark.parametrize("how", ["stop", "leave", "cut"])
-def test_a_sender_that_loses_its_place_is_followed_by_another(how: str) -> None:
+def test_a_sender_that_leaves_the_view_is_replaced_by_another(how: str) -> None:
     case = Copies()
-    case.claims(20_000, case.core.now + 1_500_000)
+    case.claims(20_000, case.cluster.now + 1_500_000)
     case.begin()
     case.until(lambda: len(case.pieces) > 20)
     sender = next(host for host in case.members if host.name == case.pieces[-1][0])
@@ -193,70 +195,70 @@
         sender.stop()
     elif how == "leave":
         assert sender.replica is not None
-        assert sender.replica.leave(False, case.core.now) == ""
+        assert sender.replica.leave(False, case.cluster.now) == ""
     else:
         others = [host for host in case.hosts if host is not sender]
-        case.core.cut((a.name, b.name) for o in others for a, b in ((o, sender), (sender, o)))
+        case.cluster.cut((a.name, b.name) for o in others for a, b in ((o, sender), (sender, o)))
     case.until(lambda: case.is_in(case.learner))
     if how == "stop":
         sender.start()
     elif how == "leave":
         sender.replica.rejoin()  # type: ignore[union-attr]
     else:
-        case.core.heal()
+        case.cluster.heal()
     case.until(lambda: case.is_in(sender))
-    case.core.run(case.core.now + 1_000_000)
-    case.alike()
+    case.cluster.run(case.cluster.now + 1_000_000)
+    case.assert_all_equal()
     assert anew(case.pieces) == 1 and sent(case.pieces) <= ROWS + len(case.acked) + 40
     assert how == "leave" or len({addr for addr, _ in case.pieces}) > 1
 
 
-def test_a_sender_that_does_not_answer_is_passed_over() -> None:
-    """It is a member all along; it and the learner alone do not hear each other."""
+def test_a_sender_that_does_not_answer_is_skipped() -> None:
+    """It remains a member; only the links between it and the learner are cut."""
     case = Copies()
     case.begin()
     case.until(lambda: len(case.pieces) > 20)
-    sender = case.core.hosts[case.pieces[-1][0]]
-    case.core.cut(((sender.name, case.learner.name), (case.learner.name, sender.name)))
-    case.until(lambda: case.copied() >= 0, most=3_000_000)
+    sender = case.cluster.hosts[case.pieces[-1][0]]
+    case.cluster.cut(((sender.name, case.learner.name), (case.learner.name, sender.name)))
+    case.until(lambda: case.copied() >= 0, timeout_us=3_000_000)
     assert len({addr for addr, _ in case.pieces}) == 2
-    case.core.heal()
+    case.cluster.heal()
     case.until(lambda: case.is_in(case.learner))
-    case.core.run(case.core.now + 1_000_000)
-    case.alike()
+    case.cluster.run(case.cluster.now + 1_000_000)
+    case.assert_all_equal()
     assert anew(case.pieces) == 1 and sent(case.pieces) <= ROWS + 40
 
 
 @pytest.mark.parametrize("after", [1, 7, 30, 45])
-def test_power_lost_in_the_middle_of_a_copy_is_never_taken_for_a_whole_one(after: int) -> None:
+def test_a_copy_interrupted_by_a_power_loss_never_looks_complete(after: int) -> None:
     case = Copies()
     case.begin()
     case.until(lambda: len(case.pieces) > after, step=300)
     case.learner.stop()
-    case.claims(20_000, case.core.now + 500_000)
-    case.core.run(case.core.now + 700_000)
+    case.claims(20_000, case.cluster.now + 500_000)
+    case.cluster.run(case.cluster.now + 700_000)
     case.learner.start()
     assert case.learner.replica is not None
     held = case.learner.replica.chain
-    assert case.copied() < 0 and not held.has_snapshot and held.learner.position.bucket < COMPLETE
+    assert case.copied() < 0 and not held.has_snapshot and held.learner.position.bucket < COMPLETE_BUCKET
     assert held.state.rows.count < ROWS
     case.until(lambda: case.is_in(case.learner))
-    case.core.run(case.core.now + 1_000_000)
-    case.alike()
+    case.cluster.run(case.cluster.now + 1_000_000)
+    case.assert_all_equal()
     assert anew(case.pieces) == 1 and sent(case.pieces) <= ROWS + len(case.acked) + 60
 
 
-def test_what_was_held_before_counts_for_nothing_once_a_copy_has_begun(
+def test_earlier_rows_are_dropped_once_a_copy_has_begun(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """A member is away for longer than the entries are kept: its place and its rows are of no use."""
-    monkeypatch.setattr(log, "RECENT", 10)
+    """A member is away for longer than entries are kept: its membership and rows are of no use."""
+    monkeypatch.setattr(log, "RECENT_ENTRIES", 10)
     case = Copies()
     case.learner = tail = case.members[2]
     case.hosts = case.members
     tail.stop()
-    case.claims(10_000, case.core.now + 1_000_000)
-    case.core.run(case.core.now + 2_000_000)
+    case.claims(10_000, case.cluster.now + 1_000_000)
+    case.cluster.run(case.cluster.now + 2_000_000)
     case.begin()
     case.until(lambda: len(case.pieces) > 5, step=300)
     tail.stop()
@@ -265,57 +267,57 @@
     tail.start()
     assert case.copied() < 0
     case.until(lambda: case.is_in(tail))
-    case.core.run(case.core.now + 1_000_000)
-    case.alike()
+    case.cluster.run(case.cluster.now + 1_000_000)
+    case.assert_all_equal()
     assert anew(case.pieces) == 1
 
 
-def test_a_short_absence_costs_no_rows() -> None:
+def test_a_short_absence_needs_no_copy() -> None:
     case = Copies()
     case.learner = tail = case.members[2]
     case.hosts = case.members
     tail.stop()
-    case.claims(10_000, case.core.now + 1_000_000)
-    case.core.run(case.core.now + 2_000_000)
+    case.claims(10_000, case.cluster.now + 1_000_000)
+    case.cluster.run(case.cluster.now + 2_000_000)
     case.begin()
     took = case.until(lambda: case.is_in(tail))
-    case.core.run(case.core.now + 1_000_000)
-    case.alike()
+    case.cluster.run(case.cluster.now + 1_000_000)
+    case.assert_all_equal()
     assert sent(case.pieces) == 0 and anew(case.pieces) == 0
     assert took < 1_500_000
 
 
-def test_a_disk_that_takes_nothing_holds_up_the_copy_and_nothing_else() -> None:
+def test_a_stalled_disk_delays_the_copy_and_nothing_else() -> None:
     case = Copies()
     case.begin()
     case.until(lambda: len(case.pieces) > 10)
-    case.learner.stalled_until = case.core.now + 3_000_000
+    case.learner.stalled_until = case.cluster.now + 3_000_000
     before = len(case.pieces)
-    case.claims(20_000, case.core.now + 2_000_000)
-    case.core.run(case.core.now + 2_500_000)
-    assert len(case.pieces) <= before + 2  # no piece is asked for while two wait for the disk
+    case.claims(20_000, case.cluster.now + 2_000_000)
+    case.cluster.run(case.cluster.now + 2_500_000)
+    assert len(case.pieces) <= before + 2  # no piece is requested while two wait for the disk
     assert len(case.acked) > 100
     case.until(lambda: case.is_in(case.learner))
-    case.core.run(case.core.now + 1_000_000)
-    case.alike()
+    case.cluster.run(case.cluster.now + 1_000_000)
+    case.assert_all_equal()
     assert anew(case.pieces) == 1
 
 
-def test_a_copy_that_differs_does_not_count() -> None:
-    """A row is spoilt in the learner's memory: the sum at the end tells, and it begins anew."""
+def test_a_copy_with_a_wrong_checksum_is_discarded() -> None:
+    """A row is corrupted in the learner's memory: the final checksum differs, and it starts from scratch."""
     case = Copies()
     case.begin()
     case.until(lambda: len(case.pieces) > 30)
     assert case.learner.replica is not None
-    case.learner.replica.chain.state.rows.set(KEY, "spoilt", 1, ["g", "2"])
+    case.learner.replica.chain.state.rows.set(KEY_KIND, "spoilt", 1, ["g", "2"])
     case.until(lambda: case.is_in(case.learner))
-    case.core.run(case.core.now + 1_000_000)
-    case.alike()
+    case.cluster.run(case.cluster.now + 1_000_000)
+    case.assert_all_equal()
     assert anew(case.pieces) == 2
 
 
-def test_a_key_that_was_freed_is_free_at_a_replica_that_lagged_and_leads_later() -> None:
-    """C lacks the last entry, and B, which has to pass it on, starts anew in between."""
+def test_a_key_that_was_freed_is_free_at_a_replica_that_lagged_and_became_the_head() -> None:
+    """C lacks the last entry, and B, which has to forward it, restarts in between."""
     _, answers = play(
         """
         ms    | A              B              C              D
@@ -339,11 +341,11 @@
     assert answers == {"k1 g1": "ok", "k1 g2": "ok"}
 
 
-def test_a_new_member_that_lost_its_predecessor_before_it_was_fed_does_not_lead() -> None:
-    """It took its place with a copy that lacks the last entries: until it has them, it holds no snapshot."""
+def test_a_new_member_that_lost_its_predecessor_before_it_caught_up_is_not_the_head() -> None:
+    """It was admitted with a copy that lacks the last entries: until it has them, it holds no snapshot."""
     case = Copies()
     case.begin()
-    case.claims(3_000, case.core.now + 3_000_000)
+    case.claims(3_000, case.cluster.now + 3_000_000)
 
     def is_member() -> bool:
         replica = case.learner.replica
@@ -352,21 +354,21 @@
     case.until(is_member, step=50)
     replica = case.learner.replica
     assert replica is not None and not replica.chain.has_snapshot
-    assert case.lacks(case.learner) and not replica.serves(case.core.now)
-    case.members[2].stop()  # the one before it, which it has not met yet
+    assert case.lacks(case.learner) and not replica.serves(case.cluster.now)
+    case.members[2].stop()  # its predecessor, which it has not synchronized with
     assert not replica.chain.has_snapshot
     case.until(lambda: case.is_in(case.learner))
     assert case.lacks(case.learner) == []
 
 
-def test_a_new_member_that_is_passed_its_entries_one_by_one_holds_no_snapshot_before_the_last(
+def test_a_new_member_that_receives_its_entries_one_by_one_holds_no_snapshot_before_the_last(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     monkeypatch.setattr(log, "APPEND_ENTRIES", 1)
     monkeypatch.setattr(log, "APPEND_BYTES", 1)
     case = Copies()
     case.begin()
-    case.claims(3_000, case.core.now + 3_000_000)
+    case.claims(3_000, case.cluster.now + 3_000_000)
 
     def is_member() -> bool:
         replica = case.learner.replica
@@ -374,17 +376,17 @@
 
     case.until(is_member, step=50)
     lacks = [len(case.lacks(case.learner))]
-    while lacks[-1]:  # whatever it lacks was acknowledged before its view
+    while lacks[-1]:  # these keys were acknowledged before its view
         assert not case.is_in(case.learner)
-        case.core.run(case.core.now + 1)
+        case.cluster.run(case.cluster.now + 1)
         lacks.append(len(case.lacks(case.learner)))
-    assert len(set(lacks)) > 5  # it was seen in between
+    assert len(set(lacks)) > 5  # states in between were observed
     case.until(lambda: case.is_in(case.learner))
 
 
 @pytest.mark.parametrize("seed", range(3))
 def test_orders_and_keys_through_restarts_of_each_in_turn(seed: int) -> None:
-    """What `benchmarks/snapshots.py` does with 1,000 orders and 200,000 keys."""
+    """The same as `benchmarks/snapshots.py`, which uses 1,000 orders and 200,000 keys."""
     case = Copies(seed=seed + 1)
     hosts, orders = case.members, dict[int, bool]()
     case.hosts = hosts
@@ -398,13 +400,13 @@
         hosts[version % 3].ask(Amend(body), done)
 
     for version in range(1, 200):
-        case.core.later(version * 50_000, lambda version=version: order(version))
-    case.claims(10_000, case.core.now + 9_000_000)
+        case.cluster.later(version * 50_000, lambda version=version: order(version))
+    case.claims(10_000, case.cluster.now + 9_000_000)
     for n, host in enumerate([*hosts, *hosts]):
-        case.core.later(500_000 + n * 1_500_000, host.stop)
-        case.core.later(500_000 + n * 1_500_000 + 150_000 + 400_000 * (n % 3), host.start)
-    case.core.run(case.core.now + 14_000_000)
-    case.alike()
+        case.cluster.later(500_000 + n * 1_500_000, host.stop)
+        case.cluster.later(500_000 + n * 1_500_000 + 150_000 + 400_000 * (n % 3), host.start)
+    case.cluster.run(case.cluster.now + 14_000_000)
+    case.assert_all_equal()
     assert sum(orders.values()) > 150
     newest = {n: max(version for version, ok in orders.items() if ok and version % 7 == n) for n in range(7)}
     for host in hosts:
@@ -414,80 +416,80 @@
 
 
 @pytest.mark.parametrize("seed", range(6))
-def test_who_says_that_it_holds_all_does_so_whatever_happens(
+def test_a_member_that_claims_to_hold_a_snapshot_holds_all_acknowledged_claims(
     seed: int, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """Drawn faults over five replicas, with short logs so that copies begin anew; looked at all along."""
-    monkeypatch.setattr(log, "RECENT", 30)
+    """Random faults over five replicas, with short logs so that copies restart; checked throughout."""
+    monkeypatch.setattr(log, "RECENT_ENTRIES", 30)
     case, rng = Copies(members=4, seed=seed, rows=300), random.Random(seed)
     case.begin()
-    hosts, core = case.hosts, case.core
+    hosts, cluster = case.hosts, case.cluster
     case.members = hosts
-    case.claims(15_000, core.now + 14_000_000)
+    case.claims(15_000, cluster.now + 14_000_000)
 
     def free() -> None:
         held = sorted(set(case.acked) - case.freed)
-        if held and core.now < 15_000_000:
+        if held and cluster.now < 15_000_000:
             key = rng.choice(held)
-            owner = core.hosts[case.acked[key]]
+            owner = cluster.hosts[case.acked[key]]
             case.freed.add(key)
             owner.ask(Unclaim(key, owner.name, "1"), lambda _: None)
-        core.later(rng.randrange(100_000), free)
+        cluster.later(rng.randrange(100_000), free)
 
     def fault() -> None:
-        if core.now > 15_000_000:
+        if cluster.now > 15_000_000:
             return
-        host, lasts = rng.choice(hosts), rng.randrange(100_000, 2_000_000)
+        host, duration = rng.choice(hosts), rng.randrange(100_000, 2_000_000)
         others = [(host.name, other.name) for other in hosts if other is not host]
         kind = rng.choice(("down", "wipe", "cut", "stall", "freeze", "all"))
         if kind in ("down", "wipe"):
             host.stop(wipe=kind == "wipe")
-            core.later(lasts, host.start)
+            cluster.later(duration, host.start)
         elif kind == "cut":
-            core.cut([*others, *((b, a) for a, b in others)])
-            core.later(lasts, core.heal)
+            cluster.cut([*others, *((b, a) for a, b in others)])
+            cluster.later(duration, cluster.heal)
         elif kind == "stall":
-            host.stalled_until = core.now + lasts
+            host.stalled_until = cluster.now + duration
         elif kind == "freeze":
-            host.frozen_until = core.now + lasts
+            host.frozen_until = cluster.now + duration
         else:
             for one in hosts:
                 one.stop()
-                core.later(rng.randrange(50_000, 600_000), one.start)
-        core.later(lasts + 4_000_000, fault)
+                cluster.later(rng.randrange(50_000, 600_000), one.start)
+        cluster.later(duration + 4_000_000, fault)
 
-    def look() -> None:
-        """The members of the newest view that say so hold all that was acknowledged and not freed."""
-        newest = max((v for v in core.views().values()), key=lambda view: view.epoch, default=None)
+    def observe() -> None:
+        """Members of the newest view with a snapshot hold all claims that were acknowledged and not freed."""
+        newest = max((v for v in cluster.views().values()), key=lambda view: view.epoch, default=None)
         for host in hosts:
             if host.replica is None or host.replica.agreement.view != newest:
                 continue
             if host.replica.chain.has_snapshot:
-                assert case.lacks(host) == [], (host.name, core.now)
-        core.later(197_000, look)
-
-    core.later(2_000_000, fault)
-    core.later(500_000, free)
-    look()
-    core.run(24_000_000)
-    case.alike()
+                assert case.lacks(host) == [], (host.name, cluster.now)
+        cluster.later(197_000, observe)
+
+    cluster.later(2_000_000, fault)
+    cluster.later(500_000, free)
+    observe()
+    cluster.run(24_000_000)
+    case.assert_all_equal()
     assert len(case.acked) > 300
 
 
-def test_a_sender_that_has_less_than_the_taker_says_nothing() -> None:
-    rows = CommittedRows.of((KEY, f"k{n}", n, ["g", "1"]) for n in range(1, 50))
+def test_a_sender_behind_the_receiver_does_not_answer() -> None:
+    rows = CommittedRows.of((KEY_KIND, f"k{n}", n, ["g", "1"]) for n in range(1, 50))
     entries = recent.RecentEntries(10, 1_000, start=49)
-    request = transfer.SnapshotRequest(5, transfer.SnapshotPosition(COMPLETE, 50))
+    request = transfer.SnapshotRequest(5, transfer.SnapshotPosition(COMPLETE_BUCKET, 50))
     assert transfer.next_piece(rows, entries, 49, request) is None
     learner = Learner(transfer.SnapshotPosition(9, 50))
     asked = learner.next_request(["a"], 100)
     assert asked is not None
     older = SnapshotPiece(asked.id, transfer.SnapshotPosition(12, 49), from_start=True)
-    assert not learner.answered("a", older)
+    assert not learner.accepts("a", older)
 
 
 def pieces_of(rows: CommittedRows, entries: recent.RecentEntries, index: int) -> Iterator[SnapshotPiece]:
-    position = transfer.NOTHING
+    position = transfer.EMPTY_POSITION
     while True:
         piece = transfer.next_piece(rows, entries, index, transfer.SnapshotRequest(1, position))
         assert piece is not None
@@ -498,7 +500,7 @@
 
 
 def test_a_piece_is_bounded() -> None:
-    rows = CommittedRows.of((KEY, f"k{n}", n, ["g", "x" * (n % 300)]) for n in range(1, 5_000))
+    rows = CommittedRows.of((KEY_KIND, f"k{n}", n, ["g", "x" * (n % 300)]) for n in range(1, 5_000))
     pieces = list(pieces_of(rows, recent.RecentEntries(10, 1_000, start=5_000), 5_000))
     assert sum(len(piece.rows) for piece in pieces) == 4_999
     assert max(len(piece.rows) for piece in pieces) < 30
--- a/tests/control/test_order_timelines.py
+++ b/tests/control/test_order_timelines.py
@@ -8,12 +8,12 @@
 
 import msgspec
 import pytest
-from corekit import Core, Host
 from operators import Operator, order, plant, route
+from simulated_cluster import Host, SimulatedCluster
 
-from brackengate.control.actions import Action, Answer, Store, Tell
+from brackengate.control.actions import Action, Answer, Send, Store
 from brackengate.control.chain import Chain
-from brackengate.control.commands import OPERATOR_PATIENCE
+from brackengate.control.commands import OPERATOR_TIMEOUT_US
 from brackengate.control.store import open_disk
 from brackengate.protocol.config_items import Item
 from brackengate.protocol.messages import Amend, Configuration, Member, Read, Row, Submit, View
@@ -29,14 +29,14 @@
     """A core that has taken the first order."""
 
     def __init__(self, seed: int = 1, members: int = 3, folder: Path | None = None) -> None:
-        self.core = Core([f"10.0.0.{n + 1}:80" for n in range(members)], seed, folder=folder)
-        self.hosts = list(self.core.hosts.values())
-        self.operator = Operator(self.core, seed)
-        self.core.run(2 * S)
+        self.cluster = SimulatedCluster([f"10.0.0.{n + 1}:80" for n in range(members)], seed, folder=folder)
+        self.hosts = list(self.cluster.hosts.values())
+        self.operator = Operator(self.cluster, seed)
+        self.cluster.run(2 * S)
         self.taken(FIRST)
 
     def passes(self, seconds: float) -> None:
-        self.core.run(self.core.now + int(seconds * S))
+        self.cluster.run(self.cluster.now + int(seconds * S))
 
     def taken(self, *bodies: str) -> None:
         for body in bodies:
@@ -63,11 +63,11 @@
         """Of the newest view."""
         alive = [host.replica for host in self.hosts if host.replica is not None]
         newest = max(alive, key=lambda replica: replica.agreement.view.epoch)
-        return self.core.hosts[newest.agreement.view.members[0].addr]
+        return self.cluster.hosts[newest.agreement.view.members[0].addr]
 
     def cut_off(self, host: Host) -> None:
         others = [other.name for other in self.hosts if other is not host]
-        self.core.cut(pair for other in others for pair in ((host.name, other), (other, host.name)))
+        self.cluster.cut(pair for other in others for pair in ((host.name, other), (other, host.name)))
 
 
 def _nothing(mesh: Mesh) -> None:
@@ -78,7 +78,7 @@
     head = mesh.head()
     head.stop()
     mesh.passes(3)
-    mesh.core.later(0, head.start)
+    mesh.cluster.later(0, head.start)
 
 
 def _each_wiped(mesh: Mesh) -> None:
@@ -93,7 +93,7 @@
     for host in mesh.hosts:
         host.stop()
     for host in mesh.hosts:
-        mesh.core.later(S // 2, host.start)
+        mesh.cluster.later(S // 2, host.start)
 
 
 @pytest.mark.parametrize("fault", [_nothing, _head_lost, _each_wiped, _all_restarted])
@@ -124,14 +124,14 @@
         ("plant", "p", msgspec.to_builtins(Item(2, "", plant("p", 2)))),
         ("route", "a", msgspec.to_builtins(Item(7, "h.example", route("a", 7)))),
     ]
-    core = Core([f"10.0.0.{n + 1}:80" for n in range(3)], 1, folder=tmp_path)
-    for host in core.hosts.values():
+    cluster = SimulatedCluster([f"10.0.0.{n + 1}:80" for n in range(3)], 1, folder=tmp_path)
+    for host in cluster.hosts.values():
         disk, _ = open_disk(str(host.disk.folder / "1"), True)  # type: ignore[union-attr]
         disk.write([Store({"place": 2, "lineage": 1}, [(n + 1, row) for n, row in enumerate(old)])])
         disk.close()
         host.disk.lives = 1  # type: ignore[union-attr]
-    core.run(2 * S)
-    operator = Operator(core, 1)
+    cluster.run(2 * S)
+    operator = Operator(cluster, 1)
     for body, status in (
         (order(route("a", 7)), 200),
         (order(route("a", 7, cutoff=OTHER)), 409),
@@ -139,7 +139,7 @@
         (order(route("a", 5)), 409),
     ):
         sent = operator.send(body)
-        core.run(core.now + 2 * S)
+        cluster.run(cluster.now + 2 * S)
         assert sent.status == status, body
 
 
@@ -167,7 +167,7 @@
     mesh.passes(3)
     assert lost.status == 0
     mesh.taken(Y)
-    mesh.core.heal()
+    mesh.cluster.heal()
     head.start()
     mesh.passes(6)
     assert lost.status == 409
@@ -183,7 +183,7 @@
     sent = mesh.operator.send(X, [head, *others])
     mesh.passes(4)
     assert sent.status == 200
-    mesh.core.heal()
+    mesh.cluster.heal()
     mesh.passes(4)
     assert mesh.status_everywhere(X) == [200] * 3
     assert mesh.status_everywhere(Y) == [409] * 3
@@ -199,7 +199,7 @@
     mesh.passes(4)
     assert sent.status == 400
     mesh.taken(order(plants=[plant("later", 3)]))
-    mesh.core.heal()
+    mesh.cluster.heal()
     mesh.passes(12)
     assert mesh.read("new") == {}
     mesh.taken(early)  # sent again as an order of its own, it is valid by now
@@ -211,12 +211,12 @@
     early = order(route("new", 5, to="later"))
     away = next(host for host in mesh.hosts if host is not mesh.head())
     mesh.cut_off(away)
-    away.ask(Amend(early), lambda _: None, OPERATOR_PATIENCE)
+    away.ask(Amend(early), lambda _: None, OPERATOR_TIMEOUT_US)
     mesh.passes(1)
     sent = mesh.operator.send(early, [mesh.head()])
     mesh.taken(order(plants=[plant("later", 3)]))
     assert sent.status == 400
-    mesh.core.heal()
+    mesh.cluster.heal()
     mesh.passes(12)
     assert mesh.read("new") == {}
 
@@ -245,34 +245,34 @@
     """It may have lain in a queue, and its caller may have been refused since."""
     chain = Chain("a:80", 1, 60 * S, 0, 1, 0)
     members = (Member("a:80", "first", 1), Member("b:80", "first", 1))
-    chain.viewed(View(2, members), "first", 0)
-    assert chain.heard("b:80", Submit(7, Amend(FIRST), epoch=1), 0) == []
-    assert chain.heard("b:80", Submit(8, Amend(FIRST), epoch=2), 0) != []
+    chain.on_view(View(2, members), "first", 0)
+    assert chain.on_message("b:80", Submit(7, Amend(FIRST), epoch=1), 0) == []
+    assert chain.on_message("b:80", Submit(8, Amend(FIRST), epoch=2), 0) != []
 
 
 def submitted(actions: Iterable[Action]) -> list[Submit]:
-    return [one.word for one in actions if isinstance(one, Tell) and isinstance(one.word, Submit)]
+    return [one.message for one in actions if isinstance(one, Send) and isinstance(one.message, Submit)]
 
 
 def test_an_order_whose_caller_has_gone_is_not_submitted_again() -> None:
     chain = Chain("b:80", 1, 60 * S, 0, 1, 0)
     members = (Member("a:80", "first", 1), Member("b:80", "first", 1))
-    chain.viewed(View(2, members), "first", 0)
-    chain.ask(Amend(FIRST), 7, 0)
-    chain.ask(Amend(X), 8, 0)
+    chain.on_view(View(2, members), "first", 0)
+    chain.submit_command(Amend(FIRST), 7, 0)
+    chain.submit_command(Amend(X), 8, 0)
     chain.withdraw(7)
     assert [one.what for one in submitted(chain.tick(S // 2))] == [Amend(X)]
-    assert [one.what for one in submitted(chain.viewed(View(3, members), "first", S))] == [Amend(X)]
+    assert [one.what for one in submitted(chain.on_view(View(3, members), "first", S))] == [Amend(X)]
 
 
 def test_an_order_that_waited_too_long_is_not_submitted_in_a_new_view() -> None:
     """Its replica stood still, and hears of the view before anything else."""
     chain = Chain("b:80", 1, 60 * S, 0, 1, 0)
     members = (Member("a:80", "first", 1), Member("b:80", "first", 1))
-    chain.viewed(View(2, members), "first", 0)
-    chain.ask(Amend(FIRST), 7, 0, OPERATOR_PATIENCE)
-    assert [one.what for one in submitted(chain.viewed(View(3, members), "first", S))] == [Amend(FIRST)]
-    out = chain.viewed(View(4, members), "first", 3 * S)
+    chain.on_view(View(2, members), "first", 0)
+    chain.submit_command(Amend(FIRST), 7, 0, OPERATOR_TIMEOUT_US)
+    assert [one.what for one in submitted(chain.on_view(View(3, members), "first", S))] == [Amend(FIRST)]
+    out = chain.on_view(View(4, members), "first", 3 * S)
     assert Answer(7, None) in out
     assert submitted(out) == []
 
--- a/tests/proxy/test_snapshot_receiver.py
+++ b/tests/proxy/test_snapshot_receiver.py
@@ -8,7 +8,7 @@
 
 from brackengate.control import transfer
 from brackengate.control.log import ReplicaLog
-from brackengate.control.transfer import NOTHING, Differs, next_piece
+from brackengate.control.transfer import EMPTY_POSITION, CopyMismatch, next_piece
 from brackengate.protocol.messages import Entry, SnapshotPiece, SnapshotRequest
 from brackengate.proxy.routing_table import RoutingTable
 from brackengate.proxy.snapshot_receiver import SnapshotReceiver
@@ -87,9 +87,9 @@
     sender, receiver = Sender(), SnapshotReceiver()
     for _ in range(5):
         receiver.receive(receiver.position, sender.piece(receiver))
-    sender.log.recent_public.begin(ITEMS)
+    sender.log.recent_public.reset(ITEMS)
     sender.set(ITEMS + 1, "plant", "p1", plant(1, 2))
-    sender.log.recent_public.begin(ITEMS + 1)
+    sender.log.recent_public.reset(ITEMS + 1)
     assert sender.piece(receiver).from_start
     finish(sender, receiver)
     assert receiver.rows.checksum == sender.log.state.public.checksum
@@ -98,7 +98,7 @@
 def test_a_piece_that_follows_another_place_is_left_alone() -> None:
     """Two replicas are asked at once, and the copy has gone on at the other one."""
     sender, receiver = Sender(), SnapshotReceiver()
-    receiver.receive(NOTHING, sender.piece(receiver))
+    receiver.receive(EMPTY_POSITION, sender.piece(receiver))
     requested_after, piece = receiver.position, sender.piece(receiver)
     for _ in range(2):
         receiver.receive(receiver.position, sender.piece(receiver))
@@ -114,9 +114,9 @@
     for _ in range(3):
         receiver.receive(receiver.position, sender.piece(receiver))
     receiver.rows.set("plant", "p0", 1, plant(0, 1))
-    with pytest.raises(Differs):
+    with pytest.raises(CopyMismatch):
         finish(sender, receiver)
-    assert receiver.position == NOTHING and receiver.rows.count == 0
+    assert receiver.position == EMPTY_POSITION and receiver.rows.count == 0
     finish(sender, receiver)
     assert receiver.rows.checksum == sender.log.state.public.checksum
 
--- a/tests/proxy/test_staged_changes.py
+++ b/tests/proxy/test_staged_changes.py
@@ -13,7 +13,7 @@
 
 from brackengate.control import transfer
 from brackengate.control.log import ReplicaLog
-from brackengate.control.transfer import NOTHING
+from brackengate.control.transfer import EMPTY_POSITION
 from brackengate.protocol.messages import (
     Changes,
     Entry,
@@ -199,7 +199,7 @@
 class SnapshotSource(Replica):
     def __init__(self, index: int, rows: tuple[Row, ...]) -> None:
         super().__init__()
-        self.position, self.sent_all = NOTHING, False
+        self.position, self.sent_all = EMPTY_POSITION, False
         self._log = ReplicaLog(0)
         for at, row in enumerate(rows, index - len(rows) + 1):
             self._log.take(Entry(at, (row,)))
