--- a/brackengate/control/config_changes.py
+++ b/brackengate/control/config_changes.py
@@ -1,11 +1,11 @@
-"""What becomes of an order of the operator, by all that was acknowledged before it.  Pure.
-
-An order is acknowledged as a whole, together with a record of each of its items: the version and a digest of
-its content (`protocol/contents.py`).  The record of the version that holds is the item itself; those of
-versions that were overtaken stand in the item's history, a row of the log like any other, which every
-replica stores and no follower gets.  So of two orders that give an item different contents under one version
-the second one finds the record of the first, and one that was acknowledged finds its own, whatever has
-become of its services and places since.
+"""Decides an operator's configuration change against everything acknowledged before it.  No I/O.
+
+A change is acknowledged as a whole, together with a record of each of its items: the version and a digest of
+its content (`protocol/contents.py`).  The record of the version in force is the item itself; those of
+superseded versions are kept in the item's history, an ordinary row of the log, which every replica stores
+and no follower receives.  So of two changes with different contents for one version of an item, the second
+finds the record of the first; and a change that was acknowledged finds its own record when it is sent again,
+whatever has happened to its services and locations since.
 """
 
 from __future__ import annotations
@@ -26,25 +26,26 @@
     UndecidedChange,
 )
 
-MAX_OVERTAKEN_VERSIONS = 256  # overtaken versions of one item whose digests are kept
+MAX_OVERTAKEN_VERSIONS = 256  # superseded versions of one item whose digests are kept
 NOTHING_FORGOTTEN = -1
 
 
 class History(msgspec.Struct, frozen=True, array_like=True):
-    """The overtaken versions of one item that were acknowledged.
+    """The acknowledged versions of one item that were superseded.
 
-    Of versions above `forgotten` every one that was acknowledged is there; of others nothing is known.
+    All acknowledged versions above `forgotten` are included; about the others nothing is known.
     """
 
     forgotten: int = NOTHING_FORGOTTEN
-    digests: str = ""  # as in "5=DIGEST 7=DIGEST": one text takes a tenth of the memory of a map
+    digests: str = ""  # "5=DIGEST 7=DIGEST": one string takes a tenth of the memory of a dict
 
     def versions(self) -> dict[int, str]:
+        """The digests by version."""
         pairs = (one.partition("=") for one in self.digests.split())
         return {int(version): found for version, _, found in pairs}
 
     def with_versions(self, added: Mapping[int, str]) -> History:
-        """The highest ones are kept."""
+        """This history with more versions, of which the highest `MAX_OVERTAKEN_VERSIONS` are kept."""
         known = sorted({**self.versions(), **added}.items())
         gone, kept = known[:-MAX_OVERTAKEN_VERSIONS], known[-MAX_OVERTAKEN_VERSIONS:]
         forgotten = gone[-1][0] if gone else self.forgotten
@@ -55,20 +56,22 @@
 
 
 class Verdict(Enum):
-    """How one item of an order stands to what was acknowledged."""
+    """How one item of a change compares with what was acknowledged."""
 
-    NEWER = auto()  # than what holds: it takes effect
+    NEWER = auto()  # than the version in force: it takes effect
     ACKNOWLEDGED = auto()  # before, with this content
-    OVERTAKEN = auto()  # by a higher version, before it ever came
-    CONFLICTING = auto()  # another content was acknowledged under its version
-    FORGOTTEN = auto()  # too old to know
+    OVERTAKEN = auto()  # superseded by a higher version before it was received
+    CONFLICTING = auto()  # this version was acknowledged with other content
+    FORGOTTEN = auto()  # too old to tell
 
 
-NEVER_ACKNOWLEDGED = (Verdict.NEWER, Verdict.OVERTAKEN)  # nothing was acknowledged under that version
+NEVER_ACKNOWLEDGED = (Verdict.NEWER, Verdict.OVERTAKEN)  # this version was not acknowledged
 
 
 @dataclass(frozen=True, slots=True)
 class ClassifiedItem:
+    """An item of a change, and how it compares with what was acknowledged."""
+
     name: ItemName
     item: Item
     verdict: Verdict
@@ -82,38 +85,40 @@
 
 @dataclass(frozen=True, slots=True)
 class ChangeDecision:
-    """`items` come into force, with the histories of all names whose record has changed."""
+    """The result, the items that take effect, and the new histories of all names whose record changes."""
 
     result: ChangeResult
     items: Mapping[ItemName, Item]
     histories: Mapping[ItemName, History]
 
 
-def decide(order: ConfigChange, held: ItemIndex, history_of: HistoryOf) -> ChangeDecision:
-    """Taken whole, with its records, or refused whole.
+def decide(change: ConfigChange, current: ItemIndex, history_of: HistoryOf) -> ChangeDecision:
+    """Accepts a change as a whole, with its records, or rejects it as a whole.
 
-    An order that was taken has a record, or forgotten versions, for each of its items ever after.  So what
-    is refused here was never taken: by a conflict, or by an item that was never acknowledged.
+    From then on, an accepted change has a record, or forgotten versions, for each of its items.  So a change
+    that is rejected here was never accepted: it conflicts, or one of its items was never acknowledged.
     """
-    judged = [ClassifiedItem(name, item, _classify(name, item, held, history_of)) for name, item in order]
-    refusal = _refusal_by_records(judged)
+    classified = [
+        ClassifiedItem(name, item, _classify(name, item, current, history_of)) for name, item in change
+    ]
+    refusal = _refusal_by_records(classified)
     if refusal is not None:
         return ChangeDecision(refusal, {}, {})
-    fresh = [one for one in judged if one.verdict in NEVER_ACKNOWLEDGED]
-    items = _highest_newer_versions(fresh)
+    unacknowledged = [one for one in classified if one.verdict in NEVER_ACKNOWLEDGED]
+    items = _highest_newer_versions(unacknowledged)
     try:
-        _validate_outcome(fresh, items, held, order.routes)
+        _validate_outcome(unacknowledged, items, current, change.routes)
     except InvalidConfig as why:
         return ChangeDecision(InvalidChange(str(why)), {}, {})
-    return ChangeDecision(CommandDone(), items, _new_histories(fresh, items, held, history_of))
+    return ChangeDecision(CommandDone(), items, _new_histories(unacknowledged, items, current, history_of))
 
 
-def _classify(name: ItemName, item: Item, held: Mapping[ItemName, Item], history_of: HistoryOf) -> Verdict:
-    holds = held.get(name)
-    if holds is None or item.version > holds.version:
+def _classify(name: ItemName, item: Item, current: Mapping[ItemName, Item], history_of: HistoryOf) -> Verdict:
+    in_force = current.get(name)
+    if in_force is None or item.version > in_force.version:
         return Verdict.NEWER
-    if item.version == holds.version:
-        known: str | None = digest(name[0], holds)
+    if item.version == in_force.version:
+        known: str | None = digest(name[0], in_force)
     else:
         history = history_of(name)
         known = history.versions().get(item.version)
@@ -122,24 +127,24 @@
     return Verdict.ACKNOWLEDGED if known == digest(name[0], item) else Verdict.CONFLICTING
 
 
-def _refusal_by_records(judged: Iterable[ClassifiedItem]) -> ConflictingChange | UndecidedChange | None:
-    """Why what was acknowledged before, or is forgotten, stands against the order."""
-    conflicting = [str(one) for one in judged if one.verdict is Verdict.CONFLICTING]
+def _refusal_by_records(classified: Iterable[ClassifiedItem]) -> ConflictingChange | UndecidedChange | None:
+    """The rejection of a change by what was acknowledged before, or is forgotten; None if there is none."""
+    conflicting = [str(one) for one in classified if one.verdict is Verdict.CONFLICTING]
     if conflicting:
         return ConflictingChange(f"acknowledged with other content before: {', '.join(conflicting)}")
-    forgotten = [str(one) for one in judged if one.verdict is Verdict.FORGOTTEN]
+    forgotten = [str(one) for one in classified if one.verdict is Verdict.FORGOTTEN]
     if not forgotten:
         return None
     reason = f"overtaken too long ago to know what it was: {', '.join(forgotten)}"
-    if any(one.verdict in NEVER_ACKNOWLEDGED for one in judged):
+    if any(one.verdict in NEVER_ACKNOWLEDGED for one in classified):
         return ConflictingChange(reason)
     return UndecidedChange(reason)
 
 
-def _highest_newer_versions(fresh: Iterable[ClassifiedItem]) -> dict[ItemName, Item]:
-    """The highest version of a name holds."""
+def _highest_newer_versions(unacknowledged: Iterable[ClassifiedItem]) -> dict[ItemName, Item]:
+    """The items that take effect: of each name, the highest version."""
     found: dict[ItemName, Item] = {}
-    for one in fresh:
+    for one in unacknowledged:
         if one.verdict is Verdict.NEWER:
             before = found.get(one.name)
             if before is None or before.version < one.item.version:
@@ -148,42 +153,51 @@
 
 
 def _validate_outcome(
-    fresh: list[ClassifiedItem], items: Mapping[ItemName, Item], held: ItemIndex, read: Mapping[str, Route]
+    unacknowledged: list[ClassifiedItem],
+    items: Mapping[ItemName, Item],
+    current: ItemIndex,
+    routes: Mapping[str, Route],
 ) -> None:
-    """`InvalidConfig` where the outcome holds two routes at one place, or a route's service is unknown.
+    """`InvalidConfig` if the outcome has two routes at one location, or a route to an unknown service.
 
-    The service is asked of every item that was never acknowledged, also of an overtaken one: an order that
-    names an unknown service is invalid whatever its version.  Nothing is asked of what was acknowledged.
-    What stood before was sound, so only what the order changes is looked at.  `read`: the routes it sets.
+    The services of every item that was never acknowledged are checked, also of a superseded one: a change
+    that names an unknown service is invalid whatever its version.  Acknowledged items are not checked.  The
+    previous configuration was valid, so only what the change affects is checked.  `routes`: those it sets.
     """
-    coming = [
-        (one, read[one.name[1]]) for one in fresh if one.name[0] == "route" and one.item.body is not None
+    set_routes = [
+        (one, routes[one.name[1]])
+        for one in unacknowledged
+        if one.name[0] == "route" and one.item.body is not None
     ]
-    _check_route_conflicts((it for one, it in coming if items.get(one.name) is one.item), items, held)
+    _check_route_conflicts(
+        (route for one, route in set_routes if items.get(one.name) is one.item), items, current
+    )
     removed = [name for (kind, name), item in items.items() if kind == "plant" and item.body is None]
     for service in removed:
-        for name in sorted(held.users(service)):
+        for name in sorted(current.users(service)):
             if ("route", name) not in items:
                 raise _unknown_service_error(name, service)
     known: set[str] = set()
-    for one, it in coming:
-        for service in services_of(it) - known:
-            if not _exists(("plant", service), items, held):
+    for one, route in set_routes:
+        for service in services_of(route) - known:
+            if not _exists(("plant", service), items, current):
                 raise _unknown_service_error(one.name[1], service)
             known.add(service)
 
 
-def _check_route_conflicts(coming: Iterable[Route], items: Mapping[ItemName, Item], held: ItemIndex) -> None:
-    places: dict[Place, str] = {}
-    for it in coming:
-        place = place_of(it)
-        stays = any(("route", name) not in items for name in held.at_place(place))
-        if stays or places.setdefault(place, it.name) != it.name:
-            raise InvalidConfig(f"two routes at {it.host}{it.prefix}")
+def _check_route_conflicts(
+    set_routes: Iterable[Route], items: Mapping[ItemName, Item], current: ItemIndex
+) -> None:
+    name_by_location: dict[Place, str] = {}
+    for route in set_routes:
+        location = place_of(route)
+        stays = any(("route", name) not in items for name in current.at_place(location))
+        if stays or name_by_location.setdefault(location, route.name) != route.name:
+            raise InvalidConfig(f"two routes at {route.host}{route.prefix}")
 
 
-def _exists(name: ItemName, items: Mapping[ItemName, Item], held: ItemIndex) -> bool:
-    item = items[name] if name in items else held.get(name)
+def _exists(name: ItemName, items: Mapping[ItemName, Item], current: ItemIndex) -> bool:
+    item = items[name] if name in items else current.get(name)
     return item is not None and item.body is not None
 
 
@@ -192,15 +206,18 @@
 
 
 def _new_histories(
-    fresh: Iterable[ClassifiedItem], items: Mapping[ItemName, Item], held: ItemIndex, history_of: HistoryOf
+    unacknowledged: Iterable[ClassifiedItem],
+    items: Mapping[ItemName, Item],
+    current: ItemIndex,
+    history_of: HistoryOf,
 ) -> dict[ItemName, History]:
-    """What of the order is overtaken already, and what it overtakes."""
+    """The histories extended by what the change supersedes, and by what of it is superseded already."""
     added: dict[ItemName, list[NamedItem]] = {}
-    for one in fresh:
+    for one in unacknowledged:
         if items.get(one.name) is not one.item:
             added.setdefault(one.name, []).append((one.name, one.item))
-    for name in filter(held.__contains__, items):
-        added.setdefault(name, []).append((name, held[name]))
+    for name in filter(current.__contains__, items):
+        added.setdefault(name, []).append((name, current[name]))
     return {
         name: history_of(name).with_versions({item.version: digest(name[0], item) for _, item in found})
         for name, found in added.items()
--- a/brackengate/control/follower_connections.py
+++ b/brackengate/control/follower_connections.py
@@ -141,8 +141,8 @@
         follower.lines.send(word)
 
     def _say_encoded(self, follower: Follower, message: EncodedMessage, stream: bool = True) -> None:
-        """One that is made once for several of them.  `stream`: as of `JsonConnection.send_raw`."""
-        follower.lines.send_raw(message, stream)
+        """One that is made once for several of them.  `stream`: as of `JsonConnection.send_encoded`."""
+        follower.lines.send_encoded(message, stream)
 
     def _say_beat(self, follower: Follower, echo: int = 0) -> None:
         """Changes are none: with them alone a follower would not know that it is current."""
--- a/brackengate/control/role.py
+++ b/brackengate/control/role.py
@@ -190,7 +190,7 @@
         if link is None:
             link = self._links[tell.addr] = self._dial(tell.addr)
         if isinstance(tell.word, StageChange):
-            link.send_raw(self._encoded_stage(tell.word))
+            link.send_encoded(self._encoded_stage(tell.word))
         else:
             link.send(tell.word)
 
--- a/brackengate/protocol/__init__.py
+++ b/brackengate/protocol/__init__.py
@@ -1,4 +1,4 @@
-"""What pilots and lighthouses say to each other, and what both are told.
+"""The protocol between proxies, control replicas and operators: messages, configuration and settings.
 
-No sockets but in `json_connection`.
+Only `json_connection` and `http_api` use sockets.
 """
--- a/brackengate/protocol/config_items.py
+++ b/brackengate/protocol/config_items.py
@@ -1,6 +1,7 @@
-"""The operator's items: routes, services (plants) and limits, each under a version of its own.  Pure.
+"""The operator's configuration items: routes, services (`Plants`) and limits, each with a version.  No I/O.
 
-A call is read whole before anything of it counts; `InvalidConfig` says which item and what is wrong with it.
+A configuration document is parsed completely before any of it takes effect; `InvalidConfig` names the item
+and what is wrong with it.  The error texts are sent to the operator.
 """
 
 from __future__ import annotations
@@ -19,22 +20,22 @@
 REVISION_PATTERN = re.compile(r"r([0-9]{1,18})")
 SIGNAL_KINDS = ("idempotent", "effectful", "keyed")
 
-_NESTING = (dict, list)
-MAX_BODY_DEPTH = 32  # of an item's body; deeper ones could be taken and then not be written
-ROUTES_PER_SLICE = 200  # that are read in one step
+_CONTAINERS = (dict, list)
+MAX_BODY_DEPTH = 32  # of nested values in an item; deeper ones might be accepted and then fail to encode
+ROUTES_PER_SLICE = 200  # parsed in one step
 
 ItemName = tuple[str, str]  # kind of item, name of item
 
 
 class InvalidConfig(Exception):
-    """A configuration that must not be in force, in any part."""
+    """The configuration change is invalid and must be rejected as a whole."""
 
 
 class Item(msgspec.Struct, frozen=True, array_like=True):
-    """One item under one version.  `body`: as it was sent; None: dropped."""
+    """One version of an item.  `body` is the JSON object as received, None if the item is removed."""
 
     version: int
-    host: str = ""  # of a route
+    host: str = ""  # for a route
     body: dict[str, Any] | None = None
 
 
@@ -42,14 +43,14 @@
 
 
 class WeightedService(msgspec.Struct, frozen=True):
-    """A service among those that a route goes to, and its weight."""
+    """One of the services that a route forwards to, and its weight."""
 
     service: str
     weight: float
 
 
 class Route(msgspec.Struct, frozen=True):
-    """A route as pilots use it; times in microseconds."""
+    """A parsed route, as proxies use it; times are microseconds."""
 
     name: str
     host: str
@@ -63,6 +64,8 @@
 
 
 class Service(msgspec.Struct, frozen=True):
+    """A parsed service: path of its health check, connection limit, and whether it deduplicates requests."""
+
     name: str
     health: str
     connections: int
@@ -71,9 +74,10 @@
 
 @dataclass(frozen=True, slots=True)
 class ConfigChange:
-    """What one call sets and drops.  A name may be set under one version and dropped under another.
+    """The items that one configuration document sets and removes.
 
-    `routes`: those that it sets, as they were read, by name.
+    A name may be set in one version and removed in another.  `routes` holds the parsed routes that it sets,
+    by name.
     """
 
     items: tuple[NamedItem, ...] = ()
@@ -148,46 +152,46 @@
 
 @lru_cache(1_024)
 def _duration_us(text: str) -> int:
-    """ValueError where it is none.  A configuration has few different ones."""
+    """Microseconds; ValueError if it is no duration.  Cached: a configuration has few different ones."""
     return int(duration(text))
 
 
 def parse_route(item: Item) -> Route:
-    """Read a route's item; `InvalidConfig` where it can't be one."""
+    """Parses the item of a route; `InvalidConfig` if it is not valid."""
     try:
-        it = msgspec.convert(item.body, _WireRoute)
+        raw = msgspec.convert(item.body, _WireRoute)
     except msgspec.ValidationError as error:
         raise InvalidConfig(f"a route: {error}") from None
     try:
-        return _validated_route(it, item.host)
+        return _validated_route(raw, item.host)
     except ValueError as why:
-        raise InvalidConfig(f"route {it.name[:40]!r}: {why}") from None
+        raise InvalidConfig(f"route {raw.name[:40]!r}: {why}") from None
 
 
-def _validated_route(it: _WireRoute, host: str) -> Route:
-    """ValueError says what is wrong with it."""
-    if not it.name or not host:
+def _validated_route(raw: _WireRoute, host: str) -> Route:
+    """The route; ValueError says what is wrong with it."""
+    if not raw.name or not host:
         raise ValueError("its name and its host must not be empty")
-    if not it.path_prefix.startswith("/"):
-        raise ValueError(f"PathPrefix must begin with a slash, not {it.path_prefix[:40]!r}")
-    if it.signal_kind not in SIGNAL_KINDS:
-        raise ValueError(f"SignalKind is one of {', '.join(SIGNAL_KINDS)}, not {it.signal_kind[:40]!r}")
-    cutoff = _named_duration(it.cutoff, "Cutoff")
-    setpoint = _named_duration(it.setpoint, "Setpoint") if it.setpoint is not None else cutoff
+    if not raw.path_prefix.startswith("/"):
+        raise ValueError(f"PathPrefix must begin with a slash, not {raw.path_prefix[:40]!r}")
+    if raw.signal_kind not in SIGNAL_KINDS:
+        raise ValueError(f"SignalKind is one of {', '.join(SIGNAL_KINDS)}, not {raw.signal_kind[:40]!r}")
+    cutoff = _named_duration(raw.cutoff, "Cutoff")
+    setpoint = _named_duration(raw.setpoint, "Setpoint") if raw.setpoint is not None else cutoff
     if setpoint - cutoff >= MINUTE_US:
         raise ValueError("Setpoint is a minute or more above Cutoff")
-    if it.max_attempts < 1:
+    if raw.max_attempts < 1:
         raise ValueError("MaxAttempts must be 1 or more")
     return Route(
-        it.name,
+        raw.name,
         host.lower(),
-        it.path_prefix,
-        it.signal_kind,
+        raw.path_prefix,
+        raw.signal_kind,
         cutoff,
         setpoint,
-        it.priority,
-        _weighted_services(it),
-        it.max_attempts,
+        raw.priority,
+        _weighted_services(raw),
+        raw.max_attempts,
     )
 
 
@@ -198,65 +202,66 @@
         raise ValueError(f"{name}: {error}") from None
 
 
-def _weighted_services(it: _WireRoute) -> tuple[WeightedService, ...]:
-    if not it.split:
-        if not it.plant:
+def _weighted_services(raw: _WireRoute) -> tuple[WeightedService, ...]:
+    if not raw.split:
+        if not raw.plant:
             raise ValueError("it names no service")
-        return (WeightedService(it.plant, 1.0),)
-    parts = tuple(WeightedService(one.plant, one.gain) for one in it.split)
-    if any(not one.weight >= 0 for one in parts):
+        return (WeightedService(raw.plant, 1.0),)
+    services = tuple(WeightedService(one.plant, one.gain) for one in raw.split)
+    if any(not one.weight >= 0 for one in services):
         raise ValueError("a weight under 0")
-    if sum(one.weight for one in parts) <= 0:
+    if sum(one.weight for one in services) <= 0:
         raise ValueError("its weights add up to nothing")
-    return parts
+    return services
 
 
 def parse_service(item: Item) -> Service:
+    """Parses the item of a service; `InvalidConfig` if it is not valid."""
     try:
-        it = msgspec.convert(item.body, _WireService)
+        raw = msgspec.convert(item.body, _WireService)
     except msgspec.ValidationError as error:
         raise InvalidConfig(f"a service: {error}") from None
-    if not it.name:
+    if not raw.name:
         raise InvalidConfig("a service without a name")
-    return Service(it.name, it.health_path, it.conn_limit, it.deduplicates)
+    return Service(raw.name, raw.health_path, raw.conn_limit, raw.deduplicates)
 
 
 def parse_change(body: bytes) -> ConfigChange:
-    """All that one order sets and drops, each item checked alone; `InvalidConfig` where one is not sound."""
-    reading = parse_in_slices(body)
+    """Parses a configuration document, each item by itself; `InvalidConfig` if one is not valid."""
+    steps = parse_in_slices(body)
     while True:
         try:
-            next(reading)
+            next(steps)
         except StopIteration as end:
-            order: ConfigChange = end.value
-            return order
+            change: ConfigChange = end.value
+            return change
 
 
 def parse_in_slices(body: bytes) -> Generator[None, None, ConfigChange]:
-    """As `parse_change`, with a pause after each `ROUTES_PER_SLICE` routes; returns the order."""
+    """As `parse_change`, but yields after each `ROUTES_PER_SLICE` routes; returns the change."""
     try:
-        call: _WireChange = msgspec.json.decode(body, type=_WireChange)
+        document: _WireChange = msgspec.json.decode(body, type=_WireChange)
     except (msgspec.DecodeError, UnicodeDecodeError, RecursionError) as error:
         raise InvalidConfig(f"the call cannot be read: {error}") from None
     routes: list[tuple[Route, Item]] = []
-    for one in _routes(call):
+    for one in _routes(document):
         routes.append(one)
         if len(routes) % ROUTES_PER_SLICE == 0:
             yield
-    return _change(call, routes)
+    return _change(document, routes)
 
 
-def _change(call: _WireChange, routes: list[tuple[Route, Item]]) -> ConfigChange:
+def _change(document: _WireChange, routes: list[tuple[Route, Item]]) -> ConfigChange:
     found: dict[tuple[ItemName, int], Item] = {}
     names: set[ItemName] = set()
     set_items = ((("route", read.name), item) for read, item in routes)
-    for name, item in (*_services(call), *_limits(call), *set_items):
+    for name, item in (*_services(document), *_limits(document), *set_items):
         if name in names:
             raise InvalidConfig(f"{name[0]} {name[1][:40]!r} stands twice in one call")
         names.add(name)
         found[name, item.version] = item
-    for kind, dropped in (("route", call.remove.routes), ("plant", call.remove.plants)):
-        for one in dropped:
+    for kind, removals in (("route", document.remove.routes), ("plant", document.remove.plants)):
+        for one in removals:
             version = _version(one.revision)
             found.setdefault(((kind, one.name), version), Item(version))
     items = tuple((name, item) for (name, _), item in found.items())
@@ -264,7 +269,7 @@
 
 
 def _versioned_item(item: Item) -> Item:
-    """With the version that its body names."""
+    """The item with the version that its body names; `InvalidConfig` if that or the nesting is not valid."""
     assert item.body is not None
     text = item.body.get("Revision")
     if not isinstance(text, str):
@@ -274,41 +279,41 @@
     return Item(_version(text), item.host, item.body)
 
 
-def _nested_deeper_than(value: dict[str, Any] | list[Any], most: int) -> bool:
-    if most == 0:
+def _nested_deeper_than(value: dict[str, Any] | list[Any], max_depth: int) -> bool:
+    if max_depth == 0:
         return True
     for one in value.values() if isinstance(value, dict) else value:
-        if isinstance(one, _NESTING) and _nested_deeper_than(one, most - 1):
+        if isinstance(one, _CONTAINERS) and _nested_deeper_than(one, max_depth - 1):
             return True
     return False
 
 
-def _services(call: _WireChange) -> Iterator[NamedItem]:
-    for raw in call.apply.plants:
+def _services(document: _WireChange) -> Iterator[NamedItem]:
+    for raw in document.apply.plants:
         item = Item(0, body=raw)
         yield ("plant", parse_service(item).name), _versioned_item(item)
 
 
-def _limits(call: _WireChange) -> Iterator[NamedItem]:
-    if call.apply.limits is not None:
-        yield ("limits", ""), _versioned_item(Item(0, body=call.apply.limits))
+def _limits(document: _WireChange) -> Iterator[NamedItem]:
+    if document.apply.limits is not None:
+        yield ("limits", ""), _versioned_item(Item(0, body=document.apply.limits))
 
 
-def _routes(call: _WireChange) -> Iterator[tuple[Route, Item]]:
-    places: dict[tuple[str, str], str] = {}
-    for host in call.apply.hosts:
+def _routes(document: _WireChange) -> Iterator[tuple[Route, Item]]:
+    name_by_location: dict[tuple[str, str], str] = {}
+    for host in document.apply.hosts:
         if not host.host:
             raise InvalidConfig("a Host is empty")
         for raw in host.paths:
             item = Item(0, host.host, raw)
             read = parse_route(item)
-            if places.setdefault((read.host, read.prefix), read.name) != read.name:
+            if name_by_location.setdefault((read.host, read.prefix), read.name) != read.name:
                 raise InvalidConfig(f"two routes at {read.host}{read.prefix}")
             yield read, _versioned_item(item)
 
 
 def config_document(items: Iterable[tuple[ItemName, Item]]) -> dict[str, Any]:
-    """All items that stand, as the first call lays them out."""
+    """All items in force, in the layout of the operator's configuration document."""
     plants: list[dict[str, Any]] = []
     hosts: dict[str, list[dict[str, Any]]] = {}
     out: dict[str, Any] = {}
--- a/brackengate/protocol/contents.py
+++ b/brackengate/protocol/contents.py
@@ -1,12 +1,12 @@
-"""What an item of the operator's says, however it is written.  Pure.
+"""Digests of the operator's configuration items that do not depend on how an item is written.  No I/O.
 
-Two items are equal where their JSON means the same value (key order, spacing, escapes, 1 and 1.0), their
-times are equal (`1500ms` and `1.5s`), and their hosts are equal but for the case of letters.  Nothing else
-is made equal: a value that is left out differs from its default, and the order of a list counts.  `Revision`
-is left out, as it is what contents are compared under.
+Two items are equal if their JSON has the same value (regardless of key order, spacing, escapes, and 1 or
+1.0), their durations are equal (`1500ms` and `1.5s`), and their hosts are equal but for the case of letters.
+Nothing else is normalized: an omitted value differs from its default, and the order of a list counts.
+`Revision` is excluded, since contents are compared per version.
 
-Digests are kept on disk: a change of what is equal here makes orders that were acknowledged before it
-conflict when they are sent again.
+Digests are stored on disk: if this normalization is changed, a configuration change that was acknowledged
+before conflicts when it is sent again.
 """
 
 from __future__ import annotations
@@ -21,11 +21,12 @@
 from brackengate.protocol.config_items import Item
 
 DIGEST_BYTES = 12
+# By kind of item, the keys whose values are durations.
 DURATION_KEYS = {"route": ("Cutoff", "Setpoint"), "limits": ("HeaderWait", "IdleCutoff")}
 
 
 def digest(kind: str, item: Item) -> str:
-    """16 characters of base64, equal for equal contents."""
+    """Digest of an item's content: 16 characters of base64, equal for equal contents."""
     data = msgspec.json.encode(_content(kind, item), order="sorted")
     hashed = hashlib.blake2b(data, digest_size=DIGEST_BYTES).digest()
     return base64.urlsafe_b64encode(hashed).decode()
@@ -42,7 +43,7 @@
 
 
 def _normalized(value: Any) -> Any:
-    """Numbers that are equal are written alike; the encoder sees to keys and strings."""
+    """Writes equal numbers alike; the encoder normalizes keys and strings."""
     if isinstance(value, float) and value.is_integer():
         return int(value)
     if isinstance(value, dict):
@@ -53,7 +54,7 @@
 
 
 def _normalized_duration(value: Any) -> Any:
-    """A text that is no time stays as it is."""
+    """A value that is not a duration stays unchanged."""
     try:
         return {"us": exact_duration(value)}
     except ValueError:
--- a/brackengate/protocol/http_api.py
+++ b/brackengate/protocol/http_api.py
@@ -1,5 +1,5 @@
-"""HTTP towards those who are not of the system, on the present program's own server: listening, paths,
-bodies."""
+"""The HTTP interface for clients outside the mesh, on this program's own HTTP server: listening, paths
+and bodies."""
 
 from __future__ import annotations
 
@@ -24,7 +24,7 @@
 
 
 class NoCore:
-    """What stands behind a server whose fronts answer by themselves."""
+    """Request handler of a server whose frontends answer every request themselves: it handles none."""
 
     def __init__(self, clock: Clock) -> None:
         self.clock = clock
@@ -54,7 +54,7 @@
     budget: SocketBudget | None = None,
     bytes_: ByteBudget | None = None,
 ) -> Server:
-    """A server whose every path is one front's.  `bytes_`: what its bodies in pieces may hold."""
+    """A server that passes every path to one frontend.  `bytes_` limits the bytes of chunked bodies."""
     fronts: Mapping[bytes, Front] = {ANY: front}
     budget = budget or SocketBudget(512)
     return Server(
@@ -70,7 +70,7 @@
 
 
 def parse_rpc_target(target: bytes) -> tuple[str, str]:
-    """The call of an rpc target, and what it is of; empty where the path is another one."""
+    """The `call` and `of` parameters of a `/v1/rpc` target; empty if the path is another one."""
     path, _, query = target.decode("latin-1").partition("?")
     if path != "/v1/rpc":
         return "", ""
@@ -79,7 +79,7 @@
 
 
 def collect_body(arrival: Arrival, done: Callable[[bytes], None]) -> None:
-    """The whole body of a request, also of one that comes in pieces."""
+    """Calls `done` with the complete body of a request, also if it is streamed."""
     stream = arrival.stream
     if stream is None:
         done(arrival.body)
@@ -100,7 +100,7 @@
 
 
 class Readiness:
-    """Answers whether clients may come."""
+    """Frontend of the readiness check: 200 if clients may be accepted, else 503."""
 
     most_body = 1 << 10
 
--- a/brackengate/protocol/json_connection.py
+++ b/brackengate/protocol/json_connection.py
@@ -1,8 +1,8 @@
 """Connections between this system's processes: JSON messages over TCP, one per line.
 
-Long lines go compressed and in parts (`message_parts.py`). The messages of the stream (`ORDERED_MESSAGES`)
-keep their order; other long ones go in the background, and other short ones at once: liveness never waits
-behind bulk, nor do news behind what is not in force yet.
+Long messages are compressed and sent in parts (`message_parts.py`).  `ORDERED_MESSAGES` form a stream that
+keeps its order.  Other long messages are sent in the background, and other short ones at once, so that
+heartbeats never wait behind bulk data, nor committed changes behind data that is not in effect yet.
 """
 
 from __future__ import annotations
@@ -29,9 +29,7 @@
 log = logging.getLogger("brackengate.lines")
 
 ORDERED_MESSAGES = (Append, Changes, SnapshotPiece)
-UNACKNOWLEDGED_TIMEOUT_MS = (
-    1_200  # a connection whose bytes nobody takes for so long is given up: a cut says nothing
-)
+UNACKNOWLEDGED_TIMEOUT_MS = 1_200  # TCP_USER_TIMEOUT: a network partition sends no reset
 CONNECT_TIMEOUT_S = 0.6
 RECONNECT_DELAY_S, MAX_RECONNECT_DELAY_S = 0.05, 0.4
 
@@ -40,23 +38,23 @@
 
 
 class JsonConnection(asyncio.Protocol):
-    """One connection.  `on_line` gets every word; one that can't be read ends the connection."""
+    """One connection.  `on_message` gets every message; one that can't be read ends the connection."""
 
     def __init__(
         self,
-        on_line: Callable[[JsonConnection, Message], None],
+        on_message: Callable[[JsonConnection, Message], None],
         on_open: Callable[[JsonConnection], None],
         on_lost: Callable[[JsonConnection], None],
         on_part: Callable[[], None] = lambda: None,
     ) -> None:
-        """`on_part`: a part of a long message has come: the other side is slow, but not silent."""
-        self._on_line, self._on_open, self._on_lost, self._on_part = on_line, on_open, on_lost, on_part
+        """`on_part`: called for each part of a long message, which shows that a slow peer is alive."""
+        self._on_message, self._on_open, self._on_lost, self._on_part = on_message, on_open, on_lost, on_part
         self._loop = asyncio.get_running_loop()
         self._transport: asyncio.Transport | None = None
-        self._rest: list[bytes] = []  # of a line that is not whole yet
-        self._waits = 0  # bytes of it
+        self._incomplete: list[bytes] = []  # of a line whose end has not arrived
+        self._incomplete_bytes = 0
         self._incoming, self._outgoing = IncomingMessages(), OutgoingMessages()
-        self.peer = ""  # who speaks, by its first line
+        self.peer = ""  # the peer's address, from its first message
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         self._transport = cast(asyncio.Transport, transport)
@@ -67,62 +65,66 @@
         self._on_open(self)
 
     def data_received(self, data: bytes) -> None:
-        whole, end, rest = data.rpartition(b"\n")
+        lines, end, rest = data.rpartition(b"\n")
         if not end:
-            self._rest.append(data)
-            self._waits += len(data)
-            return self.close() if self._waits > MAX_MESSAGE_BYTES else None
-        whole = b"".join((*self._rest, whole))
-        self._rest, self._waits = [rest], len(rest)
-        for one in whole.split(b"\n"):
+            self._incomplete.append(data)
+            self._incomplete_bytes += len(data)
+            return self.close() if self._incomplete_bytes > MAX_MESSAGE_BYTES else None
+        lines = b"".join((*self._incomplete, lines))
+        self._incomplete, self._incomplete_bytes = [rest], len(rest)
+        for line in lines.split(b"\n"):
             if self._transport is None:
                 return
             try:
-                self._read(one)
+                self._read(line)
             except (msgspec.DecodeError, UnicodeDecodeError, MalformedMessage) as error:
-                log.warning("lines: unreadable from %s: %s", self.peer or "a stranger", error)
+                log.warning("lines: malformed message from %s: %s", self.peer or "an unknown peer", error)
                 return self.close()
 
     def _read(self, line: bytes) -> None:
-        word = _decode(line)
-        if isinstance(word, PartReceived):
+        message = _decode(line)
+        if isinstance(message, PartReceived):
             self._outgoing.window.acknowledged(self._loop.time())
             self._send_waiting()
-        elif isinstance(word, MessagePart):
+        elif isinstance(message, MessagePart):
             self.send(PartReceived())
             self._on_part()
-            whole = self._incoming.take(word)
-            if whole is not None:
-                self._on_line(self, _decode(whole))
+            complete = self._incoming.add(message)
+            if complete is not None:
+                self._on_message(self, _decode(complete))
         else:
-            self._on_line(self, word)
+            self._on_message(self, message)
 
     def connection_lost(self, exc: Exception | None) -> None:
         self._transport = None
         self._on_lost(self)
 
-    def send(self, word: Message) -> None:
-        self._send(encode_message(word), isinstance(word, ORDERED_MESSAGES))
+    def send(self, message: Message) -> None:
+        """Sends or queues a message; it is lost if the connection is closed or ends."""
+        self._send(encode_message(message), isinstance(message, ORDERED_MESSAGES))
+
+    def send_encoded(self, message: EncodedMessage, ordered: bool = True) -> None:
+        """Sends a message that was encoded once for several connections.
 
-    def send_raw(self, message: EncodedMessage, stream: bool = True) -> None:
-        """One that is encoded for several connections.  `stream`: it is of the stream."""
-        self._send(message, stream)
+        `ordered`: whether it belongs to the stream of `ORDERED_MESSAGES`.
+        """
+        self._send(message, ordered)
 
-    def _send(self, message: EncodedMessage, stream: bool) -> None:
+    def _send(self, message: EncodedMessage, ordered: bool) -> None:
         transport = self._transport
         if transport is None or transport.is_closing():
             return
         waiting = transport.get_write_buffer_size() + self._outgoing.waiting_bytes
         if waiting > MAX_MESSAGE_BYTES:
             return self.close()
-        if message.size or (stream and self._outgoing.stream.messages):
-            self._outgoing.add(message, background=not stream)
+        if message.size or (ordered and self._outgoing.stream.messages):
+            self._outgoing.add(message, background=not ordered)
             self._send_waiting()
         else:
             transport.write(message.data)
 
     def _send_waiting(self) -> None:
-        """All of it that the window lets through."""
+        """Sends queued messages as far as the window allows."""
         while self._transport is not None:
             following = self._outgoing.next(self._loop.time())
             if following is None:
@@ -131,92 +133,99 @@
             self._transport.write(line)
 
     def close(self) -> None:
+        """Aborts the connection; queued messages are lost."""
         if self._transport is not None:
             self._transport.abort()
 
 
-def encode_message(word: Message) -> EncodedMessage:
-    """For any number of connections."""
-    return compress_long(_encode(word) + b"\n")
+def encode_message(message: Message) -> EncodedMessage:
+    """Encodes a message, to be sent on any number of connections."""
+    return compress_long(_encode(message) + b"\n")
 
 
 class Dialer:
-    """Wants a connection to one address, and works towards it for as long as it is wanted."""
+    """Keeps a connection to one address open: connects, and reconnects with exponential backoff."""
 
     def __init__(
         self,
         address: Address,
-        on_line: Callable[[Message], None],
+        on_message: Callable[[Message], None],
         on_open: Callable[[Dialer], None],
         on_lost: Callable[[], None] = lambda: None,
         on_refused: Callable[[], None] = lambda: None,
-        tries: int = 0,
+        max_failures: int = 0,
         on_part: Callable[[], None] = lambda: None,
     ) -> None:
-        """`tries`: given up after so many failures in a row; 0: never.  `on_lost` is called then too.
-        `on_part`: as of `JsonConnection`."""
+        """`max_failures`: give up after so many failed attempts in a row; 0: never.  `on_lost` is called then
+        too.  `on_refused`: nobody listens at the address.  `on_part`: as in `JsonConnection`."""
         self.address = address
-        self._line, self._opened, self._lost, self._refused = on_line, on_open, on_lost, on_refused
-        self._tries, self._on_part = tries, on_part
-        self._lines: JsonConnection | None = None
-        self._gone = asyncio.Event()
-        self._task = asyncio.get_running_loop().create_task(self._work())
+        self._on_message, self._on_open = on_message, on_open
+        self._on_lost, self._on_refused = on_lost, on_refused
+        self._max_failures, self._on_part = max_failures, on_part
+        self._connection: JsonConnection | None = None
+        self._disconnected = asyncio.Event()
+        self._task = asyncio.get_running_loop().create_task(self._run())
 
     @property
     def open(self) -> bool:
-        return self._lines is not None
+        """Whether there is a connection now."""
+        return self._connection is not None
 
-    def send(self, word: Message) -> None:
-        if self._lines is not None:
-            self._lines.send(word)
+    def send(self, message: Message) -> None:
+        """Sends a message; it is lost if there is no connection."""
+        if self._connection is not None:
+            self._connection.send(message)
 
-    def send_raw(self, message: EncodedMessage) -> None:
-        """One in the background that is encoded for several connections."""
-        if self._lines is not None:
-            self._lines.send_raw(message, stream=False)
+    def send_encoded(self, message: EncodedMessage) -> None:
+        """Sends a message in the background that was encoded once for several connections."""
+        if self._connection is not None:
+            self._connection.send_encoded(message, ordered=False)
 
     def drop(self) -> None:
-        """End the connection that there is; a new one is made."""
-        if self._lines is not None:
-            self._lines.close()
+        """Closes the present connection; a new one is opened."""
+        if self._connection is not None:
+            self._connection.close()
 
     def close(self) -> None:
+        """Closes the connection and stops reconnecting."""
         self._task.cancel()
-        if self._lines is not None:
-            self._lines.close()
+        if self._connection is not None:
+            self._connection.close()
 
-    async def _work(self) -> None:
-        pause, failed = RECONNECT_DELAY_S, 0
+    async def _run(self) -> None:
+        delay, failures = RECONNECT_DELAY_S, 0
         loop = asyncio.get_running_loop()
         while True:
-            self._gone.clear()
+            self._disconnected.clear()
             try:
                 async with asyncio.timeout(CONNECT_TIMEOUT_S):
-                    await loop.create_connection(self._new, *self.address)
+                    await loop.create_connection(self._new_connection, *self.address)
             except ConnectionRefusedError:
-                self._refused()
-            except OSError as error:  # TimeoutError is one
+                self._on_refused()
+            except OSError as error:  # TimeoutError is a subclass
                 log.debug("lines: no connection to %s:%d: %r", *self.address, error)
             else:
-                pause, failed = RECONNECT_DELAY_S, 0
-                await self._gone.wait()
-                self._lost()
+                delay, failures = RECONNECT_DELAY_S, 0
+                await self._disconnected.wait()
+                self._on_lost()
                 continue
-            failed += 1
-            if self._tries and failed >= self._tries:
-                self._lost()
+            failures += 1
+            if self._max_failures and failures >= self._max_failures:
+                self._on_lost()
                 return
-            await asyncio.sleep(pause)
-            pause = min(MAX_RECONNECT_DELAY_S, pause * 2)
+            await asyncio.sleep(delay)
+            delay = min(MAX_RECONNECT_DELAY_S, delay * 2)
 
-    def _new(self) -> JsonConnection:
-        return JsonConnection(lambda _, word: self._line(word), self._made, self._ended, self._on_part)
+    def _new_connection(self) -> JsonConnection:
+        return JsonConnection(
+            lambda _, message: self._on_message(message), self._opened, self._closed, self._on_part
+        )
 
-    def _made(self, lines: JsonConnection) -> None:
-        self._lines = lines
-        self._opened(self)
+    def _opened(self, connection: JsonConnection) -> None:
+        self._connection = connection
+        self._on_open(self)
 
-    def _ended(self, lines: JsonConnection) -> None:
-        if self._lines is lines:
-            self._lines = None
-        self._gone.set()
+    def _closed(self, connection: JsonConnection) -> None:
+        if self._connection is connection:
+            self._connection = None
+        self._disconnected.set()
--- a/brackengate/protocol/message_parts.py
+++ b/brackengate/protocol/message_parts.py
@@ -1,10 +1,10 @@
-"""Long messages in parts, so that short ones pass between them.  Pure.
+"""Splits long messages into parts, so that short messages can be sent in between.  No I/O.
 
 A long message is compressed and sent as parts of bounded size, each of which the receiver acknowledges; only
-a window of bytes may be unacknowledged.  A stream of messages keeps its order; what is in the background
-waits while the stream has anything to send.  The window follows the time that an acknowledgement takes, so a
-heartbeat that is sent between two parts waits behind a bounded time of the link and not behind a whole
-message.  Times are seconds of a clock that never steps, sizes are bytes.
+a window of bytes may be unacknowledged.  The stream of ordered messages keeps its order; messages in the
+background wait while the stream has anything to send.  The window adapts to the time that an acknowledgement
+takes, so a heartbeat that is sent between two parts waits for a bounded time of the link and not for a whole
+message.  Times are seconds of a monotonic clock, sizes are bytes.
 """
 
 from __future__ import annotations
@@ -15,23 +15,23 @@
 
 from brackengate.protocol.messages import MessagePart
 
-COMPRESS_FROM_BYTES = 1_024  # a line of that size or more is sent compressed and in parts
+COMPRESS_FROM_BYTES = 1_024  # a line of this size or more is sent compressed and in parts
 PART_BYTES = 4_096  # of compressed data in one part
-MAX_MESSAGE_BYTES = 32 << 20  # of one message, and of what may wait to be sent
-ZLIB_LEVEL = 1  # of zlib: 1,520 routes take 0.6 ms and become a twenty-fifth
+MAX_MESSAGE_BYTES = 32 << 20  # of one message, and of everything that waits to be sent
+ZLIB_LEVEL = 1  # compresses 1,520 routes in 0.6 ms to a twenty-fifth
 MIN_WINDOW_BYTES, INITIAL_WINDOW_BYTES, MAX_WINDOW_BYTES = 2 * PART_BYTES, 4 * PART_BYTES, 64 * PART_BYTES
-FAST_ACK_S, SLOW_ACK_S = 0.06, 0.15  # acknowledgements that widen the window and that halve it
+FAST_ACK_S, SLOW_ACK_S = 0.06, 0.15  # a faster one widens the window, a slower one halves it
 
 
 class MalformedMessage(Exception):
-    """The parts of a message do not make one."""
+    """The parts do not form a valid message, or an acknowledgement has no part."""
 
 
 @dataclass(frozen=True, slots=True)
 class EncodedMessage:
-    """A message as it goes on a connection, made once for all that it goes to.
+    """A message as it is sent, encoded once for all its receivers.
 
-    `size`: of the line before it was compressed; 0: `data` is the line itself.
+    `size` is that of the line before compression; 0 if `data` is the uncompressed line.
     """
 
     data: bytes
@@ -42,23 +42,23 @@
 
 
 def compress_long(line: bytes) -> EncodedMessage:
-    """`line`: with its line feed."""
+    """Compresses a line of `COMPRESS_FROM_BYTES` or more.  `line` includes its line feed."""
     if len(line) < COMPRESS_FROM_BYTES:
         return EncodedMessage(line)
     return EncodedMessage(zlib.compress(line, ZLIB_LEVEL), len(line))
 
 
 def decompress(data: bytes, size: int) -> bytes:
-    """`MalformedMessage` where it does not become `size` bytes exactly."""
+    """The line of a compressed message; `MalformedMessage` if it does not have exactly `size` bytes."""
     if not 0 < size <= MAX_MESSAGE_BYTES:
-        raise MalformedMessage(f"a message of {size} bytes")
-    unpacking = zlib.decompressobj()
+        raise MalformedMessage(f"a message may not have {size} bytes")
+    decompressor = zlib.decompressobj()
     try:
-        line = unpacking.decompress(data, size + 1)
+        line = decompressor.decompress(data, size + 1)
     except zlib.error as error:
         raise MalformedMessage(str(error)) from None
-    if len(line) != size or not unpacking.eof or unpacking.unused_data:
-        raise MalformedMessage(f"not the {size} bytes that were told")
+    if len(line) != size or not decompressor.eof or decompressor.unused_data:
+        raise MalformedMessage(f"a message does not decompress to the {size} bytes that it declares")
     return line
 
 
@@ -67,20 +67,22 @@
     """How many bytes may be unacknowledged."""
 
     size: int = INITIAL_WINDOW_BYTES
-    unacknowledged: deque[tuple[float, int]] = field(default_factory=deque)  # when sent, how many bytes
-    in_flight: int = 0
+    unacknowledged: deque[tuple[float, int]] = field(default_factory=deque)  # time of sending, bytes
+    in_flight: int = 0  # bytes
 
-    def room(self) -> bool:
+    def has_room(self) -> bool:
+        """Whether another part may be sent."""
         return self.in_flight < self.size
 
     def sent(self, count: int, now: float) -> None:
+        """Records that a part of `count` bytes was sent."""
         self.unacknowledged.append((now, count))
         self.in_flight += count
 
     def acknowledged(self, now: float) -> None:
-        """The oldest part has arrived."""
+        """Records that the oldest part was received; `MalformedMessage` if there is none."""
         if not self.unacknowledged:
-            raise MalformedMessage("an acknowledgement of nothing")
+            raise MalformedMessage("an acknowledgement without an unacknowledged part")
         sent, count = self.unacknowledged.popleft()
         self.in_flight -= count
         if now - sent < FAST_ACK_S:
@@ -91,31 +93,32 @@
 
 @dataclass
 class SendQueue:
-    """Messages in their order, the first of them sent in part."""
+    """Messages in their order, of which the first may be sent in part."""
 
     background: bool
     messages: deque[EncodedMessage] = field(default_factory=deque)
     size: int = 0  # bytes
-    _sent: int = 0  # of the first one
+    _sent: int = 0  # bytes of the first message that were sent
 
     def add(self, message: EncodedMessage) -> None:
+        """Appends a message."""
         self.messages.append(message)
         self.size += len(message)
 
     def next(self) -> MessagePart | bytes:
-        """A part, or a short line whose turn it is."""
+        """Takes the next part, or the next short line."""
         message = self.messages[0]
         if not message.size:
-            self._leaves(message)
+            self._remove_first(message)
             return message.data
         data = message.data[self._sent : self._sent + PART_BYTES]
         self._sent += len(data)
         if self._sent < len(message.data):
             return MessagePart(data, 0, self.background)
-        self._leaves(message)
+        self._remove_first(message)
         return MessagePart(data, message.size, self.background)
 
-    def _leaves(self, message: EncodedMessage) -> None:
+    def _remove_first(self, message: EncodedMessage) -> None:
         self.messages.popleft()
         self.size -= len(message)
         self._sent = 0
@@ -123,7 +126,7 @@
 
 @dataclass
 class OutgoingMessages:
-    """What waits on one connection: a stream in its order, and what it passes, in the background."""
+    """Messages that wait on one connection: the ordered stream, and the background, which it overtakes."""
 
     stream: SendQueue = field(default_factory=lambda: SendQueue(False))
     background: SendQueue = field(default_factory=lambda: SendQueue(True))
@@ -131,17 +134,19 @@
 
     @property
     def waiting_bytes(self) -> int:
+        """Bytes of all queued messages."""
         return self.stream.size + self.background.size
 
     def add(self, message: EncodedMessage, background: bool = False) -> None:
+        """Queues a message."""
         (self.background if background else self.stream).add(message)
 
     def next(self, now: float) -> MessagePart | bytes | None:
-        """What may be sent now."""
-        waiting = self.stream if self.stream.messages else self.background
-        if not waiting.messages or not self.window.room():
+        """Takes what may be sent now: a part, a short line, or None."""
+        queue = self.stream if self.stream.messages else self.background
+        if not queue.messages or not self.window.has_room():
             return None
-        found = waiting.next()
+        found = queue.next()
         if isinstance(found, MessagePart):
             self.window.sent(len(found.data), now)
         return found
@@ -149,12 +154,13 @@
 
 @dataclass
 class PartialMessage:
-    """The parts that have come of one message."""
+    """The parts received so far of one message."""
 
     parts: list[bytes] = field(default_factory=list)
-    size: int = 0
+    size: int = 0  # bytes
 
-    def take(self, part: MessagePart) -> bytes | None:
+    def add(self, part: MessagePart) -> bytes | None:
+        """Adds a part; returns the line if it is the last one."""
         self.parts.append(part.data)
         self.size += len(part.data)
         if self.size > MAX_MESSAGE_BYTES:
@@ -167,9 +173,11 @@
 
 @dataclass
 class IncomingMessages:
+    """The incomplete messages of one connection: one of the stream and one in the background."""
+
     stream: PartialMessage = field(default_factory=PartialMessage)
     background: PartialMessage = field(default_factory=PartialMessage)
 
-    def take(self, part: MessagePart) -> bytes | None:
-        """The line, with its last part.  `MalformedMessage` ends the connection."""
-        return (self.background if part.background else self.stream).take(part)
+    def add(self, part: MessagePart) -> bytes | None:
+        """Adds a part; returns the line if it is the last one.  `MalformedMessage` ends the connection."""
+        return (self.background if part.background else self.stream).add(part)
--- a/brackengate/protocol/settings.py
+++ b/brackengate/protocol/settings.py
@@ -1,4 +1,4 @@
-"""The settings file of one process: read, checked, and turned into what the roles use."""
+"""The settings file of one process: reading, validation, and the values that the roles use."""
 
 from __future__ import annotations
 
@@ -12,22 +12,24 @@
 from brackengate.installation.units import duration
 from brackengate.net.sockets import Address, parse_address
 
-SETTINGS_VARIABLE = "BRACKENGATE_NODE_FILE"
+SETTINGS_VARIABLE = "BRACKENGATE_NODE_FILE"  # environment variable with the path of the file
 
 
 class InvalidSettings(Exception):
-    """One line: the file, the key and what is allowed."""
+    """A setting is missing or invalid.  One line: the file, the key and what is allowed."""
 
 
 class DurationUs(int):
-    """Whole microseconds, written in the file as a number with its unit."""
+    """Whole microseconds; in the file, a number with its unit."""
 
 
 class HostPort(tuple[str, int]):
-    """An address, written in the file as host:port."""
+    """An address; in the file, `host:port`."""
 
 
 class Listen(msgspec.Struct, rename="pascal", frozen=True):
+    """The addresses to listen at."""
+
     inbound: HostPort | None = None
     outbound: HostPort | None = None
     readiness: HostPort | None = None
@@ -35,13 +37,15 @@
 
 
 class Limits(msgspec.Struct, rename="pascal", frozen=True):
+    """Resource limits of the process."""
+
     memory_mb: int = 256
     file_limit: int = 1024
     disk_mb: int = 0
 
 
 class Tolerance(msgspec.Struct, rename="pascal", frozen=True):
-    """What may be lost at the same time with nothing acknowledged gone."""
+    """How many failures at the same time may lose nothing that was acknowledged."""
 
     machines: int = 0
     zones: int = 0
@@ -53,6 +57,8 @@
 
 
 class Bounds(msgspec.Struct, rename="pascal", frozen=True):
+    """Time limits and retry limits."""
+
     contact: DurationUs = _seconds(3)
     ack: DurationUs = _seconds(4)
     settling: DurationUs = _seconds(4)
@@ -67,7 +73,7 @@
 
 
 class Settings(msgspec.Struct, rename="pascal", frozen=True):
-    """Fields that are not known are left alone: others may be added to the file at any time."""
+    """All settings of a process.  Unknown keys are ignored: others may be added to the file at any time."""
 
     ip: str
     node: str = ""
@@ -88,12 +94,12 @@
 
     @property
     def control_plane_port(self) -> int:
-        """Where lighthouses hear each other and the pilots; the same on all machines."""
+        """Port at which control replicas accept each other and proxies; the same on all machines."""
         return self.internal_ports[0]
 
     @property
     def min_replicas(self) -> int:
-        """Disks that hold a write before it is acknowledged."""
+        """The number of disks that must hold a write before it is acknowledged."""
         return self.tolerance.machines + 1
 
 
@@ -108,7 +114,7 @@
 
 
 def parse(text: str, source: str = "settings") -> Settings:
-    """Read the file's text; `InvalidSettings` names the key and what is allowed."""
+    """Parses the text of a settings file; `InvalidSettings` names the key and what is allowed."""
     try:
         table = tomllib.loads(text)
         return msgspec.convert(table, Settings, dec_hook=_decode_value)
@@ -117,7 +123,7 @@
 
 
 def load(path: str) -> Settings:
-    """`InvalidSettings` also where it can't be read."""
+    """Reads and parses a settings file; `InvalidSettings` also if it can't be read."""
     try:
         text = Path(path).read_text("utf-8")
     except (OSError, UnicodeDecodeError) as error:
@@ -125,6 +131,7 @@
     return parse(text, path)
 
 
+# Keys without which a role cannot run.
 PROXY_KEYS = (
     "Listen.Inbound",
     "Listen.Outbound",
@@ -137,13 +144,13 @@
 
 
 def check_required(settings: Settings, needed: tuple[str, ...], source: str) -> None:
-    """What a role can't do without; an exception group of `InvalidSettings` names all that is missing."""
+    """Checks that a role has the keys it needs; a group of `InvalidSettings` names all that are missing."""
     missing: list[InvalidSettings] = []
     for key in needed:
-        held: Any = settings
-        for part in key.split("."):
-            held = getattr(held, re.sub(r"(?<!^)(?=[A-Z])", "_", part).lower())
-        if not held:
+        value: Any = settings
+        for part in key.split("."):  # the field of `DataDir` is `data_dir`
+            value = getattr(value, re.sub(r"(?<!^)(?=[A-Z])", "_", part).lower())
+        if not value:
             missing.append(InvalidSettings(f"{source}: {key} is missing; this role needs it"))
     if settings.internal_ports[0] < 1 or settings.internal_ports[1] < settings.internal_ports[0]:
         missing.append(InvalidSettings(f"{source}: InternalPorts must be two ports, the lower one first"))
@@ -152,7 +159,7 @@
 
 
 def required_address(address: HostPort | None, key: str) -> Address:
-    """An address that a role cannot do without."""
+    """The address of a listener that a role needs; `InvalidSettings` if it is not set."""
     if address is None:
         raise InvalidSettings(f"Listen.{key} is missing; this role needs it")
     return address[0], address[1]
--- a/brackengate/proxy/follow.py
+++ b/brackengate/proxy/follow.py
@@ -83,7 +83,7 @@
         host = parse_address(addr)[0]
         address = host, follow.port
         self._dialer = Dialer(
-            address, self._line, self._opened, self._ended, tries=1, on_part=self._heard_something
+            address, self._line, self._opened, self._ended, max_failures=1, on_part=self._heard_something
         )
 
     def send(self, word: Message) -> None:
--- a/tests/control/operators.py
+++ b/tests/control/operators.py
@@ -1,6 +1,7 @@
-"""Orders as operators write them, and operators in simulated time, who know nothing but the answers they got.
+"""Configuration changes as operators write them, and operators in simulated time.
 
-A call without an answer is given up after a second and sent again to another replica; any refusal ends it.
+An operator knows only the answers that it received.  A call without an answer is given up after a second and
+sent again to another replica; any rejection ends it.
 """
 
 from __future__ import annotations
@@ -17,8 +18,8 @@
 from brackengate.control.operator_api import answer_to
 from brackengate.protocol.messages import Amend
 
-PATIENCE = 1_000_000
-PAUSE = 50_000
+CALL_TIMEOUT_US = 1_000_000
+RETRY_DELAY_US = 50_000
 
 
 def plant(name: str, version: int, path: str = "/health") -> dict[str, Any]:
@@ -37,17 +38,17 @@
     drop_plants: Sequence[tuple[str, int]] = (),
 ) -> str:
     hosts = [{"Host": "h.example", "Paths": list(routes)}] if routes else []
-    routes_dropped, plants_dropped = (
+    removed_routes, removed_plants = (
         [{"Name": name, "Revision": f"r{version}"} for name, version in names]
         for names in (drop, drop_plants)
     )
-    remove = {"Routes": routes_dropped, "Plants": plants_dropped}
+    remove = {"Routes": removed_routes, "Plants": removed_plants}
     return json.dumps({"Apply": {"Plants": list(plants), "Hosts": hosts}, "Remove": remove})
 
 
 @dataclass(eq=False)
 class Sent:
-    """One order in an operator's hands.  `status`: of the answer that ended its call; 0: none yet."""
+    """A change that an operator has sent.  `status`: of the answer that ended its call; 0: none yet."""
 
     body: str
     status: int = 0
@@ -56,11 +57,13 @@
 
 
 class Operator:
+    """Sends changes to replicas until each is answered."""
+
     def __init__(self, core: Core, seed: int) -> None:
         self.core, self._rng = core, random.Random(f"operator {seed}")
 
     def send(self, body: str, hosts: Sequence[Host] = ()) -> Sent:
-        """`hosts`: where it is tried, in their order; else anywhere."""
+        """Sends a change to these hosts in turn, then to random ones."""
         sent = Sent(body)
         self._try(sent, list(hosts))
         return sent
@@ -80,12 +83,12 @@
                 for do in sent.on_end:
                     do()
             else:
-                self.core.later(PAUSE, lambda: self._try(sent, hosts))
+                self.core.later(RETRY_DELAY_US, lambda: self._try(sent, hosts))
 
-        def gives_up() -> None:
+        def give_up() -> None:
             if not over:
                 host.withdraw(number)
                 ended(0)
 
         number = host.ask(Amend(sent.body), lambda result: ended(answer_to(result)[0]), OPERATOR_PATIENCE)
-        self.core.later(PATIENCE, gives_up)
+        self.core.later(CALL_TIMEOUT_US, give_up)
--- a/tests/control/test_followers.py
+++ b/tests/control/test_followers.py
@@ -39,7 +39,7 @@
     def send(self, word: Message) -> None:
         self.words.append(word)
 
-    def send_raw(self, message: EncodedMessage, stream: bool = True) -> None:
+    def send_encoded(self, message: EncodedMessage, ordered: bool = True) -> None:
         self.messages.append(message)
         line = decompress(message.data, message.size) if message.size else message.data
         self.words.append(msgspec.json.decode(line, type=Message))
--- a/tests/control/test_orders.py
+++ b/tests/control/test_orders.py
@@ -1,4 +1,4 @@
-"""What becomes of one order after another: decided as the head does it, without the log around it."""
+"""Decisions on one configuration change after another, as the head makes them, without the log."""
 
 from __future__ import annotations
 
@@ -24,14 +24,14 @@
 )
 
 OTHER = "900ms"
-Kept = dict[ItemName, tuple[int, object]]
+Rows = dict[ItemName, tuple[int, object]]
 
 
-class Held:
+class Head:
     """The rows and items of a head."""
 
     def __init__(self, *bodies: str) -> None:
-        self.rows: Kept = {}
+        self.rows: Rows = {}
         self.items = ItemIndex()
         for body in bodies:
             assert self.send(body) == "done", body
@@ -39,7 +39,7 @@
     def send(self, body: str) -> str:
         found = decide(Amend(body), self.rows, self.items)
         if found.result != DONE:
-            assert found.rows == (), "a part of what was refused is in force"
+            assert found.rows == (), "a part of a rejected change is in force"
         self._set(found.rows)
         return {
             InvalidChange: "invalid",
@@ -54,7 +54,7 @@
                 self.items.put((kind, name), msgspec.convert(value, Item))
 
     def __getitem__(self, name: str) -> str:
-        """Version and time-out of a route that stands."""
+        """Version and cutoff of a route."""
         item = self.items["route", name]
         return f"r{item.version} {item.body['Cutoff'] if item.body is not None else 'dropped'}"
 
@@ -63,139 +63,139 @@
 
 
 class TwoOperators(TestCase):
-    def test_one_version_with_other_contents_is_confirmed_to_one(self) -> None:
-        held = Held(FIRST, order(route("a", 5)))
-        self.assertThat(held.send(order(route("a", 5, cutoff=OTHER))), Equals("conflict"))
-        self.assertThat(held["a"], Equals("r5 500ms"))
-
-    def test_also_once_it_is_overtaken(self) -> None:
-        held = Held(FIRST, order(route("a", 5)), order(route("a", 7)))
-        self.assertThat(held.send(order(route("a", 5, cutoff=OTHER))), Equals("conflict"))
-        self.assertThat(held.send(order(route("a", 5))), Equals("done"))
-
-    def test_also_where_both_come_after_a_higher_one(self) -> None:
-        held = Held(FIRST, order(route("a", 7)))
-        self.assertThat(held.send(order(route("a", 5))), Equals("done"))
-        self.assertThat(held.send(order(route("a", 5, cutoff=OTHER))), Equals("conflict"))
-        self.assertThat(held.send(order(route("a", 5))), Equals("done"))
-        self.assertThat(held["a"], Equals("r7 500ms"))
-
-    def test_a_drop_and_a_set_under_one_version(self) -> None:
-        held = Held(FIRST, order(route("a", 5)))
-        self.assertThat(held.send(order(drop=[("a", 5)])), Equals("conflict"))
-        self.assertThat(held["a"], Equals("r5 500ms"))
-        held = Held(FIRST, order(drop=[("a", 5)]))
-        self.assertThat(held.send(order(route("a", 5))), Equals("conflict"))
-        self.assertThat(held.send(order(drop=[("a", 5), ("a", 5)])), Equals("done"))
-        self.assertThat(held["a"], Equals("r5 dropped"))
+    def test_one_version_with_different_contents_is_acknowledged_once(self) -> None:
+        head = Head(FIRST, order(route("a", 5)))
+        self.assertThat(head.send(order(route("a", 5, cutoff=OTHER))), Equals("conflict"))
+        self.assertThat(head["a"], Equals("r5 500ms"))
+
+    def test_the_same_after_the_version_is_superseded(self) -> None:
+        head = Head(FIRST, order(route("a", 5)), order(route("a", 7)))
+        self.assertThat(head.send(order(route("a", 5, cutoff=OTHER))), Equals("conflict"))
+        self.assertThat(head.send(order(route("a", 5))), Equals("done"))
+
+    def test_the_same_if_both_come_after_a_higher_version(self) -> None:
+        head = Head(FIRST, order(route("a", 7)))
+        self.assertThat(head.send(order(route("a", 5))), Equals("done"))
+        self.assertThat(head.send(order(route("a", 5, cutoff=OTHER))), Equals("conflict"))
+        self.assertThat(head.send(order(route("a", 5))), Equals("done"))
+        self.assertThat(head["a"], Equals("r7 500ms"))
+
+    def test_a_removal_and_a_set_under_one_version_conflict(self) -> None:
+        head = Head(FIRST, order(route("a", 5)))
+        self.assertThat(head.send(order(drop=[("a", 5)])), Equals("conflict"))
+        self.assertThat(head["a"], Equals("r5 500ms"))
+        head = Head(FIRST, order(drop=[("a", 5)]))
+        self.assertThat(head.send(order(route("a", 5))), Equals("conflict"))
+        self.assertThat(head.send(order(drop=[("a", 5), ("a", 5)])), Equals("done"))
+        self.assertThat(head["a"], Equals("r5 dropped"))
 
     def test_services_and_limits_are_items_too(self) -> None:
-        held = Held(FIRST)
-        self.assertThat(held.send(order(plants=[plant("p", 2, "/other")])), Equals("conflict"))
+        head = Head(FIRST)
+        self.assertThat(head.send(order(plants=[plant("p", 2, "/other")])), Equals("conflict"))
         limits = '{"Apply":{"Limits":{"IdleCutoff":"%s","Revision":"r2"}}}'
-        self.assertThat(held.send(limits % "15s"), Equals("done"))
-        self.assertThat(held.send(limits % "16s"), Equals("conflict"))
-        self.assertThat(held.send(limits % "15000ms"), Equals("done"))
+        self.assertThat(head.send(limits % "15s"), Equals("done"))
+        self.assertThat(head.send(limits % "16s"), Equals("conflict"))
+        self.assertThat(head.send(limits % "15000ms"), Equals("done"))
 
-    def test_the_same_content_under_one_version_is_confirmed_to_both(self) -> None:
-        """As a race does: the second order carries the first one's new route beside its own."""
+    def test_the_same_content_under_one_version_is_acknowledged_to_both(self) -> None:
+        """As in a race: the second change includes the first one's new route besides its own."""
         first = order(route("new", 43), route("a", 43))
         second = order(route("a", 47, cutoff=OTHER), route("new", 43))
         for one, two in ((first, second), (second, first)):
-            held = Held(FIRST, one, two)
-            self.assertThat((held["a"], held["new"]), Equals(("r47 900ms", "r43 500ms")))
+            head = Head(FIRST, one, two)
+            self.assertThat((head["a"], head["new"]), Equals(("r47 900ms", "r43 500ms")))
 
-    def test_an_order_that_conflicts_in_one_item_has_no_effect_in_any(self) -> None:
-        held = Held(FIRST, order(route("a", 5)))
+    def test_a_change_that_conflicts_in_one_item_has_no_effect_in_any(self) -> None:
+        head = Head(FIRST, order(route("a", 5)))
         mixed = order(route("b", 6, at="/b/"), route("a", 5, cutoff=OTHER))
-        for _ in range(2):  # sent again it meets the same
-            self.assertThat(held.send(mixed), Equals("conflict"))
-            self.assertThat(held["b"], Equals("r2 500ms"))
-        self.assertThat(held.send(order(route("b", 6, at="/b/", cutoff=OTHER))), Equals("done"))  # r6 is free
+        for _ in range(2):  # the same if it is sent again
+            self.assertThat(head.send(mixed), Equals("conflict"))
+            self.assertThat(head["b"], Equals("r2 500ms"))
+        self.assertThat(head.send(order(route("b", 6, at="/b/", cutoff=OTHER))), Equals("done"))  # r6 is free
 
 
-class SentAgain(TestCase):
-    def test_once_its_service_is_gone(self) -> None:
-        held = Held(FIRST, order(route("a", 5, to="q")), order(route("a", 7)), order(drop_plants=[("q", 7)]))
-        self.assertThat(held.send(order(route("a", 5, to="q"))), Equals("done"))
-        self.assertThat(held["a"], Equals("r7 500ms"))
+class Resent(TestCase):
+    def test_after_its_service_was_removed(self) -> None:
+        head = Head(FIRST, order(route("a", 5, to="q")), order(route("a", 7)), order(drop_plants=[("q", 7)]))
+        self.assertThat(head.send(order(route("a", 5, to="q"))), Equals("done"))
+        self.assertThat(head["a"], Equals("r7 500ms"))
 
-    def test_once_its_place_is_another_routes(self) -> None:
-        held = Held(
+    def test_after_another_route_took_its_location(self) -> None:
+        head = Head(
             FIRST,
             order(route("c", 3, at="/c/")),
             order(route("c", 7, at="/d/"), route("e", 7, at="/c/")),
         )
-        self.assertThat(held.send(order(route("c", 3, at="/c/"))), Equals("done"))
+        self.assertThat(head.send(order(route("c", 3, at="/c/"))), Equals("done"))
 
-    def test_the_first_order_after_every_item_has_changed(self) -> None:
-        held = Held(
+    def test_the_first_change_after_every_item_has_changed(self) -> None:
+        head = Head(
             FIRST,
             order(route("a", 5, at="/b/"), route("b", 5, at="/a/")),
             order(drop=[("b", 9)], drop_plants=[("q", 9)]),
             order(plants=[plant("p", 9, "/other")]),
         )
-        before = dict(held.rows)
-        self.assertThat(held.send(FIRST), Equals("done"))
-        self.assertThat(held.rows, Equals(before))
+        before = dict(head.rows)
+        self.assertThat(head.send(FIRST), Equals("done"))
+        self.assertThat(head.rows, Equals(before))
 
-    def test_written_in_another_way(self) -> None:
-        held = Held(FIRST, order(route("a", 5, cutoff="1500ms")), order(route("a", 7)))
-        self.assertThat(held.send(order(route("a", 5, cutoff="1.5s"))), Equals("done"))
+    def test_with_another_spelling(self) -> None:
+        head = Head(FIRST, order(route("a", 5, cutoff="1500ms")), order(route("a", 7)))
+        self.assertThat(head.send(order(route("a", 5, cutoff="1.5s"))), Equals("done"))
 
-    def test_with_an_item_that_it_overtakes_itself(self) -> None:
-        """The highest version of a name holds; both are acknowledged, and both are remembered."""
+    def test_with_an_item_that_it_supersedes_itself(self) -> None:
+        """The highest version of a name is in force; both are acknowledged and recorded."""
         both = order(route("new", 5), drop=[("new", 7)])
-        held = Held(FIRST, both)
-        self.assertThat(held["new"], Equals("r7 dropped"))
-        self.assertThat(held.send(order(route("new", 5, cutoff=OTHER))), Equals("conflict"))
-        self.assertThat(held.send(both), Equals("done"))
-
-    def test_what_was_refused_is_taken_once_it_is_valid(self) -> None:
-        held, early = Held(FIRST), order(route("new", 5, to="later"))
-        self.assertThat(held.send(early), Equals("invalid"))
-        held.send(order(plants=[plant("later", 3)]))
-        self.assertThat(held.send(early), Equals("done"))
-
-
-class Overtaken(TestCase):
-    def test_a_valid_order_that_comes_late_is_acknowledged_and_has_no_effect(self) -> None:
-        held = Held(FIRST, order(route("a", 7)))
-        self.assertThat(held.send(order(route("a", 5, to="q"))), Equals("done"))
-        self.assertThat(held["a"], Equals("r7 500ms"))
-
-    def test_one_that_names_no_known_service_is_not(self) -> None:
-        held = Held(FIRST, order(route("a", 7)))
-        self.assertThat(held.send(order(route("a", 5, to="nobody"))), Equals("invalid"))
-        self.assertThat(held.send(order(route("a", 5, to="q"))), Equals("done"))  # nothing stands against it
-
-    def test_its_place_may_be_another_routes_by_now(self) -> None:
-        held = Held(FIRST, order(route("a", 7, at="/c/"), route("b", 7, at="/a/")))
-        self.assertThat(held.send(order(route("a", 5))), Equals("done"))
-
-    def test_an_invalid_order_of_which_a_part_is_known_is_invalid(self) -> None:
-        held = Held(FIRST, order(route("a", 5)))
+        head = Head(FIRST, both)
+        self.assertThat(head["new"], Equals("r7 dropped"))
+        self.assertThat(head.send(order(route("new", 5, cutoff=OTHER))), Equals("conflict"))
+        self.assertThat(head.send(both), Equals("done"))
+
+    def test_a_rejected_change_is_accepted_once_it_is_valid(self) -> None:
+        head, early = Head(FIRST), order(route("new", 5, to="later"))
+        self.assertThat(head.send(early), Equals("invalid"))
+        head.send(order(plants=[plant("later", 3)]))
+        self.assertThat(head.send(early), Equals("done"))
+
+
+class Superseded(TestCase):
+    def test_a_valid_change_that_comes_late_is_acknowledged_and_has_no_effect(self) -> None:
+        head = Head(FIRST, order(route("a", 7)))
+        self.assertThat(head.send(order(route("a", 5, to="q"))), Equals("done"))
+        self.assertThat(head["a"], Equals("r7 500ms"))
+
+    def test_a_late_change_that_names_an_unknown_service_is_rejected(self) -> None:
+        head = Head(FIRST, order(route("a", 7)))
+        self.assertThat(head.send(order(route("a", 5, to="nobody"))), Equals("invalid"))
+        self.assertThat(head.send(order(route("a", 5, to="q"))), Equals("done"))  # no conflict
+
+    def test_another_route_may_have_its_location_by_now(self) -> None:
+        head = Head(FIRST, order(route("a", 7, at="/c/"), route("b", 7, at="/a/")))
+        self.assertThat(head.send(order(route("a", 5))), Equals("done"))
+
+    def test_an_invalid_change_with_an_acknowledged_item_is_invalid(self) -> None:
+        head = Head(FIRST, order(route("a", 5)))
         body = order(route("a", 5), route("c", 5, to="nobody"), route("b", 6, at="/b/"))
-        self.assertThat(held.send(body), Equals("invalid"))
-        self.assertThat(held["b"], Equals("r2 500ms"))
+        self.assertThat(head.send(body), Equals("invalid"))
+        self.assertThat(head["b"], Equals("r2 500ms"))
 
 
 class Bounded(TestCase):
-    def held(self) -> Held:
-        """One version more than is remembered beside the one that holds."""
+    def head(self) -> Head:
+        """Has superseded one version more than is remembered."""
         changes = (order(route("a", version)) for version in range(3, MAX_OVERTAKEN_VERSIONS + 4))
-        return Held(FIRST, *changes)
+        return Head(FIRST, *changes)
 
-    def test_beyond_what_is_remembered_there_is_no_clear_answer(self) -> None:
-        held = self.held()
-        self.assertThat(held.send(order(route("a", 3))), Equals("done"))
-        self.assertThat(held.send(order(route("a", 3, cutoff=OTHER))), Equals("conflict"))
+    def test_beyond_the_recorded_versions_the_answer_is_undecided(self) -> None:
+        head = self.head()
+        self.assertThat(head.send(order(route("a", 3))), Equals("done"))
+        self.assertThat(head.send(order(route("a", 3, cutoff=OTHER))), Equals("conflict"))
         for forgotten in (order(route("a", 2)), order(route("a", 2, cutoff=OTHER)), FIRST):
-            self.assertThat(held.send(forgotten), Equals("undecided"))
+            self.assertThat(head.send(forgotten), Equals("undecided"))
 
-    def test_an_order_that_was_surely_never_taken_gets_a_clear_one(self) -> None:
+    def test_a_change_that_was_certainly_never_accepted_conflicts(self) -> None:
         mixed = order(route("a", 2), route("new", 2))
-        self.assertThat(self.held().send(mixed), Equals("conflict"))
+        self.assertThat(self.head().send(mixed), Equals("conflict"))
 
     def test_a_history_is_bounded_by_count(self) -> None:
         history = History()
@@ -206,16 +206,16 @@
         self.assertThat(len(history.digests) < MAX_OVERTAKEN_VERSIONS * (18 + 1 + 16 + 1), Equals(True))
 
     def test_an_item_that_never_changed_has_no_history(self) -> None:
-        self.assertThat([name for kind, name in Held(FIRST, FIRST).rows if kind == HISTORY], Equals([]))
+        self.assertThat([name for kind, name in Head(FIRST, FIRST).rows if kind == HISTORY], Equals([]))
 
 
 @pytest.mark.parametrize("first", [0, 1])
-def test_what_comes_late_may_be_forgotten_at_once(first: int) -> None:
-    """It is below all that is remembered: acknowledged, and no clear answer from then on."""
+def test_a_late_version_may_be_forgotten_at_once(first: int) -> None:
+    """It is below all recorded versions: acknowledged, and undecided from then on."""
     changes = [order(route("a", version)) for version in range(10, MAX_OVERTAKEN_VERSIONS + 11)]
-    held = Held(FIRST, *changes[:-1])
+    head = Head(FIRST, *changes[:-1])
     late = [order(route("a", 5)), order(route("a", 5, cutoff=OTHER))]
-    assert held.send(late[first]) == "done"
-    held.send(changes[-1])
-    held.send(order(route("a", MAX_OVERTAKEN_VERSIONS + 20)))
-    assert [held.send(one) for one in late] == ["undecided", "undecided"]
+    assert head.send(late[first]) == "done"
+    head.send(changes[-1])
+    head.send(order(route("a", MAX_OVERTAKEN_VERSIONS + 20)))
+    assert [head.send(one) for one in late] == ["undecided", "undecided"]
--- a/tests/protocol/test_contents.py
+++ b/tests/protocol/test_contents.py
@@ -1,4 +1,4 @@
-"""Which ways of writing an item are equal, and which are not."""
+"""Digests of items: which spellings of an item are equal, and which are not."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
 )
 
 
-def written(text: str, host: str = "h.example", kind: str = "route") -> str:
+def digest_of(text: str, host: str = "h.example", kind: str = "route") -> str:
     return digest(kind, Item(7, host, msgspec.json.decode(text)))
 
 
@@ -28,57 +28,57 @@
     [
         ("spacing", json.dumps(json.loads(ROUTE), indent=3)),
         ("key order", json.dumps(dict(reversed(json.loads(ROUTE).items())))),
-        ("key order within", ROUTE.replace('{"Plant":"p","Gain":90}', '{"Gain":90,"Plant":"p"}')),
+        ("key order of a nested object", ROUTE.replace('{"Plant":"p","Gain":90}', '{"Gain":90,"Plant":"p"}')),
         ("escapes", ROUTE.replace('"keyed"', '"\\u006beyed"')),
         ("a number", ROUTE.replace('"Priority":2', '"Priority":2.0')),
-        ("a number within", ROUTE.replace('"Gain":90', '"Gain":9e1')),
-        ("a time", ROUTE.replace('"1500ms"', '"1.5s"')),
-        ("a time with noughts", ROUTE.replace('"1500ms"', '"1.500s"')),
-        ("its version, which is compared apart", ROUTE.replace('"r7"', '"r07"')),
+        ("a nested number", ROUTE.replace('"Gain":90', '"Gain":9e1')),
+        ("a duration", ROUTE.replace('"1500ms"', '"1.5s"')),
+        ("a duration with trailing zeros", ROUTE.replace('"1500ms"', '"1.500s"')),
+        ("its version, which is compared separately", ROUTE.replace('"r7"', '"r07"')),
     ],
 )
-def test_equal_ways_to_write_an_item(why: str, text: str) -> None:
+def test_equal_spellings_of_an_item(why: str, text: str) -> None:
     assert text != ROUTE
-    assert written(text) == written(ROUTE)
+    assert digest_of(text) == digest_of(ROUTE)
 
 
 def test_hosts_are_equal_but_for_the_case_of_letters() -> None:
-    assert written(ROUTE, "H.example") == written(ROUTE)
-    assert written(ROUTE, "i.example") != written(ROUTE)
+    assert digest_of(ROUTE, "H.example") == digest_of(ROUTE)
+    assert digest_of(ROUTE, "i.example") != digest_of(ROUTE)
 
 
 @pytest.mark.parametrize(
     ("why", "text"),
     [
         ("another service", ROUTE.replace('"Plant":"q"', '"Plant":"s"')),
-        ("another time", ROUTE.replace('"1500ms"', '"1500.0001ms"')),
-        ("a default that is said", ROUTE.replace('"Priority":2', '"Priority":2,"MaxAttempts":1')),
-        ("a field that is not read here", ROUTE.replace('"Priority":2', '"Priority":2,"Tls":false')),
-        ("a truth for a number", ROUTE.replace('"Priority":2', '"Priority":true')),
-        ("a text for a number", ROUTE.replace('"Priority":2', '"Priority":"2"')),
+        ("another duration", ROUTE.replace('"1500ms"', '"1500.0001ms"')),
+        ("an explicit default", ROUTE.replace('"Priority":2', '"Priority":2,"MaxAttempts":1')),
+        ("an unknown field", ROUTE.replace('"Priority":2', '"Priority":2,"Tls":false')),
+        ("a boolean for a number", ROUTE.replace('"Priority":2', '"Priority":true')),
+        ("a string for a number", ROUTE.replace('"Priority":2', '"Priority":"2"')),
         ("another order of a list", ROUTE.replace(SPLIT, f"[{Q},{P}]")),
-        ("case within", ROUTE.replace('"/a/"', '"/A/"')),
+        ("case of a path", ROUTE.replace('"/a/"', '"/A/"')),
     ],
 )
-def test_other_contents(why: str, text: str) -> None:
+def test_different_contents(why: str, text: str) -> None:
     assert text != ROUTE
-    assert written(text) != written(ROUTE)
+    assert digest_of(text) != digest_of(ROUTE)
 
 
-def test_what_is_dropped_is_a_content_too() -> None:
+def test_a_removal_has_a_digest_too() -> None:
     assert digest("route", Item(7)) == digest("route", Item(9))
-    assert digest("route", Item(7)) != written(ROUTE)
+    assert digest("route", Item(7)) != digest_of(ROUTE)
     assert digest("plant", Item(7, body={})) != digest("plant", Item(7))
 
 
-def test_times_are_read_in_their_fields_alone() -> None:
+def test_durations_are_normalized_only_in_their_own_fields() -> None:
     fields = '{"Name":"p","HealthPath":"%s","Revision":"r1"}'
-    assert written(fields % "1500ms", kind="plant") != written(fields % "1.5s", kind="plant")
+    assert digest_of(fields % "1500ms", kind="plant") != digest_of(fields % "1.5s", kind="plant")
     limits = '{"IdleCutoff":"%s","Revision":"r1"}'
-    assert written(limits % "15000ms", kind="limits") == written(limits % "15s", kind="limits")
+    assert digest_of(limits % "15000ms", kind="limits") == digest_of(limits % "15s", kind="limits")
 
 
-def test_a_body_that_could_not_be_written_again_is_not_taken() -> None:
+def test_a_body_too_deep_to_be_encoded_is_rejected() -> None:
     deep: Any = 1
     for _ in range(40):
         deep = [deep]
--- a/tests/protocol/test_http_api.py
+++ b/tests/protocol/test_http_api.py
@@ -1,4 +1,4 @@
-"""Bodies that a front of the system's own calls needs whole."""
+"""Bodies that a frontend needs as a whole."""
 
 from __future__ import annotations
 
@@ -7,12 +7,12 @@
 from brackengate.protocol.http_api import collect_body
 
 
-def test_a_long_body_is_there_whole_at_its_end_and_nothing_of_it_is_held() -> None:
-    budget, got = ByteBudget(1 << 20), list[bytes]()
+def test_a_streamed_body_is_passed_on_complete_and_its_buffers_are_released() -> None:
+    budget, received = ByteBudget(1 << 20), list[bytes]()
     stream = Body(budget, None, lambda: None)
     stream.feed(b"a" * 70_000)
-    collect_body(Arrival(b"POST", b"/", [], b"", True, 0, stream), got.append)
+    collect_body(Arrival(b"POST", b"/", [], b"", True, 0, stream), received.append)
     stream.feed(b"b")
-    assert got == [] and budget.taken > 0
+    assert received == [] and budget.taken > 0
     stream.end()
-    assert got == [b"a" * 70_000 + b"b"] and budget.taken == 0
+    assert received == [b"a" * 70_000 + b"b"] and budget.taken == 0
--- a/tests/protocol/test_message_parts.py
+++ b/tests/protocol/test_message_parts.py
@@ -1,4 +1,4 @@
-"""Long messages in parts: what passes between them, what makes one whole, and what ends a connection."""
+"""Long messages in parts: what overtakes them, how they are reassembled, and what ends a connection."""
 
 from __future__ import annotations
 
@@ -36,8 +36,8 @@
     )
 
 
-class Wire:
-    """A transport that holds all that was written, until the test lets it through."""
+class FakeTransport:
+    """Keeps everything that was written until the test takes it."""
 
     def __init__(self) -> None:
         self.written: list[bytes] = []
@@ -58,96 +58,97 @@
     def write(self, data: bytes) -> None:
         self.written.append(data)
 
-    def takes(self) -> list[Message]:
+    def take_written(self) -> list[Message]:
         found, self.written = [_decode(one) for one in b"".join(self.written).split(b"\n")[:-1]], []
         return found
 
 
-def connection(heard: list[Message]) -> tuple[JsonConnection, Wire]:
-    lines, wire = JsonConnection(lambda _, word: heard.append(word), lambda _: None, lambda _: None), Wire()
-    transport: Any = wire
-    lines.connection_made(transport)
-    return lines, wire
+def connect(received: list[Message]) -> tuple[JsonConnection, FakeTransport]:
+    connection = JsonConnection(lambda _, message: received.append(message), lambda _: None, lambda _: None)
+    fake = FakeTransport()
+    transport: Any = fake
+    connection.connection_made(transport)
+    return connection, fake
 
 
-def test_a_ping_passes_a_long_message_and_a_short_one_of_the_stream_does_not() -> None:
+def test_a_ping_overtakes_a_long_message_and_a_short_ordered_message_does_not() -> None:
     async def play() -> None:
-        lines, wire = connection([])
-        lines.send(incompressible(ROUTES))
-        assert sum(map(len, wire.written)) < 2 * INITIAL_WINDOW_BYTES  # the rest waits for acknowledgements
-        begun = wire.takes()
-        lines.send(Changes(2))
-        lines.send(Ping("a", 1))
-        assert [type(word) for word in wire.takes()] == [Ping]
-        words: list[Message] = []
+        connection, fake = connect([])
+        connection.send(incompressible(ROUTES))
+        assert sum(map(len, fake.written)) < 2 * INITIAL_WINDOW_BYTES  # the rest waits for acknowledgements
+        first = fake.take_written()
+        connection.send(Changes(2))
+        connection.send(Ping("a", 1))
+        assert [type(message) for message in fake.take_written()] == [Ping]
+        later: list[Message] = []
         for _ in range(1000):
-            lines.data_received(msgspec.json.encode(PartReceived()) + b"\n")
-            words += wire.takes()
-            if Changes(2) in words:
+            connection.data_received(msgspec.json.encode(PartReceived()) + b"\n")
+            later += fake.take_written()
+            if Changes(2) in later:
                 break
-        assert all(isinstance(word, MessagePart) for word in begun + words[:-1])
+        assert all(isinstance(message, MessagePart) for message in first + later[:-1])
 
     asyncio.run(play())
 
 
-def test_a_message_of_the_stream_passes_one_in_the_background() -> None:
+def test_an_ordered_message_overtakes_one_in_the_background() -> None:
     async def play() -> None:
-        heard: list[Message] = []
-        (sender, out), (taker, back) = connection([]), connection(heard)
-        bulk, news = StagePiece("x", 0, incompressible(ROUTES).rows), Changes(2, incompressible(40).rows)
-        for word in (bulk, news, Changes(3)):
-            sender.send(word)
+        received: list[Message] = []
+        (sender, out), (receiver, back) = connect([]), connect(received)
+        bulk, ordered = StagePiece("x", 0, incompressible(ROUTES).rows), Changes(2, incompressible(40).rows)
+        for message in (bulk, ordered, Changes(3)):
+            sender.send(message)
         while out.written or back.written:
             data, out.written = b"".join(out.written), []
             if data:
-                taker.data_received(data)
+                receiver.data_received(data)
             answers, back.written = b"".join(back.written), []
             if answers:
                 sender.data_received(answers)
-        assert heard == [news, Changes(3), bulk]
+        assert received == [ordered, Changes(3), bulk]
 
     asyncio.run(play())
 
 
-def test_what_arrives_is_what_was_sent_whatever_the_pieces_it_comes_in() -> None:
+def test_messages_arrive_unchanged_however_the_bytes_are_split() -> None:
     async def play() -> None:
-        heard: list[Message] = []
-        (sender, out), (taker, back) = connection([]), connection(heard)
-        said = [incompressible(ROUTES), Changes(2), Changes(3, (("inst", "x" * COMPRESS_FROM_BYTES, None),))]
-        for word in said:
-            sender.send(word)
+        received: list[Message] = []
+        (sender, out), (receiver, back) = connect([]), connect(received)
+        sent = [incompressible(ROUTES), Changes(2), Changes(3, (("inst", "x" * COMPRESS_FROM_BYTES, None),))]
+        for message in sent:
+            sender.send(message)
         rng = random.Random(2)
         while out.written or back.written:
             data, out.written = b"".join(out.written), []
             while data:
                 cut = rng.randrange(1, 3000)
-                taker.data_received(data[:cut])
+                receiver.data_received(data[:cut])
                 data = data[cut:]
             answers, back.written = b"".join(back.written), []
             if answers:
                 sender.data_received(answers)
-        assert heard == said
+        assert received == sent
 
     asyncio.run(play())
 
 
-def test_each_part_is_a_sign_of_life() -> None:
+def test_each_part_shows_that_the_peer_is_alive() -> None:
     async def play() -> None:
-        signs: list[int] = []
-        taker = JsonConnection(lambda *_: None, lambda _: None, lambda _: None, lambda: signs.append(1))
-        transport: Any = Wire()
-        taker.connection_made(transport)
+        parts: list[int] = []
+        receiver = JsonConnection(lambda *_: None, lambda _: None, lambda _: None, lambda: parts.append(1))
+        transport: Any = FakeTransport()
+        receiver.connection_made(transport)
         outgoing = OutgoingMessages()
         outgoing.add(compress_long(msgspec.json.encode(incompressible(ROUTES)) + b"\n"))
         part = outgoing.next(0.0)
         assert isinstance(part, MessagePart) and not part.size
-        taker.data_received(msgspec.json.encode(part) + b"\n")
-        assert signs == [1]
+        receiver.data_received(msgspec.json.encode(part) + b"\n")
+        assert parts == [1]
 
     asyncio.run(play())
 
 
-def test_the_window_follows_the_time_of_acknowledgements() -> None:
+def test_the_window_adapts_to_the_time_of_acknowledgements() -> None:
     window = SendWindow()
     for _ in range(100):
         window.sent(PART_BYTES, 0.0)
@@ -161,24 +162,24 @@
         window.acknowledged(1.0)
 
 
-@pytest.mark.parametrize("wrong", ["short", "long", "cut", "spoilt", "more", "huge"])
-def test_parts_that_make_no_message_are_refused(wrong: str) -> None:
-    """Above all one that would unfold to more than it tells."""
+@pytest.mark.parametrize("wrong", ["short", "long", "truncated", "corrupt", "trailing data", "huge"])
+def test_parts_that_form_no_valid_message_are_rejected(wrong: str) -> None:
+    """Above all a message that decompresses to more than its declared size."""
     message = compress_long(b"x" * 100_000)
     data, size = {
         "short": (message.data, message.size - 1),
         "long": (message.data, message.size + 1),
-        "cut": (message.data[:-3], message.size),
-        "spoilt": (b"?" + message.data[1:], message.size),
-        "more": (message.data + b"x", message.size),
+        "truncated": (message.data[:-3], message.size),
+        "corrupt": (b"?" + message.data[1:], message.size),
+        "trailing data": (message.data + b"x", message.size),
         "huge": (message.data, 1 << 40),
     }[wrong]
     with pytest.raises(MalformedMessage):
         decompress(data, size)
 
 
-def test_a_message_without_an_end_is_refused() -> None:
+def test_a_message_without_a_last_part_is_rejected() -> None:
     incoming, part = IncomingMessages(), MessagePart(bytes(1 << 20))
     with pytest.raises(MalformedMessage):
         for _ in range(33):
-            assert incoming.take(part) is None
+            assert incoming.add(part) is None
--- a/tests/protocol/test_settings.py
+++ b/tests/protocol/test_settings.py
@@ -1,4 +1,4 @@
-"""The settings file of one process: what is wrong is said with its file, key and what is allowed."""
+"""The settings file of one process: an error names the file, the key and what is allowed."""
 
 from __future__ import annotations
 
@@ -33,7 +33,7 @@
 """
 
 
-def test_a_sound_file_is_read_with_its_units_and_unknown_fields_are_left_alone() -> None:
+def test_a_valid_file_is_parsed_with_its_units_and_unknown_keys_are_ignored() -> None:
     settings = parse(GOOD)
     assert (settings.feedback, settings.bounds.grace, settings.bounds.apply_time) == (
         1_500_000,
@@ -58,14 +58,14 @@
         ("[Listen]", "[Listen", "brackengate.toml"),
     ],
 )
-def test_a_wrong_field_is_one_line_with_file_and_key(line: str, bad: str, words: str) -> None:
+def test_an_invalid_value_is_reported_in_one_line_with_file_and_key(line: str, bad: str, words: str) -> None:
     with pytest.raises(InvalidSettings) as caught:
         parse(GOOD.replace(line, bad, 1), "brackengate.toml")
     assert words in str(caught.value) and "\n" not in str(caught.value)
     assert str(caught.value).startswith("brackengate.toml: ")
 
 
-def test_the_commands_check_their_files(tmp_path: Path) -> None:
+def test_the_commands_check_their_settings_files(tmp_path: Path) -> None:
     path, run = tmp_path / "local.toml", CliRunner()
     path.write_text(GOOD)
     assert run.invoke(main, ["pilot", "--settings", str(path), "--check"]).exit_code == 0
