--- a/brackengate/control/admin_commands.py
+++ b/brackengate/control/admin_commands.py
@@ -1,7 +1,7 @@
-"""Answers operators' commands: about this lighthouse, and about the pilots that follow it.
+"""Answers the queries of operators' commands: about this replica, and about the proxies that follow it.
 
-Nothing of it goes through the chain but the operator's own calls, and nothing is kept up while nobody asks:
-how far the pilots are is asked of them then.
+Only `Amend` and `Read` go through the chain.  The progress of the proxies is not tracked; they are queried
+when an operator asks.
 """
 
 from __future__ import annotations
@@ -38,88 +38,98 @@
 
 log = logging.getLogger("brackengate.watchroom")
 
-PROGRESS_TIMEOUT_S = 0.4  # a pilot that has not answered by then is passed over
+PROGRESS_TIMEOUT_S = 0.4  # a proxy that has not answered by then is listed without an index
 
 
 @dataclass(slots=True, eq=False)
 class ProgressQuery:
-    """One look at all pilots that follow this lighthouse."""
+    """One query to all proxies that follow this replica."""
 
     done: Callable[[tuple[FollowerStatus, ...]], None]
-    asked: dict[JsonConnection, Follower]
-    said: dict[JsonConnection, ProgressReport] = field(default_factory=dict)
+    queried: dict[JsonConnection, Follower]
+    reports: dict[JsonConnection, ProgressReport] = field(default_factory=dict)
     timer: asyncio.TimerHandle | None = None
 
 
 class AdminCommands:
+    """Answers inquiries, and keeps the progress queries that are in flight."""
+
     def __init__(
         self,
         replica: Replica,
         followers: Mapping[JsonConnection, Follower],
-        ask: Callable[[Command, Callable[[Any], None]], object],
+        submit: Callable[[Command, Callable[[Any], None]], object],
         now: Callable[[], int],
     ) -> None:
-        self._replica, self._followers, self._ask, self._now = replica, followers, ask, now
+        self._replica, self._followers, self._submit, self._now = replica, followers, submit, now
         self._loop = asyncio.get_running_loop()
-        self._rounds: dict[int, ProgressQuery] = {}
-        self._last = 0
+        self._queries: dict[int, ProgressQuery] = {}
+        self._last_query = 0
+
+    def receive(self, connection: JsonConnection, inquiry: Inquiry) -> None:
+        """Answers an inquiry by a `Result` on its connection."""
 
-    def receive(self, lines: JsonConnection, word: Inquiry) -> None:
-        def say(result: CommandResult | InquiryResult | None) -> None:
-            lines.send(Result(word.id, result))
+        def answer(result: CommandResult | InquiryResult | None) -> None:
+            connection.send(Result(inquiry.id, result))
 
         replica = self._replica
-        match word.what:
+        match inquiry.what:
             case Stand():
-                self._look("", lambda pilots: say(replica_status(replica, pilots, self._now())))
+                self._query_progress(
+                    "", lambda proxies: answer(replica_status(replica, proxies, self._now()))
+                )
             case Explain(attempt):
-                self._look(attempt, lambda pilots: say(Followers(pilots)))
+                self._query_progress(attempt, lambda proxies: answer(Followers(proxies)))
             case Held():
-                say(item_list(replica, self._now()))
+                answer(item_list(replica, self._now()))
             case Leave(replaced):
-                why = replica.leave(replaced, self._now())
-                log.info("watchroom: told to give up the seat: %s", why or "it does")
-                say(MembershipAnswer(why))
+                refusal = replica.leave(replaced, self._now())
+                log.info("admin: operator's command to leave the view: %s", refusal or "accepted")
+                answer(MembershipAnswer(refusal))
             case Rejoin():
                 replica.rejoin()
-                log.info("watchroom: told to take a seat again")
-                say(MembershipAnswer())
+                log.info("admin: operator's command to rejoin")
+                answer(MembershipAnswer())
             case Amend() | Read():
-                self._ask(word.what, say)
-
-    def receive_progress(self, lines: JsonConnection, word: ProgressReport) -> None:
-        """A pilot's answer."""
-        one = self._rounds.get(word.id)
-        if one is not None and lines in one.asked:
-            one.said[lines] = word
-            if len(one.said) == len(one.asked):
-                self._over(word.id)
-
-    def _look(self, attempt: str, done: Callable[[tuple[FollowerStatus, ...]], None]) -> None:
-        self._last += 1
-        number = self._last
-        following = {lines: one for lines, one in self._followers.items() if one.follows}
-        asked = {lines: one for lines, one in following.items() if one.reports_progress}
+                self._submit(inquiry.what, answer)
+
+    def receive_progress(self, connection: JsonConnection, report: ProgressReport) -> None:
+        """Takes a proxy's answer to a progress query."""
+        query = self._queries.get(report.id)
+        if query is not None and connection in query.queried:
+            query.reports[connection] = report
+            if len(query.reports) == len(query.queried):
+                self._finish(report.id)
+
+    def _query_progress(self, attempt: str, done: Callable[[tuple[FollowerStatus, ...]], None]) -> None:
+        self._last_query += 1
+        number = self._last_query
+        following = {
+            connection: follower for connection, follower in self._followers.items() if follower.follows
+        }
+        queried = {
+            connection: follower for connection, follower in following.items() if follower.reports_progress
+        }
         silent = tuple(
-            FollowerStatus(lines.peer, one.index)
-            for lines, one in following.items()
-            if not one.reports_progress
+            FollowerStatus(connection.peer, follower.index)
+            for connection, follower in following.items()
+            if not follower.reports_progress
         )
-        self._rounds[number] = ProgressQuery(lambda said: done((*said, *silent)), asked)
-        if not asked:
-            self._over(number)
+        self._queries[number] = ProgressQuery(lambda reported: done((*reported, *silent)), queried)
+        if not queried:
+            self._finish(number)
             return
-        self._rounds[number].timer = self._loop.call_later(PROGRESS_TIMEOUT_S, self._over, number)
-        for lines in asked:
-            lines.send(ProgressRequest(number, attempt))
-
-    def _over(self, number: int) -> None:
-        one = self._rounds.pop(number)
-        if one.timer is not None:
-            one.timer.cancel()
+        self._queries[number].timer = self._loop.call_later(PROGRESS_TIMEOUT_S, self._finish, number)
+        for connection in queried:
+            connection.send(ProgressRequest(number, attempt))
+
+    def _finish(self, number: int) -> None:
+        query = self._queries.pop(number)
+        if query.timer is not None:
+            query.timer.cancel()
         out = []
-        for lines, follower in one.asked.items():
-            said = one.said.get(lines)
-            index, wake = (said.index, said.decisions) if said is not None else (None, ())
-            out.append(FollowerStatus(lines.peer, follower.index, index, wake))
-        one.done(tuple(out))
+        for connection, follower in query.queried.items():
+            report = query.reports.get(connection)
+            index, decisions = (report.index, report.decisions) if report is not None else (None, ())
+            out.append(FollowerStatus(connection.peer, follower.index, index, decisions))
+        query.done(tuple(out))
--- a/brackengate/control/operator_api.py
+++ b/brackengate/control/operator_api.py
@@ -1,4 +1,4 @@
-"""What the operator calls: configurations in, and read back."""
+"""HTTP API for operators: `config.amend` changes the configuration, `config.read` returns it."""
 
 from __future__ import annotations
 
@@ -31,6 +31,8 @@
 
 
 class CommandSubmitter(Protocol):
+    """Submits commands to the chain."""
+
     def submit(
         self, what: Command, done: Callable[[CommandResult | None], None], give_up_after: int
     ) -> int: ...
@@ -39,6 +41,8 @@
 
 
 class OperatorApi:
+    """Frontend for the operator's calls."""
+
     most_body = MAX_BODY_BYTES
 
     def __init__(self, submitter: CommandSubmitter) -> None:
@@ -50,7 +54,7 @@
             connection.hold(lambda: None)
             collect_body(arrival, lambda body: self._amend(body, connection))
         elif call == "config.read":
-            self._ask(Read(), connection, call)
+            self._submit(Read(), connection, call)
         else:
             raise Bad(404, "no such call")
 
@@ -60,12 +64,12 @@
         except UnicodeDecodeError:
             connection.respond(400, _error("not UTF-8"), JSON)
             return
-        self._ask(Amend(text), connection, "config.amend", patience_for(text))
+        self._submit(Amend(text), connection, "config.amend", patience_for(text))
 
-    def _ask(
+    def _submit(
         self, what: Command, connection: CallerConnection, call: str, patience: int = OPERATOR_PATIENCE
     ) -> None:
-        """A caller that goes may be refused elsewhere: its call is not pursued any more."""
+        """Submits a command; withdraws it if the caller disconnects, who may be rejected elsewhere."""
         number = self._submitter.submit(what, lambda result: self._answer(connection, call, result), patience)
         connection.hold(lambda: self._submitter.withdraw(number))
 
@@ -77,7 +81,7 @@
 
 
 def answer_to(result: CommandResult | None) -> tuple[int, bytes]:
-    """Status and body.  A 400 or 409 ends the operator's call; after a 503 it is sent again."""
+    """Status and body of the response.  A 400 or 409 ends the operator's call; after a 503 it is retried."""
     match result:
         case Configuration(content):
             return 200, msgspec.json.encode(content)
--- a/brackengate/control/role.py
+++ b/brackengate/control/role.py
@@ -1,4 +1,7 @@
-"""The lighthouse as a process: its disk, its links, its followers and its operators.  Decides nothing."""
+"""The control replica's process: its disk and its connections to replicas, followers and operators.
+
+All decisions are made by `replica.Replica`; this module executes the actions that it returns.
+"""
 
 from __future__ import annotations
 
@@ -48,18 +51,20 @@
 log = logging.getLogger("brackengate.lighthouse")
 
 TICK_S = 0.05
-HEARTBEAT_INTERVAL_US = 150_000  # a follower hears something at least so often, give or take a tick
-SLOW_WRITE_US = 400_000  # a disk that takes longer over a write is not healthy
+HEARTBEAT_INTERVAL_US = 150_000  # longest time between heartbeats to a follower, give or take a tick
+SLOW_WRITE_US = 400_000  # a disk that takes longer for a write is unhealthy
 NO_SNAPSHOT = SnapshotPosition()
-DELIVERY_SHARE_PERCENT = 30  # hundredths of `Ack` that a large order may wait for its followers
-GC_THRESHOLD_OBJECTS = 20_000  # objects: a large order makes a hundred thousand, and few are in circles
-DISK_RETRY_S = 0.3  # a write that failed is tried again
-MAX_BATCH_ROWS = 1_000  # committed rows that go to the disk with one write: it must not look like a slow disk
+DELIVERY_SHARE_PERCENT = 30  # of `Ack`, that a large configuration change may wait for its followers
+GC_THRESHOLD_OBJECTS = 20_000  # a large change allocates a hundred thousand, few of them in cycles
+DISK_RETRY_S = 0.3  # delay before a failed write is retried
+MAX_BATCH_ROWS = 1_000  # committed rows in one write: more could make the disk look slow
 
 
 class ControlReplica:
+    """One control replica: runs until it is stopped."""
+
     def __init__(self, settings: Settings, ground: Ground | None = None, drive: Waits | None = None) -> None:
-        """`ground`, `drive`: what it stands on, and its disk; by default the machine's."""
+        """`ground`: clock, sockets and random numbers; `drive`: the disk.  By default the machine's."""
         self.settings = settings
         ground = ground or Ground(asyncio.get_running_loop(), random.Random())
         self._loop, self._rng, self._bind, self.now = ground.loop, ground.rng, ground.bind, ground.steady
@@ -67,34 +72,38 @@
         control = required_address(settings.listen.control, "Control")
         self.me = f"{control[0]}:{control[1]}"
         self._port = settings.control_plane_port
-        self._left: asyncio.Future[int] = self._loop.create_future()
+        self._stopped: asyncio.Future[int] = self._loop.create_future()
         self._drive: Waits = drive or Drive(settings.data_dir or ".")
         self.replica: Replica
         self.followers: FollowerConnections
         self._admin_commands: AdminCommands
-        self._links: dict[str, Dialer] = {}
+        self._peers: dict[str, Dialer] = {}
         self._queue: list[Store] = []
         self._writing_since = 0
         self._failed = False
         self._pending: dict[int, Callable[[Any], None]] = {}
-        self._last_ask = 0
-        self._logged = 0  # the view that the log names last
+        self._last_command = 0
+        self._logged = 0  # epoch of the last view that was logged
         self._inner: asyncio.Server | None = None
         self._ticker: asyncio.TimerHandle | None = None
-        self._proceeds = False  # a slice of longer work is due
-        self._stage_message: tuple[StageChange, EncodedMessage] | None = None  # the last one, for all members
+        self._slice_scheduled = False  # a slice of longer work is due
+        # The last one, encoded for all members.
+        self._stage_message: tuple[StageChange, EncodedMessage] | None = None
 
-    # --- life
+    # --- start and stop
 
     async def run(self) -> int:
-        kept = await self._open_disk()
-        if kept is None:
+        """Runs the replica until `stop`; returns the exit code."""
+        stored = await self._open_disk()
+        if stored is None:
             return 0
         settings, now = self.settings, self.now()
-        first = settings.initial_start and kept.incarnation == FIRST
+        first = settings.initial_start and stored.incarnation == FIRST
         seeds = [f"{host}:{port}" for host, port in settings.seeds]
         window = settings.bounds.dedupe_window
-        self.replica = Replica(self.me, settings.zone, kept, seeds, first, settings.min_replicas, window, now)
+        self.replica = Replica(
+            self.me, settings.zone, stored, seeds, first, settings.min_replicas, window, now
+        )
         self.replica.chain.deliver_within(settings.bounds.ack * DELIVERY_SHARE_PERCENT // 100)
         self.followers = FollowerConnections(
             self.replica, self.now, self._carry_out, self.submit, self.withdraw
@@ -103,7 +112,7 @@
             self.replica, self.followers.by_connection, self.submit, self.now
         )
         self._inner = await self._loop.create_server(
-            lambda: JsonConnection(self._on_line, self._on_open, self._on_lost), settings.ip, self._port
+            lambda: JsonConnection(self._on_message, self._on_open, self._on_lost), settings.ip, self._port
         )
         server = create_server(
             self._loop,
@@ -123,27 +132,28 @@
         self._carry_out(self.replica.start(now))
         self._tick()
         try:
-            return await self._left
+            return await self._stopped
         finally:
             server.close()
 
     def stop(self, code: int = 0) -> None:
-        if not self._left.done():
-            self._left.set_result(code)
+        """Ends `run` with this exit code."""
+        if not self._stopped.done():
+            self._stopped.set_result(code)
 
     async def _open_disk(self) -> StoredState | None:
-        """None: it was told to stop while the disk was in trouble."""
+        """The stored state; None if `stop` was called while the disk could not be opened."""
         first = self.settings.initial_start
         while True:
             opening = self._loop.create_task(self._drive.open(first))
-            either: set[asyncio.Future[Any]] = {opening, self._left}
+            either: set[asyncio.Future[Any]] = {opening, self._stopped}
             await asyncio.wait(either, return_when=asyncio.FIRST_COMPLETED)
-            if self._left.done():
+            if self._stopped.done():
                 return None
             try:
                 return opening.result()
             except (OSError, sqlite3.Error, Damaged) as error:
-                log.error("store: step open, folder %s: %s; tried again", self.settings.data_dir, error)
+                log.error("store: step open, folder %s: %s; retrying", self.settings.data_dir, error)
                 await asyncio.sleep(DISK_RETRY_S)
 
     def _tick(self) -> None:
@@ -159,12 +169,12 @@
             chain = ", ".join(member.addr for member in view.members)
             log.info("lighthouse: view %d, from head to tail: %s", view.epoch, chain)
 
-    # --- carrying out
+    # --- actions
 
     def _carry_out(self, actions: list[Action]) -> None:
         for action in actions:
             if isinstance(action, Tell):
-                self._tell(action)
+                self._send(action)
             elif isinstance(action, Store):
                 self._queue.append(action)
             elif isinstance(action, Answer):
@@ -176,41 +186,41 @@
             elif isinstance(action, Deliver):
                 self.followers.deliver(action.order)
             elif isinstance(action, Continue):
-                self._proceed_soon()
+                self._schedule_slice()
             elif isinstance(action, Restart):
                 self.followers.restart()
         if self._queue and not self._writing_since:
             self._write()
 
-    def _tell(self, tell: Tell) -> None:
+    def _send(self, tell: Tell) -> None:
         if tell.addr == self.me:
-            self._loop.call_soon(self._heard, self.me, tell.word)
+            self._loop.call_soon(self._receive, self.me, tell.word)
             return
-        link = self._links.get(tell.addr)
+        link = self._peers.get(tell.addr)
         if link is None:
-            link = self._links[tell.addr] = self._dial(tell.addr)
+            link = self._peers[tell.addr] = self._dial(tell.addr)
         if isinstance(tell.word, StageChange):
             link.send_encoded(self._encoded_stage(tell.word))
         else:
             link.send(tell.word)
 
     def _encoded_stage(self, stage: StageChange) -> EncodedMessage:
-        """Made once for all members that it goes to."""
+        """Encodes the message once for all members."""
         if self._stage_message is None or self._stage_message[0] is not stage:
             self._stage_message = (stage, encode_message(stage))
         return self._stage_message[1]
 
-    def _proceed_soon(self) -> None:
-        if not self._proceeds:
-            self._proceeds = True
-            self._loop.call_soon(self._proceed)
+    def _schedule_slice(self) -> None:
+        if not self._slice_scheduled:
+            self._slice_scheduled = True
+            self._loop.call_soon(self._run_slice)
 
-    def _proceed(self) -> None:
-        self._proceeds = False
+    def _run_slice(self) -> None:
+        self._slice_scheduled = False
         self._carry_out(self.replica.proceed(self.now()))
 
-    def _heard(self, addr: str, word: Message) -> None:
-        self._carry_out(self.replica.heard(addr, word, self.now()))
+    def _receive(self, addr: str, message: Message) -> None:
+        self._carry_out(self.replica.heard(addr, message, self.now()))
 
     def _write(self) -> None:
         batch = self._next_batch()
@@ -219,7 +229,7 @@
         future.add_done_callback(lambda done: self._written(batch, done))
 
     def _next_batch(self) -> list[Store]:
-        """The stores that go to the disk together: one at least, and no more than `MAX_BATCH_ROWS`."""
+        """The stores of the next write: one at least, together no more than `MAX_BATCH_ROWS` rows."""
         rows = count = 0
         for store in self._queue:
             rows += len(store.rows)
@@ -232,12 +242,12 @@
     def _written(self, batch: list[Store], done: asyncio.Future[None]) -> None:
         error = done.exception()
         if damaged(error):
-            log.error("store: step write: %s; this ends here, and the next start begins a new life", error)
+            log.error("store: step write: %s; this ends here, and the next start begins a new incarnation", error)
             self.stop(1)
             return
         if error is not None:
             if not self._failed:
-                log.error("store: step write: %s; no member until it succeeds", error)
+                log.error("store: step write: %s; not a member until a write succeeds", error)
             self._failed = True
             self._queue = batch + self._queue
             self._loop.call_later(DISK_RETRY_S, self._write)
@@ -252,7 +262,7 @@
                 actions += self.replica.stored(store.index, store.generation)
         self._carry_out(actions)
 
-    # --- links to the other lighthouses
+    # --- connections to the other replicas
 
     def _dial(self, addr: str) -> Dialer:
         host = addr.rpartition(":")[0]
@@ -265,55 +275,59 @@
         def refused() -> None:
             self._carry_out(self.replica.refused(addr, self.now()))
 
-        return Dialer(address, lambda word: self._heard(addr, word), opened, on_refused=refused)
+        return Dialer(address, lambda message: self._receive(addr, message), opened, on_refused=refused)
 
-    # --- who comes here
+    # --- accepted connections
 
-    def _on_open(self, lines: JsonConnection) -> None:
+    def _on_open(self, connection: JsonConnection) -> None:
         pass
 
-    def _on_line(self, lines: JsonConnection, word: Message) -> None:
-        if isinstance(word, Hello):
-            lines.peer = word.addr
-            if word.is_proxy:
-                self.followers.add(lines)
+    def _on_message(self, connection: JsonConnection, message: Message) -> None:
+        if isinstance(message, Hello):
+            connection.peer = message.addr
+            if message.is_proxy:
+                self.followers.add(connection)
             else:
-                self.replica.met(word.addr, self.now())
-                self._carry_out(self.replica.reconnected(word.addr, self.now()))
-        elif lines in self.followers.by_connection:
-            if isinstance(word, ProgressReport):
-                self._admin_commands.receive_progress(lines, word)
+                self.replica.met(message.addr, self.now())
+                self._carry_out(self.replica.reconnected(message.addr, self.now()))
+        elif connection in self.followers.by_connection:
+            if isinstance(message, ProgressReport):
+                self._admin_commands.receive_progress(connection, message)
             else:
-                self.followers.receive(lines, word)
-        elif isinstance(word, Inquiry):
-            self._admin_commands.receive(lines, word)
-        elif lines.peer:
-            self._heard(lines.peer, word)
+                self.followers.receive(connection, message)
+        elif isinstance(message, Inquiry):
+            self._admin_commands.receive(connection, message)
+        elif connection.peer:
+            self._receive(connection.peer, message)
 
-    def _on_lost(self, lines: JsonConnection) -> None:
-        self.followers.remove(lines)
+    def _on_lost(self, connection: JsonConnection) -> None:
+        self.followers.remove(connection)
 
     def submit(self, what: Command, done: Callable[[Any], None], give_up_after: int = GIVE_UP_AFTER) -> int:
-        """`done` gets the result once; None: it is not known what becomes of it.  A number to withdraw it."""
-        self._last_ask += 1
-        number = self._last_ask
+        """Submits a command; returns a number for `withdraw`.
+
+        `done` is called once with the result; None: the outcome is unknown.
+        """
+        self._last_command += 1
+        number = self._last_command
         self._pending[number] = done
         self._carry_out(self.replica.ask(what, number, self.now(), give_up_after))
         return number
 
     def withdraw(self, number: int) -> None:
-        """Whoever asked has gone."""
+        """Withdraws a command whose caller has disconnected; `done` is not called."""
         if self._pending.pop(number, None) is not None:
             self.replica.withdraw(number)
 
 
 async def serve(settings: Settings) -> int:
-    lighthouse, loop = ControlReplica(settings), asyncio.get_running_loop()
+    """Runs a control replica in this process until SIGTERM or SIGINT; returns the exit code."""
+    replica, loop = ControlReplica(settings), asyncio.get_running_loop()
     gc.freeze()
     gc.set_threshold(GC_THRESHOLD_OBJECTS, *gc.get_threshold()[1:])
     for number in (signal.SIGTERM, signal.SIGINT):
-        loop.add_signal_handler(number, lighthouse.stop)
+        loop.add_signal_handler(number, replica.stop)
     loop.add_signal_handler(signal.SIGHUP, lambda: None)
     with contextlib.suppress(asyncio.CancelledError):
-        return await lighthouse.run()
+        return await replica.run()
     return 0
--- a/brackengate/control/status.py
+++ b/brackengate/control/status.py
@@ -1,4 +1,4 @@
-"""What a lighthouse says of itself to an operator's command: read off, and nothing changed by it.  Pure."""
+"""A replica's status for operators' commands: reads the state and changes nothing.  No I/O."""
 
 from __future__ import annotations
 
@@ -17,7 +17,8 @@
 )
 
 
-def replica_status(replica: Replica, pilots: tuple[FollowerStatus, ...], now: int) -> ReplicaStatus:
+def replica_status(replica: Replica, proxies: tuple[FollowerStatus, ...], now: int) -> ReplicaStatus:
+    """The replica's own status.  `proxies`: the followers' progress; `now`: microseconds."""
     agreement, chain = replica.agreement, replica.chain
     view = agreement.view
     public = chain.published
@@ -26,14 +27,14 @@
         for (kind, name), (_, value) in sorted(public.items())
         if kind == "inst" and value is not None
     )
-    neighbours = []
+    peers = []
     for addr, peer in sorted(agreement.peers.items()):
-        said, heard = peer.said, agreement.hears(addr, now)
-        if said is None:
-            neighbours.append(PeerStatus(addr, reachable=heard))
+        ping, reachable = peer.said, agreement.hears(addr, now)
+        if ping is None:
+            peers.append(PeerStatus(addr, reachable=reachable))
         else:
-            neighbours.append(
-                PeerStatus(addr, said.zone, heard, said.joining, said.disk_healthy, said.leaving)
+            peers.append(
+                PeerStatus(addr, ping.zone, reachable, ping.joining, ping.disk_healthy, ping.leaving)
             )
     return ReplicaStatus(
         replica.me,
@@ -57,13 +58,13 @@
         sum(1 for (kind, _), item in chain.items.items() if kind == "plant" and item.body is not None),
         _duties(replica, now),
         upstreams,
-        tuple(neighbours),
-        pilots,
+        tuple(peers),
+        proxies,
     )
 
 
 def _duties(replica: Replica, now: int) -> tuple[str, ...]:
-    """What this member does for all, by what it knows."""
+    """The duties of this member in the view, as far as it knows."""
     agreement, chain = replica.agreement, replica.chain
     if not agreement.is_member:
         return ()
@@ -78,7 +79,7 @@
 
 
 def item_list(replica: Replica, now: int) -> ItemList:
-    """The operator's items, those that were dropped too: their versions still count."""
+    """The operator's items, including removed ones, whose versions still count."""
     items = []
     for (kind, name), (index, value) in sorted(replica.chain.published.items()):
         if kind in ITEM_KINDS:
--- a/tests/control/test_admin_commands.py
+++ b/tests/control/test_admin_commands.py
@@ -1,4 +1,4 @@
-"""A lighthouse's answers about itself, and about the pilots that follow it."""
+"""A control replica's answers about itself, and about the proxies that follow it."""
 
 from __future__ import annotations
 
@@ -27,22 +27,24 @@
 HOP = {"hop": "out", "at": 1}
 
 
-class Lines:
+class FakeConnection:
+    """Records what it is sent."""
+
     def __init__(self, peer: str) -> None:
         self.peer, self.sent = peer, list[Any]()
-        self.said = asyncio.Event()
+        self.answered = asyncio.Event()
 
-    def send(self, word: Any) -> None:
-        self.sent.append(word)
-        self.said.set()
+    def send(self, message: Any) -> None:
+        self.sent.append(message)
+        self.answered.set()
 
 
-def follower(follows: bool = True, tells: bool = True) -> Any:
-    return SimpleNamespace(follows=follows, reports_progress=tells, index=7)
+def follower(follows: bool = True, reports_progress: bool = True) -> Any:
+    return SimpleNamespace(follows=follows, reports_progress=reports_progress, index=7)
 
 
-def told(text: str) -> tuple[int, list[tuple[str, str, str]]]:
-    """What `status` makes of the core at the end: how many may be lost; chain, duties and state of each."""
+def status_after(text: str) -> tuple[int, list[tuple[str, str, str]]]:
+    """The output of `status` at the end: how many replicas may be lost; chain, duties and state of each."""
     core, _ = play(text)
     members = [host.replica for host in core.hosts.values() if host.replica is not None]
     standings = [replica_status(member, (), core.now) for member in members]
@@ -51,14 +53,14 @@
     return figures.spare(standings), found
 
 
-def test_each_member_says_what_it_does_and_what_it_lacks() -> None:
-    assert told(
+def test_each_member_reports_its_duties_and_its_state() -> None:
+    assert status_after(
         """
         ms    | A              B              C
         2000  | claim k1 g1
         """
     ) == (1, [("head", "enter prune mend", "serves"), ("2", "", "serves"), ("tail", "agree", "serves")])
-    assert told(
+    assert status_after(
         """
         ms    | A              B              C
         2000  | stall 60000
@@ -72,7 +74,7 @@
             ("-", "", "disk unfit, waits for a seat"),
         ],
     )
-    spare, rows = told(
+    spare, rows = status_after(
         """
         ms    | A              B              C
         2000  |                down           down
@@ -82,7 +84,7 @@
     assert [state for _, _, state in rows[1:]] == ["unreached"] * 2
 
 
-def test_dropped_items_are_told_with_their_versions() -> None:
+def test_removed_items_are_listed_with_their_versions() -> None:
     core, _ = play(
         """
         ms    | A              B              C
@@ -90,8 +92,8 @@
         """
     )
     host = next(iter(core.hosts.values()))
-    for version, dropped in ((3, ""), (2, '{"Name":"p","Revision":"r7"}')):
-        host.ask(Amend(PLANT % (version, dropped)), lambda _: None)
+    for version, removed in ((3, ""), (2, '{"Name":"p","Revision":"r7"}')):
+        host.ask(Amend(PLANT % (version, removed)), lambda _: None)
         core.run(core.now + 1_000_000)
     assert host.replica is not None
     found = item_list(host.replica, core.now)
@@ -99,44 +101,42 @@
     assert found.serving
 
 
-def test_pilots_that_are_silent_or_older_hold_nothing_up(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(
-        admin_commands, "PROGRESS_TIMEOUT_S", 0.0
-    )  # by the time that the loop turns, it is over
+def test_proxies_that_do_not_answer_or_are_older_delay_nothing(monkeypatch: pytest.MonkeyPatch) -> None:
+    monkeypatch.setattr(admin_commands, "PROGRESS_TIMEOUT_S", 0.0)  # over by the loop's next turn
 
     async def play() -> None:
-        quick, silent, older, gone = (Lines(name) for name in ("quick", "silent", "older", "gone"))
-        followers = {quick: follower(), silent: follower(), older: follower(tells=False)}
+        quick, silent, older, gone = (FakeConnection(name) for name in ("quick", "silent", "older", "gone"))
+        followers = {quick: follower(), silent: follower(), older: follower(reports_progress=False)}
         followers[gone] = follower(follows=False)
-        room = AdminCommands(None, followers, None, None)  # type: ignore[arg-type]
-        asker = Lines("")
-        room.receive(asker, Inquiry(3, Explain("id-1")))  # type: ignore[arg-type]
+        commands = AdminCommands(None, followers, None, None)  # type: ignore[arg-type]
+        asker = FakeConnection("")
+        commands.receive(asker, Inquiry(3, Explain("id-1")))  # type: ignore[arg-type]
         assert quick.sent == silent.sent == [ProgressRequest(1, "id-1")]
-        assert older.sent == gone.sent == []  # a line that it can't read would end its connection
-        room.receive_progress(quick, ProgressReport(1, 9, (HOP,)))  # type: ignore[arg-type]
-        room.receive_progress(quick, ProgressReport(8, 9))  # type: ignore[arg-type]
+        assert older.sent == gone.sent == []  # an unknown message would end its connection
+        commands.receive_progress(quick, ProgressReport(1, 9, (HOP,)))  # type: ignore[arg-type]
+        commands.receive_progress(quick, ProgressReport(8, 9))  # type: ignore[arg-type]
         assert asker.sent == []
-        await asker.said.wait()
+        await asker.answered.wait()
         [done] = asker.sent
         assert (type(done), done.id) == (Result, 3)
         assert isinstance(done.result, Followers)
-        told = {one.addr: (one.index, one.decisions) for one in done.result.proxies}
-        assert told == {"quick": (9, (HOP,)), "silent": (None, ()), "older": (None, ())}
-        room.receive_progress(silent, ProgressReport(1, 9))  # type: ignore[arg-type]
+        found = {one.addr: (one.index, one.decisions) for one in done.result.proxies}
+        assert found == {"quick": (9, (HOP,)), "silent": (None, ()), "older": (None, ())}
+        commands.receive_progress(silent, ProgressReport(1, 9))  # type: ignore[arg-type]
 
     asyncio.run(asyncio.wait_for(play(), 10))
 
 
-def test_the_last_answer_ends_the_look(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_the_last_answer_ends_the_query(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(admin_commands, "PROGRESS_TIMEOUT_S", 3600.0)
 
     async def play() -> None:
-        one, two, asker = Lines("one"), Lines("two"), Lines("")
-        room = AdminCommands(None, {one: follower(), two: follower()}, None, None)  # type: ignore[arg-type]
-        room.receive(asker, Inquiry(1, Explain("id-1")))  # type: ignore[arg-type]
-        room.receive_progress(one, ProgressReport(1, 9))  # type: ignore[arg-type]
+        one, two, asker = FakeConnection("one"), FakeConnection("two"), FakeConnection("")
+        commands = AdminCommands(None, {one: follower(), two: follower()}, None, None)  # type: ignore[arg-type]
+        commands.receive(asker, Inquiry(1, Explain("id-1")))  # type: ignore[arg-type]
+        commands.receive_progress(one, ProgressReport(1, 9))  # type: ignore[arg-type]
         assert asker.sent == []
-        room.receive_progress(two, ProgressReport(1, 8))  # type: ignore[arg-type]
+        commands.receive_progress(two, ProgressReport(1, 8))  # type: ignore[arg-type]
         assert [one.index for one in asker.sent[0].result.proxies] == [9, 8]
 
     asyncio.run(play())
--- a/tests/control/test_commands_pending.py
+++ b/tests/control/test_commands_pending.py
@@ -172,12 +172,12 @@
     assert head.replica is not None
     claim = Claim("k", "g", "1", "")
     head.ask(claim, answers.append)
-    mesh.passes(1)
+    mesh.run_for(1)
     before = head.replica.chain.index
     head.stalled_until = mesh.core.now + 200_000
     for host in mesh.hosts:
         for _ in range(100):
             host.ask(claim, answers.append)
-    mesh.passes(1)
+    mesh.run_for(1)
     assert answers == [CommandDone()] * 301
     assert head.replica.chain.index - before <= 5
--- a/tests/control/test_disk.py
+++ b/tests/control/test_disk.py
@@ -318,7 +318,7 @@
         done.set_exception(broken.value)
         lighthouse._written([], done)
         async with asyncio.timeout(10):
-            return await lighthouse._left
+            return await lighthouse._stopped
 
     assert asyncio.run(told()) == 1
     assert "; this ends here, and the next start" in caplog.text
--- a/tests/control/test_order_timelines.py
+++ b/tests/control/test_order_timelines.py
@@ -1,4 +1,4 @@
-"""Orders through faults of the core: who is confirmed, and what a taken order meets when it is sent again."""
+"""Configuration changes through faults of the control plane: which are acknowledged, now and when resent."""
 
 from __future__ import annotations
 
@@ -26,46 +26,47 @@
 
 
 class Mesh:
-    """A core that has taken the first order."""
+    """A control plane that has accepted the first change."""
 
     def __init__(self, seed: int = 1, members: int = 3, folder: Path | None = None) -> None:
         self.core = Core([f"10.0.0.{n + 1}:80" for n in range(members)], seed, folder=folder)
         self.hosts = list(self.core.hosts.values())
         self.operator = Operator(self.core, seed)
         self.core.run(2 * S)
-        self.taken(FIRST)
+        self.accept(FIRST)
 
-    def passes(self, seconds: float) -> None:
+    def run_for(self, seconds: float) -> None:
         self.core.run(self.core.now + int(seconds * S))
 
-    def taken(self, *bodies: str) -> None:
+    def accept(self, *bodies: str) -> None:
+        """Sends changes one after the other, each of which must be acknowledged."""
         for body in bodies:
             sent = self.operator.send(body)
-            self.passes(2)
+            self.run_for(2)
             assert sent.status == 200, body
 
     def status_everywhere(self, body: str) -> list[int]:
         """Sent to every replica at once."""
         sent = [self.operator.send(body, [host]) for host in self.hosts]
-        self.passes(3)
+        self.run_for(3)
         return [one.status for one in sent]
 
     def read(self, name: str) -> dict[str, Any]:
-        """A route, as an operator reads it back; empty where it does not stand."""
+        """A route, as an operator reads it back; empty if there is none."""
         found: list[Any] = []
         self.hosts[0].ask(Read(), found.append)
-        self.passes(1)
+        self.run_for(1)
         assert isinstance(found[0], Configuration)
         paths = [path for host in found[0].content["Hosts"] for path in host["Paths"]]
         return next((path for path in paths if path["Name"] == name), {})
 
     def head(self) -> Host:
-        """Of the newest view."""
+        """The head of the newest view."""
         alive = [host.replica for host in self.hosts if host.replica is not None]
         newest = max(alive, key=lambda replica: replica.agreement.view.epoch)
         return self.core.hosts[newest.agreement.view.members[0].addr]
 
-    def cut_off(self, host: Host) -> None:
+    def partition(self, host: Host) -> None:
         others = [other.name for other in self.hosts if other is not host]
         self.core.cut(pair for other in others for pair in ((host.name, other), (other, host.name)))
 
@@ -77,16 +78,16 @@
 def _head_lost(mesh: Mesh) -> None:
     head = mesh.head()
     head.stop()
-    mesh.passes(3)
+    mesh.run_for(3)
     mesh.core.later(0, head.start)
 
 
 def _each_wiped(mesh: Mesh) -> None:
     for host in mesh.hosts:
         host.stop(wipe=True)
-        mesh.passes(1)
+        mesh.run_for(1)
         host.start()
-        mesh.passes(4)
+        mesh.run_for(4)
 
 
 def _all_restarted(mesh: Mesh) -> None:
@@ -97,29 +98,29 @@
 
 
 @pytest.mark.parametrize("fault", [_nothing, _head_lost, _each_wiped, _all_restarted])
-def test_an_order_that_was_taken_is_taken_ever_after(fault: Any) -> None:
-    """Through any replica, though its service is gone; and what conflicts with it is refused ever after."""
+def test_an_accepted_change_is_acknowledged_ever_after(fault: Any) -> None:
+    """Through any replica, even after its service was removed; a conflicting change is always rejected."""
     mesh = Mesh()
-    mesh.taken(X, order(route("a", 7)), order(drop_plants=[("q", 7)]))
+    mesh.accept(X, order(route("a", 7)), order(drop_plants=[("q", 7)]))
     fault(mesh)
-    mesh.passes(5)
+    mesh.run_for(5)
     assert mesh.status_everywhere(X) == [200] * 3
     assert mesh.status_everywhere(Y) == [409] * 3
     assert mesh.status_everywhere(FIRST) == [200] * 3
     assert mesh.read("a")["Revision"] == "r7"
 
 
-def test_from_files_after_a_restart_of_all(tmp_path: Path) -> None:
+def test_the_same_from_files_after_a_restart_of_all(tmp_path: Path) -> None:
     mesh = Mesh(folder=tmp_path)
-    mesh.taken(X, order(route("a", 7)), order(drop_plants=[("q", 7)]))
+    mesh.accept(X, order(route("a", 7)), order(drop_plants=[("q", 7)]))
     _all_restarted(mesh)
-    mesh.passes(5)
+    mesh.run_for(5)
     assert mesh.status_everywhere(X) == [200] * 3
     assert mesh.status_everywhere(Y) == [409] * 3
 
 
 def test_a_file_from_before_histories_is_read(tmp_path: Path) -> None:
-    """Of versions that were overtaken then nothing is known: the first to come is acknowledged."""
+    """Nothing is known of versions that were superseded then: the first to be sent is acknowledged."""
     old: list[Row] = [
         ("plant", "p", msgspec.to_builtins(Item(2, "", plant("p", 2)))),
         ("route", "a", msgspec.to_builtins(Item(7, "h.example", route("a", 7)))),
@@ -144,105 +145,105 @@
 
 
 @pytest.mark.parametrize("later", [0, 500, 1500, 3000])
-def test_two_orders_under_one_version_at_two_replicas(later: int) -> None:
-    """Microseconds apart: one is confirmed and in force, the other is refused."""
+def test_two_changes_under_one_version_at_two_replicas(later: int) -> None:
+    """Microseconds apart: one is acknowledged and in effect, the other is rejected."""
     mesh = Mesh(seed=later + 1)
     first = mesh.operator.send(X, [mesh.hosts[1]])
-    mesh.passes(later / S)
+    mesh.run_for(later / S)
     second = mesh.operator.send(Y, [mesh.hosts[2]])
-    mesh.passes(3)
+    mesh.run_for(3)
     assert sorted((first.status, second.status)) == [200, 409]
     assert mesh.read("a")["Cutoff"] == ("500ms" if first.status == 200 else OTHER)
 
 
-def test_an_order_that_was_lost_with_its_head_conflicts_when_it_comes_again() -> None:
-    """It was on the old head's disk alone, and was confirmed to nobody."""
+def test_a_change_that_was_lost_with_its_head_conflicts_when_it_is_resent() -> None:
+    """It was only on the old head's disk and was not acknowledged."""
     mesh = Mesh()
     head = mesh.head()
-    mesh.cut_off(head)
+    mesh.partition(head)
     lost = mesh.operator.send(X, [head, head])
-    mesh.passes(0.2)
+    mesh.run_for(0.2)
     assert head.replica is not None and head.replica.chain.items["route", "a"].version == 5
     head.stop()
-    mesh.passes(3)
+    mesh.run_for(3)
     assert lost.status == 0
-    mesh.taken(Y)
+    mesh.accept(Y)
     mesh.core.heal()
     head.start()
-    mesh.passes(6)
+    mesh.run_for(6)
     assert lost.status == 409
     assert mesh.read("a")["Cutoff"] == OTHER
 
 
-def test_one_order_at_two_heads() -> None:
-    """Entered at the old head, which is cut off with it; sent to the others, and to the old one once more."""
+def test_one_change_at_two_heads() -> None:
+    """Appended at the old head, which is partitioned then; sent to the others, and to the old head again."""
     mesh = Mesh()
     head = mesh.head()
     others = [host for host in mesh.hosts if host is not head]
-    mesh.cut_off(head)
+    mesh.partition(head)
     sent = mesh.operator.send(X, [head, *others])
-    mesh.passes(4)
+    mesh.run_for(4)
     assert sent.status == 200
     mesh.core.heal()
-    mesh.passes(4)
+    mesh.run_for(4)
     assert mesh.status_everywhere(X) == [200] * 3
     assert mesh.status_everywhere(Y) == [409] * 3
 
 
-def test_what_was_refused_does_not_come_into_force_by_an_earlier_copy() -> None:
-    """The copy waited at a replica that was cut off; its caller had gone, and was refused elsewhere."""
+def test_a_rejected_change_does_not_take_effect_by_an_earlier_submission() -> None:
+    """It waited at a partitioned replica; its caller had disconnected, and was rejected elsewhere."""
     mesh = Mesh()
     early = order(route("new", 5, to="later"))
     away = next(host for host in mesh.hosts if host is not mesh.head())
-    mesh.cut_off(away)
+    mesh.partition(away)
     sent = mesh.operator.send(early, [away, mesh.head()])
-    mesh.passes(4)
+    mesh.run_for(4)
     assert sent.status == 400
-    mesh.taken(order(plants=[plant("later", 3)]))
+    mesh.accept(order(plants=[plant("later", 3)]))
     mesh.core.heal()
-    mesh.passes(12)
+    mesh.run_for(12)
     assert mesh.read("new") == {}
-    mesh.taken(early)  # sent again as an order of its own, it is valid by now
+    mesh.accept(early)  # sent again as a change of its own, it is valid by now
     assert mesh.read("new")["Revision"] == "r5"
 
 
-def test_nor_where_its_replica_does_not_hear_that_the_caller_has_gone() -> None:
+def test_nor_if_its_replica_does_not_notice_that_the_caller_has_disconnected() -> None:
     mesh = Mesh()
     early = order(route("new", 5, to="later"))
     away = next(host for host in mesh.hosts if host is not mesh.head())
-    mesh.cut_off(away)
+    mesh.partition(away)
     away.ask(Amend(early), lambda _: None, OPERATOR_PATIENCE)
-    mesh.passes(1)
+    mesh.run_for(1)
     sent = mesh.operator.send(early, [mesh.head()])
-    mesh.taken(order(plants=[plant("later", 3)]))
+    mesh.accept(order(plants=[plant("later", 3)]))
     assert sent.status == 400
     mesh.core.heal()
-    mesh.passes(12)
+    mesh.run_for(12)
     assert mesh.read("new") == {}
 
 
-def test_nor_by_a_copy_that_is_under_way() -> None:
-    """It is not taken for a while, and then it is when it is sent again."""
+def test_nor_by_a_submission_in_flight() -> None:
+    """It is not accepted for a while; then it is when it is sent again."""
     mesh = Mesh()
     early = order(route("new", 5, to="later"))
     refused = mesh.operator.send(early)
-    mesh.passes(0.1)
+    mesh.run_for(0.1)
     assert refused.status == 400
     service = mesh.operator.send(order(plants=[plant("later", 3)]))
-    mesh.passes(0.1)
+    mesh.run_for(0.1)
     assert service.status == 200
     other = next(host for host in mesh.hosts if host is not mesh.head())
     other.withdraw(other.ask(Amend(early), lambda _: None))  # its submission is on the link
-    mesh.passes(1)
+    mesh.run_for(1)
     assert mesh.read("new") == {}
     again = mesh.operator.send(early)
-    mesh.passes(6)
+    mesh.run_for(6)
     assert again.status == 200
     assert mesh.read("new")["Revision"] == "r5"
 
 
-def test_a_submission_of_an_earlier_view_is_not_taken() -> None:
-    """It may have lain in a queue, and its caller may have been refused since."""
+def test_a_submission_of_an_earlier_view_is_not_accepted() -> None:
+    """It may have been queued, and its caller may have been rejected since."""
     chain = Chain("a:80", 1, 60 * S, 0, 1, 0)
     members = (Member("a:80", "first", 1), Member("b:80", "first", 1))
     chain.viewed(View(2, members), "first", 0)
@@ -254,7 +255,7 @@
     return [one.word for one in actions if isinstance(one, Tell) and isinstance(one.word, Submit)]
 
 
-def test_an_order_whose_caller_has_gone_is_not_submitted_again() -> None:
+def test_a_change_whose_caller_has_disconnected_is_not_submitted_again() -> None:
     chain = Chain("b:80", 1, 60 * S, 0, 1, 0)
     members = (Member("a:80", "first", 1), Member("b:80", "first", 1))
     chain.viewed(View(2, members), "first", 0)
@@ -265,8 +266,8 @@
     assert [one.what for one in submitted(chain.viewed(View(3, members), "first", S))] == [Amend(X)]
 
 
-def test_an_order_that_waited_too_long_is_not_submitted_in_a_new_view() -> None:
-    """Its replica stood still, and hears of the view before anything else."""
+def test_a_change_that_waited_too_long_is_not_submitted_in_a_new_view() -> None:
+    """Its replica was paused, and receives the new view before anything else."""
     chain = Chain("b:80", 1, 60 * S, 0, 1, 0)
     members = (Member("a:80", "first", 1), Member("b:80", "first", 1))
     chain.viewed(View(2, members), "first", 0)
@@ -277,14 +278,14 @@
     assert submitted(out) == []
 
 
-def test_an_invalid_order_beside_a_removal_is_in_force_in_no_part() -> None:
-    """Through every replica, at the moment in which its service goes."""
+def test_an_invalid_change_concurrent_with_a_removal_has_no_effect() -> None:
+    """Sent to every replica at the moment in which its service is removed."""
     mesh = Mesh()
-    going = mesh.operator.send(order(drop_plants=[("q", 7)]), [mesh.hosts[0]])
+    removal = mesh.operator.send(order(drop_plants=[("q", 7)]), [mesh.hosts[0]])
     sent = [mesh.operator.send(order(route("b", 5, to="q"), route("c", 5)), [host]) for host in mesh.hosts]
-    mesh.passes(3)
+    mesh.run_for(3)
     statuses = {one.status for one in sent}
-    assert len(statuses) == 1  # either all came first, and then the service could not go, or none did
-    taken = statuses == {200}
-    assert going.status == (400 if taken else 200)
-    assert bool(mesh.read("c")) is taken
+    assert len(statuses) == 1  # either all came first, and the service could not be removed, or none did
+    accepted = statuses == {200}
+    assert removal.status == (400 if accepted else 200)
+    assert bool(mesh.read("c")) is accepted
--- a/tests/control/test_orders_drawn.py
+++ b/tests/control/test_orders_drawn.py
@@ -1,8 +1,8 @@
-"""Drawn histories of two operators and a core in trouble, judged by what the operators saw alone.
+"""Random histories of two operators and a faulty control plane, checked only by what the operators saw.
 
-Up to eight orders are under way at once.  Versions are drawn from a few, so that many orders set one item to
-different contents under one version; every order that was acknowledged is sent again to all replicas, in any
-order, while services, places and views change.
+Up to eight configuration changes are in flight at once.  Versions are drawn from a few, so that many changes
+set one item to different contents under one version; every acknowledged change is sent again to all
+replicas, in any order, while services, locations and views change.
 """
 
 from __future__ import annotations
@@ -19,8 +19,8 @@
 from brackengate.protocol.messages import Configuration, Read
 
 S = 1_000_000
-AT_ONCE = 8
-ORDERS = 90
+MAX_IN_FLIGHT = 8
+CHANGES = 90
 ROUTES, SERVICES = ("a", "b", "c"), ("p", "q", "s")
 FIRST = order(
     *(route(name, 1) for name in ROUTES), plants=[plant(name, 1) for name in SERVICES], drop=[("gone", 1)]
@@ -29,7 +29,7 @@
 
 
 def items_of(body: str) -> Iterator[tuple[Item, str]]:
-    """Kind, name and version of each item of an order, with its content as text."""
+    """Kind, name and version of each item of a change, with its content as text."""
     call = json.loads(body)
     for one in call["Apply"]["Plants"]:
         yield ("plant", one["Name"], int(one["Revision"][1:])), json.dumps(one)
@@ -41,70 +41,74 @@
             yield (kind, one["Name"], int(one["Revision"][1:])), "dropped"
 
 
-class Seen:
-    """What the operators saw, and what must hold of it."""
+class Observations:
+    """What the operators saw, and the invariants on it."""
 
     def __init__(self) -> None:
-        self.confirmed: dict[Item, str] = {}
-        self.refused: set[tuple[Item, str]] = set()
+        self.acknowledged: dict[Item, str] = {}
+        self.rejected: set[tuple[Item, str]] = set()
         self.ends: dict[int, int] = {}
 
-    def ended(self, sent: Sent, sound: bool) -> None:
+    def ended(self, sent: Sent, valid: bool) -> None:
         self.ends[sent.status] = self.ends.get(sent.status, 0) + 1
         if sent.status != 200:
-            self.refused.update(items_of(sent.body))
+            self.rejected.update(items_of(sent.body))
             return
-        assert sound, f"an invalid order was acknowledged: {sent.body}"
+        assert valid, f"an invalid change was acknowledged: {sent.body}"
         for item, content in items_of(sent.body):
-            assert self.confirmed.setdefault(item, content) == content, f"two were confirmed as {item}"
+            assert (
+                self.acknowledged.setdefault(item, content) == content
+            ), f"two contents were acknowledged as {item}"
 
-    def ended_again(self, sent: Sent) -> None:
-        assert sent.status == 200, f"taken, sent again and refused with {sent.status}: {sent.body}"
+    def ended_resent(self, sent: Sent) -> None:
+        assert sent.status == 200, f"acknowledged, resent and rejected with {sent.status}: {sent.body}"
 
     def read_back(self, content: dict[str, Any]) -> None:
-        """The highest confirmed version of each item holds, or one of which nobody was told."""
+        """The highest acknowledged version of each item is in force, or one that was not answered."""
         held = dict(items_of(json.dumps({"Apply": content, "Remove": {"Routes": [], "Plants": []}})))
         versions = {item[:2]: item[2] for item in held}
         for item, text in held.items():
-            assert self.confirmed.get(item, text) == text, f"{item} is not what was confirmed"
-            assert item in self.confirmed or (item, text) not in self.refused, f"{item} was refused"
-        for kind, name, version in self.confirmed:
-            newest = max(v for k, n, v in self.confirmed if (k, n) == (kind, name))
-            if self.confirmed[kind, name, newest] != "dropped":
+            assert self.acknowledged.get(item, text) == text, f"{item} is not what was acknowledged"
+            assert item in self.acknowledged or (item, text) not in self.rejected, f"{item} was rejected"
+        for kind, name, version in self.acknowledged:
+            newest = max(v for k, n, v in self.acknowledged if (k, n) == (kind, name))
+            if self.acknowledged[kind, name, newest] != "dropped":
                 assert versions.get((kind, name), -1) >= version, f"{kind} {name} r{version} is gone"
 
 
 class Play:
+    """One random history: operators, faults and a control plane."""
+
     def __init__(self, seed: int, members: int) -> None:
         self.core = Core([f"10.0.0.{n + 1}:80" for n in range(members)], seed)
-        self.rng, self.seen = random.Random(f"orders {seed}"), Seen()
+        self.rng, self.observed = random.Random(f"orders {seed}"), Observations()
         self.hosts = list(self.core.hosts.values())
         self.operators = [Operator(self.core, seed), Operator(self.core, seed + 1000)]
-        self.under_way = self.count = self.again = 0
+        self.in_flight = self.count = self.resent = 0
         self.core.run(2 * S)
         self._send(FIRST, True)
         self.core.run(4 * S)
-        assert self.seen.ends == {200: 1}
+        assert self.observed.ends == {200: 1}
         self._next()
         self.core.later(S, self._fault)
 
     def _next(self) -> None:
-        if self.count < ORDERS:
+        if self.count < CHANGES:
             self.core.later(self.rng.randrange(300_000), self._next)
-            if self.under_way < AT_ONCE:
+            if self.in_flight < MAX_IN_FLIGHT:
                 self.count += 1
-                sound = self.rng.random() > 0.1
-                self._send(self._draw(sound), sound)
+                valid = self.rng.random() > 0.1
+                self._send(self._draw(valid), valid)
 
-    def _draw(self, sound: bool) -> str:
-        """Two of three are of one item; contents differ by their time-out or path."""
+    def _draw(self, valid: bool) -> str:
+        """A random change; two of three set one item. Contents differ by cutoff or path."""
         rng, version = self.rng, 2 + self.count // 6 + self.rng.randrange(-2, 3)
         mark = rng.randrange(1000)
         routes = [
             route(name, max(1, version), rng.choice(SERVICES), f"/{rng.choice(ROUTES)}/", f"{500 + mark}ms")
             for name in rng.sample(ROUTES, rng.choice((1, 1, 2)))
         ]
-        if not sound:
+        if not valid:
             routes[0]["Plant"] = "nobody"
             return order(*routes)
         match rng.randrange(6):
@@ -118,34 +122,34 @@
                 return order(*routes, plants=[plant(routes[0]["Plant"], max(1, version), f"/{mark}")])
         return order(*routes)
 
-    def _send(self, body: str, sound: bool) -> None:
-        """By one of the two, until its call ends."""
-        self.under_way += 1
+    def _send(self, body: str, valid: bool) -> None:
+        """Sends a change by one of the two operators until it is answered."""
+        self.in_flight += 1
         sent = self.rng.choice(self.operators).send(body)
-        sent.on_end.append(lambda: self._ended(sent, sound))
+        sent.on_end.append(lambda: self._ended(sent, valid))
 
-    def _ended(self, sent: Sent, sound: bool) -> None:
-        self.under_way -= 1
-        self.seen.ended(sent, sound)
+    def _ended(self, sent: Sent, valid: bool) -> None:
+        self.in_flight -= 1
+        self.observed.ended(sent, valid)
         if sent.status == 200:
             hosts = self.rng.sample(self.hosts, len(self.hosts))
             for host in hosts:
-                self.core.later(self.rng.randrange(12 * S), lambda host=host: self._again(sent.body, host))
+                self.core.later(self.rng.randrange(12 * S), lambda host=host: self._resend(sent.body, host))
 
-    def _again(self, body: str, host: Host) -> None:
-        self.again += 1
+    def _resend(self, body: str, host: Host) -> None:
+        self.resent += 1
         sent = self.rng.choice(self.operators).send(body, [host])
-        sent.on_end.append(lambda: self.seen.ended_again(sent))
+        sent.on_end.append(lambda: self.observed.ended_resent(sent))
 
     def _fault(self) -> None:
         if self.core.now > 22 * S:
             return
         rng, host = self.rng, self.rng.choice(self.hosts)
         lasts = rng.randrange(300_000, 2_500_000)
-        self._strike(rng.choice(("down", "wipe", "cut", "mute", "freeze", "all")), host, lasts)
+        self._inject(rng.choice(("down", "wipe", "cut", "mute", "freeze", "all")), host, lasts)
         self.core.later(lasts + 3 * S, self._fault)
 
-    def _strike(self, kind: str, host: Host, lasts: int) -> None:
+    def _inject(self, kind: str, host: Host, lasts: int) -> None:
         out = [(host.name, other.name) for other in self.hosts if other is not host]
         starts: Callable[[], None] = host.start
         if kind in ("down", "wipe"):
@@ -163,20 +167,20 @@
 
     def finish(self) -> None:
         self.core.run(48 * S)
-        assert self.under_way == 0, "orders without an answer"
+        assert self.in_flight == 0, "changes without an answer"
         for host in self.hosts:
             found: list[Any] = []
             host.ask(Read(), found.append)
             self.core.run(self.core.now + S)
             assert isinstance(found[0], Configuration)
-            self.seen.read_back(found[0].content)
+            self.observed.read_back(found[0].content)
 
 
 @pytest.mark.parametrize("members", [3, 4])
 @pytest.mark.parametrize("seed", range(5))
-def test_what_operators_see_of_drawn_histories(members: int, seed: int) -> None:
+def test_what_operators_see_of_random_histories(members: int, seed: int) -> None:
     play = Play(seed, members)
     play.finish()
-    ends = play.seen.ends
-    assert ends[200] > 20 and ends[400] > 5 and ends[409] > 5, ends  # each of them came about
-    assert play.again >= 20 * members
+    ends = play.observed.ends
+    assert ends[200] > 20 and ends[400] > 5 and ends[409] > 5, ends  # each of them occurred
+    assert play.resent >= 20 * members
--- a/tests/control/test_staging.py
+++ b/tests/control/test_staging.py
@@ -63,7 +63,7 @@
     """
     made = mesh(200 * MS, 900 * MS, 10 * MS)
     sent = made.operator.send(BIG)
-    made.passes(0.85)
+    made.run_for(0.85)
     assert not in_force(made)
     assert 0 < acknowledged_after(made, sent) < 300 * MS
     assert len(in_force(made)) == 3
@@ -79,7 +79,7 @@
 def test_a_small_change_overtakes_one_that_is_being_delivered() -> None:
     made = mesh(None, None, None)
     made.operator.send(BIG)
-    made.passes(0.2)
+    made.run_for(0.2)
     assert acknowledged_after(made, made.operator.send(order(route("a", 7)))) < 200 * MS
     assert not in_force(made)
 
@@ -87,8 +87,8 @@
 def test_a_change_is_decided_when_it_is_appended_and_not_before() -> None:
     made = mesh(None, None, None)
     late = made.operator.send(order(*(route(f"big{n}", 5) for n in range(ROUTES)), drop=[("a", 5)]))
-    made.passes(0.2)
-    made.taken(order(route("a", 7)))
+    made.run_for(0.2)
+    made.accept(order(route("a", 7)))
     acknowledged_after(made, late)
     assert made.read("a")["Revision"] == "r7"
 
@@ -96,9 +96,9 @@
 def test_a_change_that_became_invalid_meanwhile_is_rejected_as_a_whole() -> None:
     made = mesh(None, None, None)
     late = made.operator.send(order(*(route(f"big{n}", 5, to="q") for n in range(ROUTES))))
-    made.passes(0.2)
-    made.taken(order(route("a", 7), route("b", 7), drop_plants=[("q", 7)]))
-    made.passes(5)
+    made.run_for(0.2)
+    made.accept(order(route("a", 7), route("b", 7), drop_plants=[("q", 7)]))
+    made.run_for(5)
     assert late.status == 400 and not in_force(made)
 
 
@@ -127,19 +127,19 @@
     host = made.core.hosts[view.members[{"head": 0, "middle": 1, "tail": 2}[lost]].addr]
     host.stop(wipe=wipe)
     acknowledged_after(made, sent)
-    made.passes(1)
+    made.run_for(1)
     host.start()
-    made.passes(4)
+    made.run_for(4)
     assert made.read("big7")["Revision"] == "r5"
 
 
 def test_a_change_is_accepted_after_all_members_lost_power_during_its_delivery() -> None:
     made = mesh(400 * MS, 400 * MS, 400 * MS)
     sent = made.operator.send(BIG)
-    made.passes(0.3)
+    made.run_for(0.3)
     for host in made.hosts:
         host.stop()
-    made.passes(0.5)
+    made.run_for(0.5)
     for host in made.hosts:
         host.start()
     acknowledged_after(made, sent)
@@ -151,9 +151,9 @@
     head = made.head()
     others = [host for host in made.hosts if host is not head]
     head.ask(Amend(BIG), lambda _: None)
-    made.passes(0.2)
-    made.cut_off(head)
-    made.passes(4)
+    made.run_for(0.2)
+    made.partition(head)
+    made.run_for(4)
     assert not any(row[1] == "big0" for _, rows in head.published for row in rows)
     for host in others:
         host.followers_take = 0
