--- a/brackengate/control/role.py
+++ b/brackengate/control/role.py
@@ -242,7 +242,9 @@
     def _written(self, batch: list[Store], done: asyncio.Future[None]) -> None:
         error = done.exception()
         if damaged(error):
-            log.error("store: step write: %s; this ends here, and the next start begins a new incarnation", error)
+            log.error(
+                "store: step write: %s; this ends here, and the next start begins a new incarnation", error
+            )
             self.stop(1)
             return
         if error is not None:
