--- a/benchmarks/scale/hollow.py
+++ b/benchmarks/scale/hollow.py
@@ -36,8 +36,7 @@
     RunClaims,
 )
 from brackengate.net.ground import steady_us
-from brackengate.protocol.messages import Claim, CommandDone
-from brackengate.protocol.messages import Report as UpstreamReport
+from brackengate.protocol.messages import Claim, CommandDone, ReportUpstream
 from brackengate.proxy import failure_detector, role
 from brackengate.proxy.admission import Beat, Gate
 from brackengate.proxy.follow import Following
@@ -116,7 +115,7 @@
         ):
             return
         self._reporting = True
-        what = UpstreamReport(self.ip, msgspec.to_builtins(wanted))
+        what = ReportUpstream(self.ip, msgspec.to_builtins(wanted))
         self.following.ask(what, self._reported, role.REPORT_WITHIN_S)
 
     def _reported(self, result: object) -> None:
