--- a/benchmarks/scale/hollow.py
+++ b/benchmarks/scale/hollow.py
@@ -36,8 +36,7 @@
     RunClaims,
 )
 from brackengate.net.ground import monotonic_clock_us
-from brackengate.protocol.messages import Claim, CommandDone
-from brackengate.protocol.messages import ReportUpstream as UpstreamReport
+from brackengate.protocol.messages import Claim, CommandDone, ReportUpstream
 from brackengate.proxy import failure_detector, role
 from brackengate.proxy.admission import Admission, Heartbeat
 from brackengate.proxy.control_client import ControlClient
@@ -127,7 +126,7 @@
         ):
             return
         self._reporting = True
-        what = UpstreamReport(self.ip, msgspec.to_builtins(wanted))
+        what = ReportUpstream(self.ip, msgspec.to_builtins(wanted))
         self.control_client.send_command(what, self._reported, role.REPORT_TIMEOUT_S)
 
     def _reported(self, result: object) -> None:
--- a/benchmarks/scale/site.py
+++ b/benchmarks/scale/site.py
@@ -14,6 +14,7 @@
 import msgspec
 
 from benchmarks.scale.orders import CHANGED_ROUTE, HOST, End, HollowPlan, Order, Report
+from brackengate.meshctl.ask import MeshClient
 from brackengate.protocol.messages import ReplicaStatus
 from brackengate.proxy.failure_detector import KEEPALIVE_TIMEOUT_US
 from standins.mesh import ROOT, Machine, Ports, Upstream, call
--- a/brackengate/control/commands.py
+++ b/brackengate/control/commands.py
@@ -20,7 +20,7 @@
 from brackengate.control.item_index import ItemIndex
 from brackengate.control.rows import KEY_KIND
 from brackengate.control.staging import MIN_STAGED_BYTES
-from brackengate.protocol.config_items import InvalidConfig, ItemName, ConfigChange, parse_change
+from brackengate.protocol.config_items import ConfigChange, InvalidConfig, ItemName, parse_change
 from brackengate.protocol.messages import (
     Amend,
     Claim,
--- a/brackengate/control/learning.py
+++ b/brackengate/control/learning.py
@@ -17,7 +17,7 @@
     changed_rows,
     check_total,
 )
-from brackengate.protocol.messages import SnapshotPiece, SnapshotPosition, SnapshotRequest, Row
+from brackengate.protocol.messages import Row, SnapshotPiece, SnapshotPosition, SnapshotRequest
 
 ANSWER_TIMEOUT_US = 600_000  # a sender that takes longer is skipped
 POLL_INTERVAL_US = 200_000  # between two requests of a complete copy for new entries
--- a/brackengate/control/replica.py
+++ b/brackengate/control/replica.py
@@ -31,7 +31,8 @@
 )
 
 LOG_MESSAGES = (
-    Submit, CommandInProgress, StageChange, ChangeDelivered, Result, EntriesRequest, Append, SnapshotRequest, SnapshotPiece, Ack,
+    Submit, CommandInProgress, StageChange, ChangeDelivered, Result, EntriesRequest,
+    Append, SnapshotRequest, SnapshotPiece, Ack,
 )  # fmt: skip
 FIRST_INCARNATION = "first"  # of a disk that was created at the system's first start
 
--- a/brackengate/proxy/control_client.py
+++ b/brackengate/proxy/control_client.py
@@ -83,7 +83,12 @@
         host = parse_address(addr)[0]
         address = host, client.port
         self._dialer = Dialer(
-            address, self._on_message, self._on_open, self._on_close, tries=1, on_part=self._note_activity
+            address,
+            self._on_message,
+            self._on_open,
+            self._on_close,
+            max_failures=1,
+            on_part=self._note_activity,
         )
 
     def send(self, message: Message) -> None:
--- a/brackengate/proxy/snapshot_receiver.py
+++ b/brackengate/proxy/snapshot_receiver.py
@@ -5,7 +5,7 @@
 from dataclasses import dataclass, field
 
 from brackengate.control.rows import CommittedRows
-from brackengate.control.transfer import EMPTY_POSITION, CopyMismatch, check_total, changed_rows
+from brackengate.control.transfer import EMPTY_POSITION, CopyMismatch, changed_rows, check_total
 from brackengate.protocol.messages import Row, SnapshotPiece, SnapshotPosition
 
 
--- a/tests/control/test_membership.py
+++ b/tests/control/test_membership.py
@@ -13,7 +13,7 @@
 from brackengate.control.membership import MembershipFacts, next_members
 from brackengate.control.replica import FIRST_INCARNATION, Replica, StoredState
 from brackengate.control.view import MAX_ADMISSION_LAG_ENTRIES, Agreement
-from brackengate.protocol.messages import Accept, Message, Member, Ping, Pong, Prepare, Promise, View
+from brackengate.protocol.messages import Accept, Member, Message, Ping, Pong, Prepare, Promise, View
 
 A, B, C, D, E = (Member(name, "i", 1) for name in "ABCDE")
 NEW = Member("N", "n", 2)
