--- a/brackengate/proxy/__init__.py
+++ b/brackengate/proxy/__init__.py
@@ -1,1 +1,1 @@
-"""The role beside an upstream: the way out for requests that begin here, the gate for those that come."""
+"""The sidecar proxy: egress of requests that begin on its machine, ingress and admission to its upstream."""
--- a/brackengate/proxy/admission.py
+++ b/brackengate/proxy/admission.py
@@ -1,8 +1,8 @@
-"""The gate beside an upstream: which requests may reach it, and which operation runs here.  Pure.
+"""Admission to the local upstream: which requests may reach it, and the operations that run here.  Pure.
 
-Only the pilot on its machine reaches an upstream, so what is turned away here reaches none: it has not run
-and never will.  The gate knows the upstream's present life and state from its beats, whatever the core
-knows. Times are microseconds of a steady clock.
+Only the proxy on its machine can reach an upstream, so a request that is rejected here has not run and never
+will.  The upstream's current incarnation and state come from its heartbeats, whatever the control replicas
+know.  Times are microseconds of a steady clock.
 """
 
 from __future__ import annotations
@@ -13,13 +13,14 @@
 
 from brackengate.protocol.messages import Instance
 
-ADOPTED_INTERVALS = 1.5  # for so long what an earlier process knew holds without a beat
-SILENT_AFTER_INTERVALS = 3.4  # an upstream that lets as many beats pass is taken for gone
+# In heartbeat intervals:
+ADOPTED_INTERVALS = 1.5  # an adopted instance row is valid for this long without a heartbeat
+SILENT_AFTER_INTERVALS = 3.4  # without a heartbeat, after which an upstream counts as gone
 
 
 @dataclass(slots=True)
 class Heartbeat:
-    """What an upstream says of itself."""
+    """A heartbeat of an upstream: its identity and state.  `sequence`: rises with each one."""
 
     id: str
     service: str
@@ -31,9 +32,11 @@
 
 
 class Admission:
+    """Tracks the upstream beside this proxy and decides which requests may reach it."""
+
     def __init__(self, zone: str, heartbeat_interval: int, drain_time: int, incarnation: str = "") -> None:
-        """`every`: between two beats.  `drain`: for which a leaving upstream still takes requests at the
-        most.  `life`: of this process."""
+        """`heartbeat_interval`: between two heartbeats.  `drain_time`: the longest time for which a draining
+        upstream still takes requests.  `incarnation`: of this process."""
         self.zone, self._heartbeat_interval, self._drain_time, self.incarnation = (
             zone,
             heartbeat_interval,
@@ -42,13 +45,13 @@
         )
         self.heartbeat: Heartbeat | None = None
         self._last_heartbeat_at = 0
-        self._ended_instances: set[str] = set()  # lives that have said that they end
+        self._ended_instances: set[str] = set()  # incarnations that left or were replaced
         self._draining_since = 0
-        self.leaving = False  # this process will end: callers are to look elsewhere
-        self.closed = False  # this process ends: what is under way is let go on, and nothing new comes
+        self.leaving = False  # this process will end: callers are told to use other proxies
+        self.closed = False  # this process ends: requests in flight finish, new ones are rejected
 
     def receive_heartbeat(self, heartbeat: Heartbeat, now: int) -> bool:
-        """Take a beat; False: a late one, or one of an earlier life, changes nothing."""
+        """Record a heartbeat; False if it is ignored, as late or of an earlier incarnation."""
         current = self.heartbeat
         if heartbeat.id in self._ended_instances:
             return False
@@ -56,7 +59,7 @@
             if heartbeat.sequence <= current.sequence and current.sequence > 0:
                 return False
             if current.state == "draining":
-                heartbeat.state = "draining"  # there is no way back
+                heartbeat.state = "draining"  # draining is final
         if heartbeat.state == "draining" and (
             current is None or current.id != heartbeat.id or current.state != "draining"
         ):
@@ -67,10 +70,10 @@
         return True
 
     def adopt(self, known: Instance, now: int) -> None:
-        """What the core last heard of this machine, until the first beat says what is.
+        """Use the control plane's last row of this machine until the first heartbeat arrives.
 
-        Guards against the time that a restarted pilot would turn everything away.  The upstream itself turns
-        away what is for an earlier life.
+        Without it, a restarted proxy would reject everything until then.  The upstream itself rejects
+        requests for an earlier incarnation.
         """
         if self.heartbeat is None and not self._ended_instances and known.state in ("ready", "away"):
             self.heartbeat = Heartbeat(known.id, known.plant, "ready", known.capacity, 0, 0, known.zone)
@@ -79,23 +82,24 @@
             )
 
     def remove_upstream(self, id_: str) -> None:
+        """The upstream has announced that this incarnation ends."""
         self._ended_instances.add(id_)
         if self.heartbeat is not None and self.heartbeat.id == id_:
             self.heartbeat = None
 
     def has_ended(self, id_: str) -> bool:
-        """Whether this life has said that it ends."""
+        """Whether this incarnation has left or was replaced."""
         return id_ in self._ended_instances
 
     def is_silent(self, now: int) -> bool:
-        """Whether it has missed beats for so long that it is taken for gone."""
+        """Whether the upstream has missed heartbeats for so long that it counts as gone."""
         return (
             self.heartbeat is not None
             and now - self._last_heartbeat_at > SILENT_AFTER_INTERVALS * self._heartbeat_interval
         )
 
     def rejection_reason(self, wanted: str, now: int) -> str:
-        """Why a request for this life of the upstream may not reach it; empty: it may."""
+        """Why a request for this incarnation of the upstream may not reach it; empty: it may."""
         heartbeat = self.heartbeat
         if heartbeat is None:
             return "nobody is known here"
@@ -110,7 +114,7 @@
         return ""
 
     def report(self, now: int) -> Instance | None:
-        """What the core should know; None: nothing yet."""
+        """The row that the control plane should have of this machine; None: nothing is known yet."""
         heartbeat = self.heartbeat
         if heartbeat is None:
             return None
@@ -128,32 +132,36 @@
 
 
 class OperationState(Enum):
+    """Progress of an operation at this proxy."""
+
     CLAIMING = "claiming"
     RUNNING = "running"
     DONE = "done"  # its answer is kept
-    CLAIMED = "unrun"  # claimed here, and not run
-    UNCLAIMED = "unclaimed"  # not run here; whether the claim stands is not known
-    OUTCOME_UNKNOWN = "lost"  # it may have run, and nobody knows with which outcome
-    ELSEWHERE = "elsewhere"  # another gate has it
+    CLAIMED = "unrun"  # claimed here, but not run
+    UNCLAIMED = "unclaimed"  # not run here; not known whether a claim exists
+    OUTCOME_UNKNOWN = "lost"  # it may have run, with an outcome that nobody knows
+    ELSEWHERE = "elsewhere"  # another proxy holds the claim
 
 
 @dataclass(slots=True, eq=False)
 class Operation:
-    """What is known here of one operation key."""
+    """What is known here about one operation key."""
 
     key: str
-    attempt: str  # the claim's
+    attempt: str  # identifies the claim
     state: OperationState
     claimed_at: int
     answer: object = None
     size: int = 0
-    holder: str = ""  # the other gate
+    holder: str = ""  # the machine of the other proxy that holds the claim
     waiters: list[object] = field(default_factory=list)
 
 
 class OperationStore:
-    """Bounded in time and bytes.  What is forgotten here is still claimed at the core: it never runs
-    again."""
+    """Operations by key, bounded in time and bytes.
+
+    What is evicted here is still claimed at the control plane, so it never runs again.
+    """
 
     def __init__(self, window: int, max_bytes: int) -> None:
         self._window, self._max_bytes = window, max_bytes
@@ -161,40 +169,45 @@
         self._bytes = 0
 
     def get(self, key: str, now: int) -> Operation | None:
+        """The operation of a key, unless it is not known or has expired."""
         self._evict(now)
         operation = self._operations.get(key)
         if operation is not None and self._expired(operation, now):
-            self.drop(operation)  # the core may have let its claim go: it is no longer ours to run under
+            self.drop(operation)  # the control plane may have dropped its claim: nothing may run under it
             return None
         return operation
 
     def claim_expired(self, operation: Operation, now: int) -> bool:
         """Whether its claim is too old to run under.
 
-        The core holds a claim for two windows from its making.  A run that begins in the second one would
-        be guarded for less than a window.
+        The control plane holds a claim for two windows.  A run that begins in the second one would be
+        protected for less than a window.
         """
         return now - operation.claimed_at > self._window
 
     def begin(self, key: str, attempt: str, now: int) -> Operation:
+        """Add an operation whose key is about to be claimed."""
         operation = self._operations[key] = Operation(key, attempt, OperationState.CLAIMING, now)
         return operation
 
     def restart_window(self, operation: Operation, now: int) -> None:
-        """Its claim is gone at the core: what is claimed from here on is as old as that.
+        """Start the window again, as the control plane has released the claim.
 
-        It stays by name, since its next claim has to replace a sending of this one that comes late.
+        The operation stays in the store: its next claim names the released one, so that it replaces a copy
+        of that claim's message that arrives late.
         """
         if self._operations.get(operation.key) is operation:
             operation.claimed_at = now
             self._operations.move_to_end(operation.key)
 
     def store_answer(self, operation: Operation, answer: object, size: int) -> None:
+        """Mark an operation as done and keep its answer of `size` bytes for repeats."""
         operation.state, operation.answer, operation.size = OperationState.DONE, answer, size + 200
         if self._operations.get(operation.key) is operation:
             self._bytes += operation.size
 
     def drop(self, operation: Operation) -> None:
+        """Remove an operation."""
         if self._operations.get(operation.key) is operation:
             del self._operations[operation.key]
             self._bytes -= operation.size
--- a/brackengate/proxy/answer_classification.py
+++ b/brackengate/proxy/answer_classification.py
@@ -1,9 +1,9 @@
-"""What an answer means at each hop: whose it is, whether its call ran, and whether it may go back.  Pure.
+"""Classifies answers at each hop: whose they are, whether the request ran, whether to forward them.  Pure.
 
-Each hop has a check of its own, on failures as on successes: the proxy beside the upstream (`own_judge`)
-reads what an application sent, the proxy beside the client (`judge`) what another proxy sent.  An answer
-whose id is not the call's own is out of step with its connection: nothing of it goes back, and the connection
-is closed.
+Each hop makes its own check, on failures as on successes: the proxy beside the upstream
+(`classify_upstream_answer`) reads what an application sent, the proxy beside the client
+(`classify_proxy_answer`) what another proxy sent.  An answer with another attempt id than the request's is
+out of step with its connection: nothing of it is forwarded, and the connection is closed.
 """
 
 from __future__ import annotations
@@ -15,7 +15,7 @@
 
 NOT_EXECUTED_STATUSES = frozenset(
     (408, 421, 429, 503)
-)  # to a client they say that its call has not run and never will
+)  # they promise a client that its request has not run and never will
 MISDIRECTED = 421
 _ATTEMPT_ID, _SERVER_SEAL, _NOT_EXECUTED = ATTEMPT_ID.lower(), SERVER_SEAL.lower(), NOT_EXECUTED.lower()
 _ATTEMPT_ID_LINE = b"\r\n" + _ATTEMPT_ID + b":"
@@ -27,7 +27,7 @@
     HopOutcome.SHED: Outcome.REJECTED,
     HopOutcome.UNREACHED: Outcome.CONNECT_FAILED,
     HopOutcome.BROKEN: Outcome.RESET,
-    # The call may have run, or its operation has; that tells nothing of the upstream.
+    # The request may have run, or its operation has; that says nothing about the upstream's health.
     HopOutcome.SPOILT: Outcome.TIMEOUT,
     HopOutcome.LATE: Outcome.TIMEOUT,
     HopOutcome.BUSY: Outcome.TIMEOUT,
@@ -36,7 +36,7 @@
 
 
 def attempt_id_of(payload: bytes) -> bytes | None:
-    """The attempt id in the head of a request as it is written; None: it has none."""
+    """The attempt id in the head of a request as it is sent; None: it has none."""
     head = payload[: payload.find(b"\r\n\r\n") + 2]
     at = head.lower().find(_ATTEMPT_ID_LINE)
     if at < 0:
@@ -46,7 +46,7 @@
 
 
 def classify_upstream_answer(payload: bytes, answer: Answered) -> Result:
-    """What an upstream's answer means, by its head."""
+    """Classify an upstream's answer by its head."""
     answer_id = answer.fields.get(_ATTEMPT_ID)
     if _has_duplicate_headers(answer):
         return Result(Outcome.ERROR, astray=True)
@@ -55,17 +55,19 @@
     if _NOT_EXECUTED in answer.fields or answer.status == MISDIRECTED:
         return Result(Outcome.REJECTED, answer=answer)
     if answer.status in NOT_EXECUTED_STATUSES:
-        return Result(Outcome.ERROR)  # without that header it proves nothing, and would become our promise
+        return Result(
+            Outcome.ERROR
+        )  # without that header it proves nothing, and forwarding it would promise that
     if _lacks_seal(answer):
         return Result(Outcome.ERROR, astray=True)
     return Result(Outcome.OK, answer=answer)
 
 
 def classify_proxy_answer(payload: bytes, answer: Answered) -> Result:
-    """What the answer of the proxy beside an upstream means to the module that chooses among upstreams."""
+    """Classify the answer of the proxy beside an upstream, for the balancer."""
     outcome = parse_hop_outcome(answer.fields)
     if outcome is None:
-        return Result(Outcome.TIMEOUT, astray=True)  # a listener's own words; which call they are for is open
+        return Result(Outcome.TIMEOUT, astray=True)  # from the listener itself; not known for which request
     if answer.fields.get(_ATTEMPT_ID) != attempt_id_of(payload) or _has_duplicate_headers(answer):
         return Result(Outcome.RESET, astray=True)
     if outcome is not HopOutcome.RAN:
@@ -76,7 +78,7 @@
 
 
 def _has_duplicate_headers(answer: Answered) -> bool:
-    """Whether it names two ids or two seals: each reader could take another one for its own."""
+    """Whether it has two attempt ids or two seals: two readers could each pick a different one."""
     if len(answer.headers) <= len(answer.fields):
         return False
     names = [name.lower() for name, _ in answer.headers]
@@ -84,5 +86,5 @@
 
 
 def _lacks_seal(answer: Answered) -> bool:
-    """Whether it is a success that no upstream has put its seal to."""
+    """Whether it is a success without an upstream's seal."""
     return answer.status < 300 and _SERVER_SEAL not in answer.fields
--- a/brackengate/proxy/budget.py
+++ b/brackengate/proxy/budget.py
@@ -1,25 +1,28 @@
-"""The part that one pilot has of the budget of further tries, which all pilots share.  Pure.
+"""One proxy's share of the retry budget that all proxies have in common.  Pure.
 
-The bound (`BUDGET` in the rules): over all pilots, in each window, a service's upstreams get no more arrivals
-beyond each request's first than `RetryRatio` of the requests for it and `RetrySlack`.  Nobody is asked at a
-request, so each pilot keeps to a part that holds whatever the others do:
+The limit (`BUDGET` in the rules): over all proxies, in each window, a service's upstreams get no more
+attempts beyond each request's first than `RetryRatio` of the requests for it plus `RetrySlack`.  Proxies do
+not coordinate on each request, so each keeps to a share that holds whatever the others do:
 
-- a request earns a part of the ratio, and spends it here only;
-- what may be saved up is a part of the slack for each pilot known, and a process starts with none saved:
-  one that is restarted again and again spends no more than one that stays.
+- a request earns a part of the ratio, which is spent at this proxy only;
+- the savings are limited to a part of the slack divided by the number of known proxies, and a process starts
+  without any: one that restarts again and again spends no more than one that keeps running.
 
-In any window a pilot then spends at most what it had saved and what that window's requests earned.  The rest
-of both is for the calls that repeated runs make: those count as repeats at the service that is called.
+So in any window a proxy spends at most its savings plus what that window's requests earned.  The rest of
+ratio and slack is for the calls that repeated runs make: they count as repeats at the service that is called.
 """
 
 from __future__ import annotations
 
 from brackengate.interface import Ration
 
-PROXY_SHARE = 0.4  # of ratio and slack; what is left bears one call and a half in each repeated run
+PROXY_SHARE = 0.4  # of ratio and slack; the rest covers one and a half calls in each repeated run
 
 
 def proxy_retry_budget(ratio: float, slack: float, proxies: int) -> Ration:
-    """`pilots`: known by now, this one included.  If twice as many come before the news of them, what they
-    save up together is still within the slack."""
+    """The retry budget of one proxy.
+
+    `proxies`: the known ones, with this one.  Even if there are twice as many that are not known yet, their
+    savings together are within the slack.
+    """
     return Ration(PROXY_SHARE * ratio, PROXY_SHARE * slack / max(1, proxies))
--- a/brackengate/proxy/egress.py
+++ b/brackengate/proxy/egress.py
@@ -1,4 +1,4 @@
-"""The way out: requests that begin on this machine, by route and service to a pilot beside an upstream."""
+"""Egress: routes requests that begin on this machine to a service, and on to the proxy beside an upstream."""
 
 from __future__ import annotations
 
@@ -56,37 +56,38 @@
 log = logging.getLogger("brackengate.way")
 
 CONNECT_TIMEOUT_S = 0.25
-SEND_STALL_TIMEOUT_MS = 500  # a machine that takes no bytes for so long is given up: a cut says nothing
-IDLE_TIMEOUT_S = 60.0  # of connections to other pilots, which keep theirs as long
+SEND_STALL_TIMEOUT_MS = 500  # without any bytes taken by the peer; a partition closes no connection
+IDLE_TIMEOUT_S = 60.0  # of connections to other proxies, which use the same limit
 WARM_UP_US = 3_000_000
 CONFLICT = 409
-TIER = 1  # deadlines are the callers' own: the module keeps no part of them back
-DEADLINE_SLACK_US = (
-    20_000  # a request is given up so long behind its client's deadline: that is told in whole
-)
-# milliseconds, and an upstream ends its work by itself at what it is handed
-CLIENT_RETRY_BELOW = 0.97  # of a route's time: a client that has less left has tried before
+TIER = 1  # deadlines are the clients' own: the balancer reserves no part of them
+# A request is given up this long after its client's deadline: the deadline header is in whole milliseconds,
+# and an upstream ends its work by itself at the deadline it is handed.
+DEADLINE_SLACK_US = 20_000
+CLIENT_RETRY_BELOW = 0.97  # share of a route's timeout: a client that has less left has tried before
 SHUTDOWN_RETRY_AFTER = b"Retry-After: %.1f\r\n" % (RETRY_AFTER_US / 1e6)
-DEFAULT_RETRY_AFTER_US = (
-    80_000  # told where nothing better is known: an upstream that was full has moved on by then
-)
+DEFAULT_RETRY_AFTER_US = 80_000  # if nothing better is known: a full upstream has finished some work by then
 
 
 @dataclass(slots=True)
 class OutgoingRequest(Message):
-    """A request on its way to another pilot: the target and the time that is left differ with each
-    attempt."""
+    """A request to another proxy; its target instance and remaining time differ with each attempt.
+
+    `keyed`: it has an operation key.  `client_retry`: its client was rejected before.  `priority`: the
+    route's, 0 is the highest.
+    """
 
     keyed: bool = False
     route_name: str = ""
-    target_before_deadline_ms: int = 0  # how long before its deadline its answer loses worth
+    target_before_deadline_ms: int = 0  # how long before its deadline its answer starts to lose value
     client_retry: bool = False
     priority: int = 0
 
     def payload(self, remaining_ms: int, upstream: str, number: int) -> bytes:
+        """The bytes of attempt `number` at `upstream`, with the time it has left."""
         remaining_ms = max(1, remaining_ms - DEADLINE_SLACK_US // 1000)
         target_latency_ms = remaining_ms - self.target_before_deadline_ms
-        step = HopInfo(
+        hop = HopInfo(
             upstream,
             self.keyed,
             number,
@@ -95,39 +96,44 @@
             route=self.route_name,
             priority=self.priority,
         )
-        return b"%s%s%s: %d\r\n\r\n%s" % (self.head, step.header_line(), DEADLINE, remaining_ms, self.body)
+        return b"%s%s%s: %d\r\n\r\n%s" % (self.head, hop.header_line(), DEADLINE, remaining_ms, self.body)
 
 
 class EgressReplies:
-    """Upstreams' answers go back as they are; refusals say when to come back."""
+    """What the client gets: upstreams' answers unchanged, and rejections with a Retry-After."""
 
     def served(self, result: Result) -> Reply:
+        """The answer of the upstream that served the request."""
         answer = result.answer
         assert answer is not None
         return forwarded_answer(answer)
 
     def begins(self, head: Answered) -> Reply:
+        """The head of a streamed answer."""
         return forwarded_answer(head)
 
     def unserved(self, status: int, retry_after: int, last: Result | None, ran: Sequence[Earlier]) -> Reply:
+        """The answer to a request that no upstream served.
+
+        503 promises that nothing has run, so it is given only where no attempt can have run.  `last`: the
+        last attempt's result.  `ran`: attempts that may have run.
+        """
         answer = last.answer if last is not None else None
         if answer is not None and parse_hop_outcome(answer.fields) is HopOutcome.RAN and status != OVERDUE:
             return forwarded_answer(answer)
         outcome = parse_hop_outcome(answer.fields) if answer is not None else None
         if outcome is HopOutcome.BUSY:
             return Reply(CONFLICT)
-        if not ran or (outcome is HopOutcome.UNKNOWN and len(ran) <= 1):  # this try has not run, and will not
+        if not ran or (outcome is HopOutcome.UNKNOWN and len(ran) <= 1):  # this attempt never runs
             if status == REFUSED or ran:
                 return Reply(REFUSED, retry_after=retry_after or DEFAULT_RETRY_AFTER_US)
-        elif (
-            status == REFUSED
-        ):  # the module refuses what may be repeated; a 503 would promise that it never ran
+        elif status == REFUSED:  # the balancer rejects what may be repeated; a 503 would promise it never ran
             return Reply(FAILED)
         return Reply(status)
 
 
 class Service:
-    """The upstreams of one service, and the module that chooses among them."""
+    """The upstreams of one service, and the balancer that chooses among them."""
 
     def __init__(
         self,
@@ -151,13 +157,13 @@
             settle=0,
             silent_ms=SEND_STALL_TIMEOUT_MS,
             slow=False,
-        )  # a node's list is its pool's
+        )  # the node's upstream list is the pool's
         settings = Settings(
             classes=(),
             tier=TIER,
             cold_share=0.4,
             cold_time=WARM_UP_US,
-            max_attempts=MOST_TRIES,  # of any kind; a route says how many may reach an upstream
+            max_attempts=MOST_TRIES,  # of any kind; the route limits how many may reach an upstream
             retry_start=0.0,
             holds=False,
             free_unsent=True,
@@ -169,10 +175,12 @@
         self.node = Node(loop, clock, settings, self.balancer, self.pool, EgressReplies())
         self.classes: dict[str, RequestClass] = {}  # by route
         self.node.classes = self.classes
-        self._warm_since: dict[str, int] = {}  # when an upstream became known here, less what it had been up
-        self._proxy_incarnations: dict[str, str] = {}  # by upstream, the life of the pilot beside it
+        # By upstream: when it became known here, minus the part of its warm-up that was over by then.
+        self._warm_since: dict[str, int] = {}
+        self._proxy_incarnations: dict[str, str] = {}  # by upstream, of the proxy beside it
 
     def update_upstreams(self, rows: list[tuple[str, Instance, Address]]) -> None:
+        """Replace the list of upstreams.  `rows`: machine, instance row, address of its proxy."""
         now = self._clock.now()
         named = {instance.id for _, instance, _ in rows}
         self._warm_since = {id_: at for id_, at in self._warm_since.items() if id_ in named}
@@ -197,17 +205,16 @@
             {instance.id: instance.pilot for _, instance, _ in rows},
         )
         for id_, incarnation in self._proxy_incarnations.items():
-            if (
-                before.get(id_, incarnation) != incarnation
-            ):  # a new process: what had failed was the one before it
+            if before.get(id_, incarnation) != incarnation:  # its predecessor was the process that failed
                 self.node.told(Standing(id_, True))
 
     def set_health(self, address: Address, up: bool) -> None:
-        """What its watchers say of a machine."""
+        """Apply what the liveness monitor found out about a machine."""
         for id_ in [id_ for id_, at in self.pool.wanted.items() if at == address]:
             self.node.told(Standing(id_, up))
 
     def update_classes(self, changed: dict[str, RequestClass], gone: set[str]) -> None:
+        """Add or replace the request classes of routes, and remove those of routes that are gone."""
         for name in gone:
             self.classes.pop(name, None)
         self.classes.update(changed)
@@ -215,7 +222,7 @@
 
 
 class Egress:
-    """The front of `Outbound`."""
+    """Protocol frontend of the `Outbound` listener."""
 
     most_body = MOST_BODY
 
@@ -234,9 +241,10 @@
         wire: Wire | None = None,
         is_current: Callable[[], bool] = lambda: True,
     ) -> None:
-        """`plant`: the service beside this pilot.  `address_of`: where the pilot of a machine is reached.
-        `budget_of_tries`: the ratio and the slack that all pilots share.  `bytes_`: the process's bound on
-        bodies.  `wire`: as of a pool.  `is_current`: whether the table may say that there is no route."""
+        """`service`: of the upstream beside this proxy.  `address_of`: of the proxy on a machine.
+        `shared_retry_budget`: ratio and slack of the budget that all proxies share.  `body_budget`: the
+        process's limit on buffered bodies.  `wire`: as for a pool.  `is_current`: whether the table is recent
+        enough to decide that a request has no route."""
         self._request_log, self._wire = request_log, wire
         self._retry_budget = shared_retry_budget
         self._loop, self._clock, self._socket_budget, self._table = loop, clock, socket_budget, table
@@ -247,23 +255,23 @@
             body_budget,
         )
         self.services: dict[str, Service] = {}
-        self._services_by_route: dict[str, set[str]] = {}  # services, by route
+        self._services_by_route: dict[str, set[str]] = {}
         self.unrouted = UnroutedRequests(loop, is_current, self._send_held)
         self._is_current = is_current
         self._shutdown_plan: ShutdownPlan | None = None
-        self._known_proxies = 0  # of which the services know
+        self._known_proxies = 0  # their number, as last given to the services
         self._request_count = 0
 
-    # --- what the table says
+    # --- routing table
 
     def apply_table_changes(self) -> None:
-        """Bring the services to what the table says, as far as that has changed."""
+        """Update the services with all table entries that changed since the last call."""
         changed_names = self._table.take_changed_names()
         new_services = self._update_routes(changed_names.routes)
         for name in sorted((changed_names.services | new_services) & self.services.keys()):
             upstreams = self._table.upstreams_of(name)
             self.services[name].update_upstreams(
-                [(machine, one, self._address_of(machine)) for machine, one in upstreams.items()]
+                [(machine, instance, self._address_of(machine)) for machine, instance in upstreams.items()]
             )
         proxies = len(self._table.proxy_machines()) if changed_names.services else self._known_proxies
         for name, service in self.services.items():
@@ -272,18 +280,18 @@
         self._known_proxies = proxies
 
     def _update_routes(self, names: set[str]) -> set[str]:
-        """The services that are new by it."""
+        """Update the services of these routes; returns the names of services that were created."""
         changed: dict[str, dict[str, RequestClass]] = {}
         gone: dict[str, set[str]] = {}
         for name in sorted(names):
             route = self._table.route(name)
-            now = {part.plant for part in route.parts} if route is not None else set()
-            for service in self._services_by_route.pop(name, set()) - now:
+            targets = {part.plant for part in route.parts} if route is not None else set()
+            for service in self._services_by_route.pop(name, set()) - targets:
                 gone.setdefault(service, set()).add(name)
             if route is not None:
-                self._services_by_route[name] = now
+                self._services_by_route[name] = targets
                 class_ = _request_class_of(route)
-                for service in now:
+                for service in targets:
                     changed.setdefault(service, {})[name] = class_
         new_services = changed.keys() - self.services.keys()
         for service in sorted(new_services):
@@ -305,13 +313,17 @@
             service.set_health(self._address_of(machine), up)
 
     def break_connections(self, machine: str) -> None:
-        """What is under way there ends as if its connection had broken."""
+        """End what is in flight to a machine, as if its connections had broken."""
         for service in self.services.values():
             service.pool.break_off(self._address_of(machine)[0])
 
     # --- requests
 
     def begin(self, arrival: Arrival, connection: CallerConnection) -> None:
+        """Forward a client's request by its route.
+
+        `Bad`: 503 without configuration or during shutdown, 404 if no route is in force.
+        """
         if connection.abandoned():
             return
         attempt = arrival.fields.get(ATTEMPT_ID_FIELD, b"")
@@ -332,7 +344,7 @@
             self.unrouted.hold(arrival, connection)
 
     def start_shutdown(self, plan: ShutdownPlan) -> None:
-        """This proxy was told to stop."""
+        """From now on accept requests only as the plan allows."""
         self._shutdown_plan = plan
 
     def _accepts(self, route: Route, arrival: Arrival) -> bool:
@@ -371,7 +383,7 @@
         )
         message.target_before_deadline_ms = max(0, route.cutoff - route.setpoint) // 1000
         message.priority = max(0, route.priority)
-        message.in_pieces = arrival.method != b"HEAD"  # its answer tells a length and has no body
+        message.in_pieces = arrival.method != b"HEAD"  # an answer to HEAD has a length and no body
         message.call = attempt
         message.wanted = partial(_is_awaited, connection)
         message.client_retry = limit < CLIENT_RETRY_BELOW * route.cutoff
@@ -382,15 +394,16 @@
         if len(route.parts) == 1:
             return route.parts[0].plant
         key = arrival.fields.get(OPERATION_KEY.lower())
-        at = zlib.crc32(key) / 2**32 if key else self._rng.random()  # a repeat goes where the first one went
+        at = zlib.crc32(key) / 2**32 if key else self._rng.random()  # repeats go where the first one went
         return choose_service(route.parts, at)
 
     def pending_count(self) -> int:
+        """Requests that are held or in flight."""
         return self.unrouted.count() + sum(service.node.out() for service in self.services.values())
 
 
 def time_limit_of(route: Route, arrival: Arrival) -> int:
-    """How long a request may take, in microseconds: its client's deadline or its route's, the sooner."""
+    """The time a request may take, in microseconds: its client's deadline or its route's, the shorter."""
     left = arrival.fields.get(DEADLINE.lower(), b"")
     return min(int(left) * 1000, route.cutoff) if left.isdigit() and len(left) < 10 else route.cutoff
 
@@ -401,6 +414,8 @@
 
 def _request_class_of(route: Route) -> RequestClass:
     kind = Idempotency.REPEATABLE if route.kind == "idempotent" else Idempotency.UNSAFE
-    aim = min(route.setpoint, route.cutoff)
-    longest = route.cutoff + DEADLINE_SLACK_US
-    return RequestClass(route.name, aim, longest, kind, late_worth=0.3, max_attempts=route.attempts)
+    target_latency = min(route.setpoint, route.cutoff)
+    deadline = route.cutoff + DEADLINE_SLACK_US
+    return RequestClass(
+        route.name, target_latency, deadline, kind, late_worth=0.3, max_attempts=route.attempts
+    )
--- a/brackengate/proxy/hop_headers.py
+++ b/brackengate/proxy/hop_headers.py
@@ -1,7 +1,7 @@
-"""What one pilot says to the next about a request, beside the request itself.  Pure.
+"""Headers between proxies: what one proxy tells the next about a request or its answer.  Pure.
 
-One header each way, `X-Brackengate-Hop`.  It is the pilots' own: one that a client or an upstream sends is
-dropped.
+There is one header each way, `X-Brackengate-Hop`.  Only proxies set it: one that a client or an upstream
+sends is dropped.
 """
 
 from __future__ import annotations
@@ -33,19 +33,19 @@
 
 
 class HopOutcome(Enum):
-    """What became of a request at a gate."""
+    """What became of a request at ingress; the value is what the hop header says."""
 
     RAN = b"ran"  # the upstream's own answer
-    FULL = b"full"  # turned away at the gate: it would come too late here
-    AWAY = b"away"  # turned away at the gate: it has not run and never will
+    FULL = b"full"  # rejected at ingress: it would be answered too late here
+    AWAY = b"away"  # rejected at ingress: it has not run and never will
     UNCLAIMED = b"unclaimed"  # its key could not be claimed in time: it has not run and never will
-    SHED = b"shed"  # the upstream turned it away
+    SHED = b"shed"  # the upstream rejected it
     UNREACHED = b"unreached"  # no connection to the upstream: it has not run
-    BROKEN = b"broken"  # the connection broke behind the request
-    SPOILT = b"spoilt"  # what came back was no answer to it
-    LATE = b"late"  # its time was up
-    BUSY = b"busy"  # another try of its operation is at work
-    UNKNOWN = b"unknown"  # what became of its operation is not known; this try has not run
+    BROKEN = b"broken"  # the connection broke after the request was sent
+    SPOILT = b"spoilt"  # what came back is not a valid answer to it
+    LATE = b"late"  # its deadline passed
+    BUSY = b"busy"  # another attempt of its operation is in progress
+    UNKNOWN = b"unknown"  # the outcome of its operation is not known; this attempt has not run
 
 
 _OUTCOMES_BY_VALUE = {outcome.value: outcome for outcome in HopOutcome}
@@ -53,18 +53,19 @@
 
 @dataclass(frozen=True, slots=True)
 class HopInfo:
-    """From a way out to a gate, or from a gate to another one that holds the key."""
+    """A request's hop header: from egress to ingress, or from ingress to the one that holds its key."""
 
     instance: str
     keyed: bool
     attempt_number: int = 0
     replay: bool = False
-    target_latency_ms: int = 0  # until its answer loses worth
-    client_retry: bool = False  # its client was refused before
-    route: str = "-"  # of a replay: the service that its route goes to
+    target_latency_ms: int = 0  # after which its answer loses value
+    client_retry: bool = False  # its client was rejected before
+    route: str = "-"  # of a replay: the service its route leads to
     priority: int = 0  # its route's priority; 0 is the highest
 
     def header_line(self) -> bytes:
+        """The header as a line with its line end."""
         kind = b"r" if self.replay else b"k" if self.keyed else b"s"
         names = self.instance.encode("latin-1", "replace"), (self.route or "-").encode("ascii", "replace")
         numbers = self.attempt_number, self.target_latency_ms, self.client_retry, self.priority
@@ -72,6 +73,7 @@
 
 
 def parse_hop_info(fields: dict[bytes, bytes]) -> HopInfo | None:
+    """The hop header of a request; None: it is missing or malformed."""
     found = _HOP_INFO.fullmatch(fields.get(HOP.lower(), b""))
     if found is None:
         return None
@@ -83,11 +85,12 @@
 
 
 def parse_hop_outcome(fields: dict[bytes, bytes]) -> HopOutcome | None:
+    """The hop header of an answer; None: it is missing or not known."""
     return _OUTCOMES_BY_VALUE.get(fields.get(HOP.lower(), b""))
 
 
 def forwarded_head(arrival: Arrival, drop: tuple[bytes, ...]) -> bytes:
-    """A request's head as it goes on, without the headers of one connection and those that are dropped."""
+    """A request's head as it is forwarded, without hop-by-hop headers and those in `drop`."""
     dropped = HOP_BY_HOP | {name.lower() for name in drop}
     connection_tokens = arrival.fields.get(b"connection")
     if connection_tokens is not None:
@@ -103,7 +106,7 @@
 
 
 def rejection_reply(arrival: Arrival, status: int, outcome: HopOutcome) -> Reply:
-    """The word of a proxy itself; it bears the call's id, so that the other one can tell whose it is."""
+    """A proxy's own answer; it carries the attempt id, so that the other proxy can match it."""
     extra = b"%s: %s\r\n" % (HOP, outcome.value)
     attempt_id = arrival.fields.get(ATTEMPT_ID.lower())
     if attempt_id is not None:
@@ -112,7 +115,7 @@
 
 
 def forwarded_answer(answer: Answered, drop: tuple[bytes, ...] = (HOP,), add: bytes = b"") -> Reply:
-    """An answer as it goes back."""
+    """An answer as it is forwarded, without hop-by-hop headers and those in `drop`; `add`: header lines."""
     dropped = HOP_BY_HOP | {name.lower() for name in drop}
     connection_tokens = answer.fields.get(b"connection")
     if connection_tokens is not None:
--- a/brackengate/proxy/ingress.py
+++ b/brackengate/proxy/ingress.py
@@ -1,6 +1,6 @@
-"""The gate's carrier: requests from other pilots, through the gate, to the upstream on this machine.
+"""Ingress: requests from other proxies, through admission, to the upstream on this machine.
 
-Keyed requests are `keys.py`'s before they run.
+Requests with an operation key go through `keys.py` before they run.
 """
 
 from __future__ import annotations
@@ -42,13 +42,13 @@
 
 log = logging.getLogger("brackengate.gate")
 
-DEADLINE_SLACK_S = 0.05  # behind a request's deadline, for its upstream to say so itself
-HANG_TIMEOUT_S = 2.0  # behind its deadline, an operation is taken for lost
+DEADLINE_SLACK_S = 0.05  # after a request's deadline, for its upstream to answer that itself
+HANG_TIMEOUT_S = 2.0  # after its deadline; then the outcome of an operation counts as unknown
 RAN_HEADER = b"%s: %s\r\n" % (HOP, HopOutcome.RAN.value)
 
 
 class Ingress:
-    """The front of `Inbound`."""
+    """Protocol frontend of the `Inbound` listener."""
 
     most_body = MOST_BODY
 
@@ -67,8 +67,9 @@
         incarnation: str,
         request_log: RequestLog | None = None,
     ) -> None:
-        """`pool`: to the upstream alone.  `peers`: to other pilots.  `me`: this machine's name among
-        gates.  `life`: of this process, like no other's: a claim of an earlier one is not ours."""
+        """`upstream_pool`: connections to the local upstream only.  `peer_pool`: to other proxies.
+        `machine`: the name under which this proxy claims keys.  `incarnation`: unique to this process, so
+        that claims of its predecessors are not taken for its own.  `claim_window`: in microseconds."""
         self._loop, self._clock, self._upstream_pool, self._admission = loop, clock, upstream_pool, admission
         self._application = application
         self._request_log = request_log or RequestLog()
@@ -86,11 +87,11 @@
             incarnation,
         )
         self.requests: set[IngressRequest] = set()
-        self._running: set[IngressRequest] = (
-            set()
-        )  # whose job the upstream has, also where nobody awaits it any more
+        # Requests that are at the upstream, even if no caller awaits their answer any more.
+        self._running: set[IngressRequest] = set()
 
     def begin(self, arrival: Arrival, connection: CallerConnection) -> None:
+        """Admit, run or reject a request.  `Bad`: 400 if its hop header or its deadline is missing."""
         hop = parse_hop_info(arrival.fields)
         remaining = arrival.fields.get(DEADLINE.lower(), b"")
         if hop is None or not remaining.isdigit():
@@ -115,11 +116,11 @@
                 self.run(request)
 
     def pending_count(self) -> int:
-        """What would be lost if this process ended now."""
+        """Requests whose answers would be lost if this process ended now."""
         return len(self.requests | self._running)
 
     def accepts(self, request: IngressRequest) -> bool:
-        """Whether it would be answered in time here, as far as that can be told."""
+        """Whether the upstream is expected to answer the request in time."""
         if self._admission.heartbeat is not None:
             self.load.slots = max(1, self._admission.heartbeat.capacity)
         now, hop = self._clock.now(), request.hop
@@ -131,11 +132,12 @@
     # --- the upstream
 
     def run(self, request: IngressRequest) -> None:
+        """Send the request to the upstream."""
         heartbeat = self._admission.heartbeat
         assert heartbeat is not None
         if log.isEnabledFor(logging.DEBUG):
             fields, key = request.arrival.fields, request.operation.key if request.operation else ""
-            log.debug("gate: %s runs at %s, key %r", fields.get(ATTEMPT_ID.lower()), heartbeat.id, key)
+            log.debug("ingress: %s runs at %s, key %r", fields.get(ATTEMPT_ID.lower()), heartbeat.id, key)
         remaining = max(1, (request.deadline - self._clock.now()) // 1000)
         head = forwarded_head(request.arrival, drop=(HOP, DEADLINE, TARGET_INSTANCE))
         head += b"%s: %s\r\n%s: %d\r\n\r\n" % (TARGET_INSTANCE, heartbeat.id.encode(), DEADLINE, remaining)
@@ -159,15 +161,15 @@
             self._limit_run_time(request.job, request)
 
     def _still_wanted(self, request: IngressRequest) -> bool:
-        """Whether somebody still awaits it; asked before it is sent, in case this process stood still."""
+        """Whether the caller still waits; checked right before sending, in case this process was paused."""
         in_time = request.receiving_body or self._clock.now() < request.deadline
         return in_time and not request.finished and not request.connection.abandoned()
 
     def _limit_run_time(self, job: Job, request: IngressRequest) -> None:
-        """An operation goes on without its caller, but not for ever."""
+        """End an operation that hangs: it runs on without its caller, but not for ever."""
 
         def on_hang() -> None:
-            if request.sink is None:  # an answer that has begun goes on for as long as it is given and taken
+            if request.sink is None:  # a streamed answer goes on while it is sent and read
                 job.give_up(Outcome.TIMEOUT)
 
         self._loop.call_later((request.deadline - self._clock.now()) / 1e6 + HANG_TIMEOUT_S, on_hang)
@@ -209,13 +211,13 @@
     # --- long bodies
 
     def _body_ended(self, request: IngressRequest, time_limit: int) -> None:
-        """A request that came in pieces is whole: its time counts from here.  Or its rest will not come."""
+        """A streamed request body is complete, and its time counts from now; or the rest will not come."""
         stream, job = request.arrival.stream, request.job
         assert stream is not None
         if stream.cut:
             self._finish(request)
             if job is not None and not job.written:
-                job.give_up(Outcome.CONNECT_FAILED)  # what is not written whole has not run
+                job.give_up(Outcome.CONNECT_FAILED)  # an incompletely written request has not run
         elif not request.finished:
             request.deadline = self._clock.now() + time_limit
             self._arm_deadline(request)
@@ -225,8 +227,10 @@
     def stream_receiver(
         self, request: IngressRequest, make_reply: Callable[[Answered], Reply]
     ) -> Begun | None:
-        """Who takes a long answer; none where a length is told and no body follows.  `made`: what goes back
-        of its head."""
+        """The receiver of a long answer; None for HEAD, whose answer has a length but no body.
+
+        `make_reply`: the reply that is made from the answer's head.
+        """
         return (
             None if request.arrival.method == b"HEAD" else partial(self._on_stream_start, request, make_reply)
         )
@@ -238,9 +242,9 @@
         head: Answered,
         stream: AnswerStream,
     ) -> AnswerSink | None:
-        """A long answer's head and first bytes are there: it is the caller's from here on.
+        """Start to forward a long answer, as its head and first bytes have arrived.
 
-        It is not kept: of its operation nobody can be told any more than that it has run.
+        It is not kept for repeats: all that is known of its operation afterwards is that it has run.
         """
         self._release_load(request, True)
         operation = request.operation
@@ -254,11 +258,11 @@
         self.answer(request, reply)
         request.sink = stream.sink
         if request.sink is not None:
-            self.requests.add(request)  # until its last byte
+            self.requests.add(request)  # until its last byte is forwarded
         return request.sink
 
     def finish_stream(self, request: IngressRequest, result: Result) -> bool:
-        """Whether its answer had begun; then this is its end."""
+        """End the answer if it is being streamed; returns whether it was."""
         sink, request.sink = request.sink, None
         if sink is None:
             return False
@@ -267,7 +271,7 @@
         return True
 
     def discard_body(self, request: IngressRequest) -> None:
-        """Nobody will read its body any more: what is held of it counts."""
+        """Release the buffered request body if nobody will read it any more."""
         if request.finished and request.job is None and request.arrival.stream is not None:
             request.arrival.stream.cut_off()
 
@@ -276,6 +280,7 @@
     def answer(
         self, request: IngressRequest, reply: Reply, outcome: HopOutcome = HopOutcome.RAN, reason: str = ""
     ) -> None:
+        """Answer the caller and record the outcome, unless the request is finished."""
         if request.finished:
             return
         self._finish(request)
@@ -288,9 +293,10 @@
         request.connection.answer(reply)
 
     def answer_outcome(self, request: IngressRequest, outcome: HopOutcome, reason: str = "") -> None:
+        """Answer for this proxy itself, with an outcome in the hop header; 409 for BUSY, else 503."""
         if not request.finished:
             status = 409 if outcome is HopOutcome.BUSY else 503
-            log.debug("gate: %s: %s %s", request.hop.instance, outcome.name, reason)
+            log.debug("ingress: %s: %s %s", request.hop.instance, outcome.name, reason)
             self.answer(request, rejection_reply(request.arrival, status, outcome), outcome, reason)
 
     def _arm_deadline(self, request: IngressRequest) -> None:
@@ -301,7 +307,7 @@
 
     def _on_deadline(self, request: IngressRequest) -> None:
         if request.finished or (request.receiving_body and request.job is not None):
-            return  # the second: its time counts from its body's end
+            return  # while its body is still arriving, its time has not started
         operation = request.operation
         awaits_claim = operation is None and request.hop.keyed
         self.answer_outcome(request, HopOutcome.BUSY if awaits_claim else HopOutcome.LATE)
@@ -309,7 +315,7 @@
             request.job.give_up(Outcome.CANCELLED)
 
     def _on_caller_gone(self, request: IngressRequest) -> None:
-        """Nobody awaits its answer.  An operation goes on: its answer is its repeats'."""
+        """The caller has left.  An operation goes on, since repeats will ask for its answer."""
         self._finish(request)
         if request.job is not None and request.operation is None:
             request.job.give_up(Outcome.CANCELLED)
--- a/brackengate/proxy/ingress_request.py
+++ b/brackengate/proxy/ingress_request.py
@@ -1,4 +1,4 @@
-"""One request at a gate, until it is answered."""
+"""A request at ingress, and the operations on it that keyed requests need."""
 
 from __future__ import annotations
 
@@ -20,7 +20,7 @@
 
 @dataclass(slots=True, eq=False)
 class IngressRequest:
-    """One request at the gate, until it is answered."""
+    """One request at ingress, until it is answered."""
 
     arrival: Arrival
     connection: CallerConnection
@@ -30,27 +30,27 @@
     job: Job | None = None
     operation: Operation | None = None
     ticket: LoadTicket | None = None
-    sink: AnswerSink | None = None  # once a long answer is passed on
-    finished: bool = False  # it is answered, or its answer has begun, or nobody awaits one
+    sink: AnswerSink | None = None  # while a long answer is streamed
+    finished: bool = False  # answered, or the answer has begun, or nobody awaits one
 
     @property
     def receiving_body(self) -> bool:
-        """Whether its body is still coming."""
+        """Whether its body is still arriving."""
         stream = self.arrival.stream
         return stream is not None and not stream.whole
 
 
 class RequestHandler(Protocol):
-    """What becomes of a visit, as the part that has its key asks for it."""
+    """What `KeyedRequests` needs from ingress."""
 
     def accepts(self, request: IngressRequest) -> bool:
-        """Whether it would be answered in time here, as far as that can be told."""
+        """Whether the upstream is expected to answer the request in time."""
 
     def run(self, request: IngressRequest) -> None:
-        """Send it to the upstream."""
+        """Send the request to the upstream."""
 
     def answer_outcome(self, request: IngressRequest, outcome: HopOutcome, reason: str = "") -> None:
-        """Answer it with a word of this proxy's own."""
+        """Answer for this proxy itself, with an outcome in the hop header."""
 
     def answer(
         self, request: IngressRequest, reply: Reply, outcome: HopOutcome = HopOutcome.RAN, reason: str = ""
@@ -59,10 +59,10 @@
     def stream_receiver(
         self, request: IngressRequest, make_reply: Callable[[Answered], Reply]
     ) -> Begun | None:
-        """Who takes a long answer to it."""
+        """The receiver of a long answer; `make_reply` makes the reply from its head."""
 
     def finish_stream(self, request: IngressRequest, result: Result) -> bool:
-        """Whether its answer had begun; then this is its end."""
+        """End the answer if it is being streamed; returns whether it was."""
 
     def discard_body(self, request: IngressRequest) -> None:
-        """Nobody will read its body any more."""
+        """Release the buffered request body if nobody will read it any more."""
--- a/brackengate/proxy/keys.py
+++ b/brackengate/proxy/keys.py
@@ -1,7 +1,8 @@
-"""Keyed requests at a gate: claimed at the core before they run, and repeats answered as the first one was.
+"""Requests with an operation key: claimed at the control plane before they run; repeats get the same answer.
 
-An operation runs once whatever is lost: under a claim that was granted to this life of this gate, and lifted
-only where nothing has run.  A repeat gets the first one's answer: from here, or from the gate that has it.
+An operation runs once, whatever messages are lost: only under a claim that was granted to this incarnation of
+this proxy, and that is released only if nothing has run.  A repeat gets the first request's answer, from here
+or from the proxy that holds the claim.
 """
 
 from __future__ import annotations
@@ -34,23 +35,21 @@
 
 log = logging.getLogger("brackengate.gate")
 
-MAX_CLAIM_TIME_SHARE = 0.5  # of a request's time, at the most, is spent on the claim of its key
+MAX_CLAIM_TIME_SHARE = 0.5  # of a request's time, for the claim of its key
 CLAIM_TIMEOUT_S = 5.0
 UNCLAIM_TIMEOUT_S = 1.0
-MAX_KEPT_ANSWER_BYTES = (
-    24 << 20
-)  # of answers to operations; one of over MAX_ANSWER is passed on, and not kept
+MAX_KEPT_ANSWER_BYTES = 24 << 20  # over all operations; an answer over MAX_ANSWER is forwarded but not kept
 NOT_RUN_OUTCOMES = (
     HopOutcome.AWAY,
     HopOutcome.FULL,
     HopOutcome.SHED,
     HopOutcome.UNREACHED,
     HopOutcome.UNCLAIMED,
-)  # said by the gate that had the claim
+)  # if answered by the proxy that held the claim
 
 
 class KeyedRequests:
-    """Keys of operations at one gate: their claims, their runs' answers, and repeats of them."""
+    """Requests with operation keys at one proxy: claims, answers of completed runs, and repeats."""
 
     def __init__(
         self,
@@ -65,7 +64,7 @@
         address_of: Callable[[str], Address],
         incarnation: str,
     ) -> None:
-        """`me`, `life`: as of an `Entry`."""
+        """`machine`, `claim_window`, `incarnation`: as for an `Ingress`."""
         self._handler, self._loop, self._clock, self._admission = handler, loop, clock, admission
         self._machine, self._send_command, self._peer_pool, self._address_of = (
             machine,
@@ -77,6 +76,7 @@
         self.operations = OperationStore(claim_window, MAX_KEPT_ANSWER_BYTES)
 
     def begin(self, request: IngressRequest) -> None:
+        """Run the request under a claim of its key, or answer it as a repeat."""
         now = self._clock.now()
         key = request.arrival.fields.get(OPERATION_KEY.lower(), b"").decode("latin-1")
         operation = self.operations.get(key, now)
@@ -85,7 +85,9 @@
             return
         reason = self._admission.rejection_reason(request.hop.instance, now)
         if request.hop.replay:
-            self._handler.answer_outcome(request, HopOutcome.UNKNOWN)  # of an earlier life of this process
+            self._handler.answer_outcome(
+                request, HopOutcome.UNKNOWN
+            )  # claimed by an earlier incarnation of this process
         elif reason:
             self._handler.answer_outcome(request, HopOutcome.AWAY, reason)
         elif not self._handler.accepts(request):
@@ -107,15 +109,17 @@
             self._handler.answer_outcome(request, HopOutcome.UNCLAIMED)
 
     def _on_claim_result(self, operation: Operation, result: Any) -> None:
-        log.debug("gate: claim of %r, attempt %s: %s", operation.key, operation.attempt, result)
+        log.debug("ingress: claim of %r, attempt %s: %s", operation.key, operation.attempt, result)
         match result:
             case CommandDone():
                 operation.state = OperationState.CLAIMED
             case HeldBy(owner) if owner == self._machine:
-                operation.state = OperationState.OUTCOME_UNKNOWN  # claimed by an earlier life of this process
+                operation.state = (
+                    OperationState.OUTCOME_UNKNOWN
+                )  # claimed by an earlier incarnation of this process
             case HeldBy(owner):
                 operation.state, operation.holder = OperationState.ELSEWHERE, owner
-            case _:  # no word in time, or none on the claim: it may stand
+            case _:  # no answer in time, or an error: the claim may exist
                 operation.state = OperationState.UNCLAIMED
                 for request in self._take_waiters(operation):
                     self._handler.answer_outcome(request, HopOutcome.UNCLAIMED)
@@ -130,13 +134,13 @@
         return [request for request in visits if not request.connection.abandoned()]
 
     def resume_waiters(self, operation: Operation) -> None:
-        """It has come to another state: those who wait hear of it."""
+        """Proceed with the requests that wait for a change of the operation's state."""
         for request in self._take_waiters(operation):
             self._resolve(request, operation)
 
     def _resolve(self, request: IngressRequest, operation: Operation) -> None:
-        """Whatever is known of the operation, for a try of it."""
-        log.debug("gate: join of %r: %s", operation.key, operation.state.name)
+        """Answer, run, relay or queue a request, according to the state of its operation."""
+        log.debug("ingress: repeat of %r: %s", operation.key, operation.state.name)
         state, now = operation.state, self._clock.now()
         if state is OperationState.DONE and isinstance(operation.answer, Reply):
             reply = _answer_for_repeat(operation.answer, request.arrival)
@@ -173,13 +177,16 @@
             self._handler.answer_outcome(request, HopOutcome.UNKNOWN)
 
     def _route_has_moved(self, hop: HopInfo) -> bool:
-        """Whether a repeat is for another service: its route has moved since the key was claimed here."""
+        """Whether a repeat is for another service, as its route has moved since the key was claimed here."""
         heartbeat = self._admission.heartbeat
         return hop.replay and heartbeat is not None and hop.route not in ("-", heartbeat.service)
 
     def release_claim(self, request: IngressRequest, operation: Operation, outcome: HopOutcome) -> None:
-        """It has not run here: another gate may run it, once the claim is lifted."""
-        operation.state = OperationState.CLAIMING  # who comes meanwhile waits
+        """Release the claim of an operation that has not run, so that another proxy may run it.
+
+        The request is answered with `outcome` after that.
+        """
+        operation.state = OperationState.CLAIMING  # repeats that arrive meanwhile wait
         request.operation = None
 
         def on_released(result: Any) -> None:
@@ -195,7 +202,7 @@
         )
 
     def _relay(self, request: IngressRequest, operation: Operation) -> None:
-        """The gate that holds the key has the answer, or will have it."""
+        """Forward the request to the proxy that holds the claim, which has or will have the answer."""
         address = self._address_of(operation.holder)
         remaining = max(1, (request.deadline - self._clock.now()) // 1000)
         service = self._admission.heartbeat.service if self._admission.heartbeat is not None else "-"
@@ -216,13 +223,15 @@
                     request, forwarded_answer(answer, drop=()), reason=f"by the gate {operation.holder}"
                 )
             elif outcome in NOT_RUN_OUTCOMES:
-                operation.state = OperationState.UNCLAIMED  # SHED stays: an upstream was asked, which counts
+                operation.state = (
+                    OperationState.UNCLAIMED
+                )  # SHED is kept, as an attempt at an upstream counts
                 self._handler.answer_outcome(
                     request, HopOutcome.SHED if outcome is HopOutcome.SHED else HopOutcome.AWAY
                 )
             elif outcome is not None:
                 self._handler.answer_outcome(request, outcome)
-            else:  # the other gate may have begun to run this very try
+            else:  # the other proxy may have begun to run this attempt
                 unsent = result.outcome in (Outcome.CONNECT_FAILED, Outcome.NOT_SENT)
                 self._handler.answer_outcome(request, HopOutcome.UNKNOWN if unsent else HopOutcome.BROKEN)
             self._handler.discard_body(request)
@@ -237,8 +246,7 @@
         )
 
     def _drain_body(self, request: IngressRequest, reply: Reply) -> None:
-        """A repeat's body that still comes: it is let go, since whoever sends it takes no success before its
-        end."""
+        """Read and discard a repeat's body, then answer: its sender takes no success before the end."""
         stream = request.arrival.stream
         assert stream is not None
 
@@ -255,7 +263,7 @@
 
 
 def _answer_for_repeat(reply: Reply, arrival: Arrival) -> Reply:
-    """The first try's answer for another try: only whose answer it is differs."""
+    """The first request's answer for a repeat; they differ in the attempt id only."""
     lines = [
         line
         for line in reply.extra.split(b"\r\n")
--- a/brackengate/proxy/routing_table.py
+++ b/brackengate/proxy/routing_table.py
@@ -1,6 +1,6 @@
-"""What a pilot follows: routes, services and upstreams, as rows with versions.  Pure.
+"""The configuration in force at a proxy: routes, services and upstreams, from versioned rows.  Pure.
 
-All that is looked up is kept up with each row, so that a change costs its own size.
+Lookup indexes are updated with each row, so that the cost of a change depends on its own size only.
 """
 
 from __future__ import annotations
@@ -18,19 +18,20 @@
 
 @dataclass(frozen=True, slots=True)
 class ParsedItem:
-    """An operator's item, read.  `read` None: dropped, or not to be followed."""
+    """A parsed item of the operators' configuration.  `parsed` None: the item is deleted or invalid."""
 
     item: Item
     parsed: Route | Plant | None = None
 
 
 def parse_item(kind: str, value: Any) -> ParsedItem:
+    """Parse the value of an item's row."""
     item = msgspec.convert(value, Item)
     if item.body is None or kind not in _PARSERS:
         return ParsedItem(item)
     try:
         return ParsedItem(item, _PARSERS[kind](item))
-    except Invalid:  # the lighthouses check; one that a newer program let in is not followed
+    except Invalid:  # control replicas validate; one that a newer release accepted is ignored
         return ParsedItem(item)
 
 
@@ -39,39 +40,40 @@
 
 @dataclass(slots=True)
 class ChangedNames:
-    """What has changed since this was last asked."""
+    """Names of the routes and services that changed since the last call of `take_changed_names`."""
 
     routes: set[str] = field(default_factory=set)  # by name
-    services: set[str] = field(default_factory=set)  # those whose upstreams did
+    services: set[str] = field(default_factory=set)  # whose upstreams changed
 
 
 class RoutingTable:
-    """Never goes from a newer version of an item to an older one, whichever lighthouse says what."""
+    """Routes, services and instances; an older version never replaces an item, whichever replica sends it."""
 
     def __init__(self) -> None:
-        self.index = -1  # of the log of changes; -1: nothing is known yet
+        self.index = -1  # log index up to which changes are in force; -1: none
         self._items: dict[tuple[str, str], Item] = {}
         self.services: dict[str, Plant] = {}
         self.instances: dict[str, Instance] = {}  # by machine
         self.suspects_by_watcher: dict[
             str, tuple[str, ...]
-        ] = {}  # by watcher, the machines that it does not hear
+        ] = {}  # by watcher, machines whose keepalives stopped
         self._routes: dict[str, Route] = {}
-        self._routes_by_host: dict[str, dict[str, Route]] = {}  # by host and prefix
-        self._upstreams: dict[str, dict[str, Instance]] = {}  # those that are not gone, by service
+        self._routes_by_host: dict[str, dict[str, Route]] = {}  # by host, then by prefix
+        self._upstreams: dict[str, dict[str, Instance]] = {}  # by service and machine, without gone ones
         self._changed_names = ChangedNames()
-        self.has_configuration = (
-            False  # whether there is a whole configuration: without one, no request can be routed
-        )
+        self.has_configuration = False  # whether a complete configuration is in force
 
     def apply_snapshot(self, index: int, rows: Iterable[Row]) -> set[str]:
-        """As `changes`, and what is not named is gone.  An older one than what is held is left alone."""
+        """Apply a complete snapshot; instances that it does not name are removed.
+
+        Ignored if it is older than what is in force.  Returns the kinds of rows changed.
+        """
         if index < self.index:
             return set()
         return self.apply_changes(index, self.rows_with_removals(rows))
 
     def rows_with_removals(self, rows: Iterable[Row]) -> list[Row]:
-        """The rows of a whole copy, and the removal of whatever stands here and is not named in it."""
+        """The rows of a complete snapshot, and removals of the instances that it does not name."""
         rows = list(rows)
         named = {(kind, name) for kind, name, _ in rows}
         gone: list[Row] = [("inst", name, None) for name in self.instances if ("inst", name) not in named]
@@ -79,7 +81,7 @@
         return [*rows, *gone]
 
     def apply_changes(self, index: int, rows: Iterable[Row]) -> set[str]:
-        """Take rows up to a index; the kinds of what they changed."""
+        """Apply the rows up to a log index, unless they are in force; returns the kinds of rows changed."""
         changed: set[str] = set()
         if index <= self.index and self.index >= 0:
             return changed
@@ -89,9 +91,9 @@
         return changed
 
     def apply_rows(self, rows: Iterable[Row]) -> set[str]:
-        """Rows of changes that are in force; the kinds of what they changed.
+        """Apply rows without moving the index; returns the kinds of rows changed.
 
-        Of items, a part may be taken at a time: the versions keep their order.
+        Items may be applied in several parts, as their versions keep them in order.
         """
         changed: set[str] = set()
         for kind, name, value in rows:
@@ -112,6 +114,7 @@
         return changed
 
     def take_changed_names(self) -> ChangedNames:
+        """What has changed since the last call."""
         changed_names, self._changed_names = self._changed_names, ChangedNames()
         return changed_names
 
@@ -132,7 +135,7 @@
         self._changed_names.routes.add(name)
         if before is not None:
             prefixes = self._routes_by_host[before.host]
-            if prefixes.get(before.prefix) is before:  # another one may have come to its place
+            if prefixes.get(before.prefix) is before:  # another route may have taken the prefix
                 del prefixes[before.prefix]
                 if not prefixes:
                     del self._routes_by_host[before.host]
@@ -140,36 +143,37 @@
             self._routes[name] = now
             self._routes_by_host.setdefault(now.host, {})[now.prefix] = now
 
-    def _apply_item(self, kind: str, name: str, one: ParsedItem) -> bool:
-        held = self._items.get((kind, name))
-        if held is not None and held.version >= one.item.version:
+    def _apply_item(self, kind: str, name: str, item: ParsedItem) -> bool:
+        current = self._items.get((kind, name))
+        if current is not None and current.version >= item.item.version:
             return False
-        self._items[kind, name] = one.item
+        self._items[kind, name] = item.item
         if kind == "route":
-            self._set_route(name, one.parsed if isinstance(one.parsed, Route) else None)
-        elif isinstance(one.parsed, Plant):
-            self.services[name] = one.parsed
+            self._set_route(name, item.parsed if isinstance(item.parsed, Route) else None)
+        elif isinstance(item.parsed, Plant):
+            self.services[name] = item.parsed
         else:
             self.services.pop(name, None)
         return True
 
     def proxy_machines(self) -> list[str]:
-        """The machines whose pilot has an upstream beside it."""
+        """The machines whose proxy has an upstream beside it."""
         return [machine for upstreams in self._upstreams.values() for machine in upstreams]
 
     def upstreams_of(self, service: str) -> Mapping[str, Instance]:
-        """Those that are not gone, by machine."""
+        """The upstreams of a service that are not gone, by machine."""
         return self._upstreams.get(service, {})
 
     def route(self, name: str) -> Route | None:
+        """The route with this name."""
         return self._routes.get(name)
 
     def routes(self) -> Iterable[Route]:
+        """All routes in force."""
         return self._routes.values()
 
     def find(self, host: str, path: str) -> Route | None:
-        """Of the host's routes the one with the longest prefix that begins the path; prefixes end with a
-        slash."""
+        """The host's route with the longest prefix of the path; prefixes end with a slash."""
         prefixes = self._routes_by_host.get(host, {})
         end = path.rfind("/") + 1
         while end > 0:
@@ -181,7 +185,7 @@
 
 
 def choose_service(parts: tuple[Part, ...], at: float) -> str:
-    """The service at a index between 0 and 1 of the weights laid side by side."""
+    """The service at a point between 0 and 1 along the weights laid end to end."""
     ends: list[float] = []
     total = 0.0
     for part in parts:
@@ -191,7 +195,7 @@
 
 
 def host_without_port(value: bytes) -> str:
-    """The name in a Host header, without its port."""
+    """The host name in a Host header, in lower case and without its port."""
     text = value.decode("latin-1").lower()
     name, colon, port = text.rpartition(":")
     return name if colon and port.isdigit() else text
--- a/brackengate/proxy/shutdown_plan.py
+++ b/brackengate/proxy/shutdown_plan.py
@@ -1,8 +1,8 @@
-"""When a proxy that was told to stop closes which door.  Pure.
+"""When a proxy that shuts down closes its egress and its ingress.  Pure.
 
-Its clients still come for a while: the platform moves them after two looks at readiness, and leaves them here
-where few others of the zone are ready.  What is taken is finished: a request that could outlast the process
-is turned away, since 503 promises that it has not run, while a connection that ends says nothing.
+Its clients still send requests for a while: the platform moves them after two readiness checks, and leaves
+them here if few other proxies of the zone are ready.  Accepted requests are finished: one that could outlast
+the process is rejected, since 503 promises that it has not run, while a closed connection says nothing.
 
 Times are microseconds of a steady clock.
 """
@@ -11,18 +11,16 @@
 
 from dataclasses import dataclass
 
-CLIENT_GRACE_PERCENT = 55  # hundredths of the grace in which clients are taken: until two looks have failed
-ANY_LENGTH_US = 2_900_000  # after the stop; until then requests of any length are taken
-NOTICE_US = 300_000  # for the news that the gate will close
-EXIT_RESERVE_US = 600_000  # of the grace, at its end: for the process to end
-RETRY_AFTER_US = (
-    1_000_000  # what a client that is turned away is told: by then a restarted process may be ready
-)
+CLIENT_GRACE_PERCENT = 55  # of the grace period: clients are served until two readiness checks have failed
+ANY_LENGTH_US = 2_900_000  # after the start; until then requests with any time limit are accepted
+NOTICE_US = 300_000  # for other proxies to learn that the ingress will close
+EXIT_RESERVE_US = 600_000  # of the grace period, at its end: for the process to exit
+RETRY_AFTER_US = 1_000_000  # for rejected clients: by then a restarted process may be ready
 
 
 @dataclass(frozen=True, slots=True)
 class ShutdownPlan:
-    """`longest`: the longest time that a route gives its requests."""
+    """The schedule of a shutdown.  `longest_request`: the longest timeout of any route."""
 
     started_at: int
     grace: int
@@ -30,27 +28,27 @@
 
     @property
     def exit_deadline(self) -> int:
-        """The process ends, whatever it holds."""
+        """The process exits, whatever requests are pending."""
         return self.started_at + self.grace - EXIT_RESERVE_US
 
     @property
     def ingress_closes_at(self) -> int:
-        """Other proxies' requests are taken until then: what came last can end in time."""
+        """Until when other proxies' requests are accepted, so that the last ones can finish in time."""
         last = min(self.egress_closes_at, self.exit_deadline - self.longest_request - NOTICE_US)
         return max(self.started_at + NOTICE_US, last)
 
     @property
     def deregisters_at(self) -> int:
-        """Other proxies hear that they are to look elsewhere."""
+        """When other proxies are notified that they should use another upstream."""
         return self.ingress_closes_at - NOTICE_US
 
     @property
     def egress_closes_at(self) -> int:
-        """No client's request is taken from then on; the process ends when it holds nothing."""
+        """From then on client requests are rejected, and the process exits once none is pending."""
         return self.started_at + self.grace * CLIENT_GRACE_PERCENT // 100
 
     def accepts(self, time_limit: int, now: int) -> bool:
-        """Whether to take a request of a client that may last for so long."""
+        """Whether to accept a client's request with this time limit."""
         if now >= self.egress_closes_at:
             return False
         return now < self.started_at + ANY_LENGTH_US or now + time_limit <= self.exit_deadline
--- a/brackengate/proxy/unrouted_requests.py
+++ b/brackengate/proxy/unrouted_requests.py
@@ -1,7 +1,8 @@
-"""Requests for which no route is in force here, while this proxy may be behind.
+"""Requests without a route, at a proxy whose configuration may be stale.
 
-A 404 says that no configuration in force has a route: only a proxy that is current may say so.  One that is
-not holds the request for a moment, as the news may be on its way, and then answers 503: it has not run.
+A 404 says that no configuration in force has a route, so only a proxy with a current configuration may answer
+it.  Any other holds the request for a moment, as an update may be in flight, and then answers 503, which says
+that the request has not run.
 """
 
 from __future__ import annotations
@@ -21,23 +22,29 @@
 
 @dataclass(eq=False, slots=True)
 class HeldRequest:
+    """A request that waits for a route, and the timer that ends its wait."""
+
     arrival: Arrival
     connection: CallerConnection
     timer: asyncio.TimerHandle
 
 
 class UnroutedRequests:
+    """Holds requests without a route until a route comes, the configuration is current, or time is up."""
+
     def __init__(
         self,
         loop: asyncio.AbstractEventLoop,
         is_current: Callable[[], bool],
         send: Callable[[Arrival, CallerConnection], bool],
     ) -> None:
-        """`begin`: sends a request on its way; False: there is no route for it."""
+        """`is_current`: whether the configuration is recent enough for a 404.  `send`: forwards a request;
+        False: there is no route for it."""
         self._loop, self._is_current, self._send = loop, is_current, send
         self._held: list[HeldRequest] = []
 
     def hold(self, arrival: Arrival, connection: CallerConnection) -> None:
+        """Hold a request, for at most `MAX_HOLD_S`."""
         held = HeldRequest(
             arrival, connection, self._loop.call_later(MAX_HOLD_S, lambda: self._on_timeout(held))
         )
@@ -45,7 +52,7 @@
         connection.hold(lambda: self._drop(held))
 
     def recheck(self) -> None:
-        """What is in force, or how current it is, has changed."""
+        """Try all held requests again, after the configuration or its freshness has changed."""
         for held in list(self._held):
             if self._send(held.arrival, held.connection):
                 self._drop(held)
@@ -53,6 +60,7 @@
                 self._answer(held, Reply(NOT_FOUND))
 
     def count(self) -> int:
+        """How many requests are held."""
         return len(self._held)
 
     def _on_timeout(self, held: HeldRequest) -> None:
--- a/tests/proxy/conftest.py
+++ b/tests/proxy/conftest.py
@@ -1,4 +1,4 @@
-"""Tests import the helpers beside them, and the scripted peers of the network's tests."""
+"""Makes the helper modules of this directory and of tests/net importable."""
 
 import sys
 from pathlib import Path
--- a/tests/proxy/mistakes.py
+++ b/tests/proxy/mistakes.py
@@ -1,4 +1,4 @@
-"""Mistakes in the call path that the drawn histories have to find: each takes one mechanism out."""
+"""Faulty variants of the request path that the random histories must detect: each disables one mechanism."""
 
 from __future__ import annotations
 
@@ -26,23 +26,25 @@
 
 @dataclass(frozen=True)
 class Mistake:
+    """A fault: what is wrong, and the patch that makes it."""
+
     description: str
     apply: Patch
 
 
 def _no_id(judge: Judge) -> Judge:
-    """Takes every answer for the call's own."""
+    """Ignores the attempt id of answers."""
 
     def judged(payload: bytes, answer: Answered) -> Result:
-        asked = answer_classification.attempt_id_of(payload)
-        fields = {**answer.fields, answer_classification._ATTEMPT_ID: asked or b""}
+        attempt_id = answer_classification.attempt_id_of(payload)
+        fields = {**answer.fields, answer_classification._ATTEMPT_ID: attempt_id or b""}
         return judge(payload, Answered(answer.status, fields, answer.body, answer.reuse, answer.headers))
 
     return judged
 
 
 def _bare_refusal(payload: bytes, answer: Answered) -> Result:
-    """Passes a 429 or 503 on that does not say that nothing has run."""
+    """Forwards a 429 or 503 without the header that says that nothing has run."""
     result = _own_judge(payload, answer)
     bare = answer.status in answer_classification.NOT_EXECUTED_STATUSES and result.outcome is Outcome.ERROR
     return Result(Outcome.OK, answer=answer) if bare else result
@@ -60,7 +62,7 @@
 
 
 def _no_seal(judge: Judge) -> Judge:
-    """Takes a success that nobody has put a seal to."""
+    """Accepts a success without a seal."""
 
     def judged(payload: bytes, answer: Answered) -> Result:
         fields = {answer_classification._SERVER_SEAL: b"", **answer.fields}
@@ -72,7 +74,7 @@
 def _sealed_502(
     self: egress.EgressReplies, status: int, retry_after: int, last: Result | None, ran: Any
 ) -> Reply:
-    """A failure of the proxy's own keeps what the upstream's answer bore."""
+    """Adds the headers of the upstream's answer to the proxy's own failure answer."""
     reply = _unserved(self, status, retry_after, last, ran)
     answer = last.answer if last is not None else None
     if answer is not None and SERVER_SEAL.lower() in answer.fields and status == FAILED:
@@ -81,7 +83,7 @@
 
 
 def _request_class_of(route: Any) -> RequestClass:
-    """What must run once is sent again as what may run twice."""
+    """Declares requests that must run once as repeatable."""
     made = _true_class_of(route)
     return RequestClass(
         made.name, made.aim, made.deadline, Idempotency.REPEATABLE, late_worth=0.3,
@@ -96,21 +98,21 @@
 
 
 def _on_upstream_done(self: ingress.Ingress, request: Any, result: Result) -> None:
-    """Lifts the claim of what may have run."""
+    """Releases the claim of an operation that may have run."""
     if request.operation is not None and result.outcome is Outcome.RESET:
         result = Result(Outcome.CONNECT_FAILED)
     _true_ran(self, request, result)
 
 
 def _unclaim(self: ingress.Ingress, request: Any, operation: Any, outcome: HopOutcome) -> None:
-    """Says that it has not run, and keeps the claim as one to run under; the try itself too."""
+    """Answers that the request has not run, and keeps its claim for the next run."""
     operation.state = OperationState.CLAIMED
     request.operation = None
     self._say(request, outcome)
 
 
 def _ended(self: UpstreamMachine, clean: bool) -> list[Any]:
-    """Takes what there is of an answer for all of it, once its connection has closed in order."""
+    """Takes an incomplete answer for a complete one if its connection was closed cleanly."""
     if clean and self.written and self._status and not self._complete:
         answer = Answered(self._status, self._fields, b"".join(self._body), False, self._headers)
         self._close()
@@ -119,13 +121,13 @@
 
 
 def _retry(self: retries.Retries, call: Call, ended: Any) -> bool:
-    """Counts a try that was lost with its connection for none."""
+    """Does not count an attempt whose connection was reset."""
     call.most += ended.outcome is Outcome.RESET
     return _true_retry(self, call, ended)
 
 
 def _broken(self: upstream.Job, stale: bool = False) -> None:
-    """Takes a call whose connection broke for one that has not run."""
+    """Takes a request whose connection broke for one that has not run."""
     self.finish(Result(Outcome.CONNECT_FAILED, stale=stale))
 
 
@@ -146,7 +148,7 @@
 
 
 def _both(own: Judge, back: Judge) -> Patch:
-    """At both hops: each one alone would be caught by the other."""
+    """Patches both hops, as either hop alone would detect the fault of the other."""
 
     def apply() -> AbstractContextManager[Any]:
         stack = ExitStack()
@@ -160,59 +162,64 @@
 
 MISTAKES = {
     "id-at-gate": Mistake(
-        "the proxy beside the upstream doesn't look whose an answer is",
+        "the proxy beside the upstream doesn't check the attempt id of answers",
         lambda: patch.object(answer_classification, "classify_upstream_answer", _no_id(_own_judge)),
     ),
     "id-at-way-out": Mistake(
-        "the proxy beside the client doesn't look whose an answer is", _both(_own_judge, _no_id(_judge))
+        "the proxy beside the client doesn't check the attempt id of answers",
+        _both(_own_judge, _no_id(_judge)),
     ),
     "bare-refusal": Mistake(
-        "a 503 that proves nothing goes back as a promise", _both(_bare_refusal, _bare_refusal_back)
+        "a 503 without proof that nothing ran is forwarded as a promise",
+        _both(_bare_refusal, _bare_refusal_back),
+    ),
+    "no-seal": Mistake(
+        "a success without a seal is forwarded", _both(_no_seal(_own_judge), _no_seal(_judge))
     ),
-    "no-seal": Mistake("a success without a seal goes back", _both(_no_seal(_own_judge), _no_seal(_judge))),
     "sealed-502": Mistake(
-        "a failure of the proxy's own bears an upstream's seal",
+        "a proxy's own failure answer has an upstream's seal",
         lambda: patch.object(egress.EgressReplies, "unserved", _sealed_502),
     ),
     "sent-again": Mistake(
-        "what must run once is sent again after its connection broke",
+        "a request that must run once is retried after its connection broke",
         lambda: patch.object(egress, "_request_class_of", _request_class_of),
     ),
     "unclaimed": Mistake(
-        "a keyed call runs before its key is claimed",
+        "a keyed request runs before its key is claimed",
         lambda: patch.object(keys.KeyedRequests, "_claim", _claim),
     ),
     "lifted": Mistake(
-        "the claim of what may have run is lifted",
+        "the claim of an operation that may have run is released",
         lambda: patch.object(ingress.Ingress, "_on_upstream_done", _on_upstream_done),
     ),
     "same-connection": Mistake(
-        "a call goes again on a connection that refused it", lambda: patch.object(upstream, "NOT_RUN", ())
+        "a request is retried on the connection that rejected it",
+        lambda: patch.object(upstream, "NOT_RUN", ()),
     ),
     "cut-short": Mistake(
-        "what there is of an answer counts as all of it",
+        "an incomplete answer is taken for a complete one",
         lambda: patch.object(UpstreamMachine, "ended", _ended),
     ),
     "broken-is-unrun": Mistake(
-        "a connection that breaks behind a call says that it has not run",
+        "a connection that breaks after a request was sent counts as proof that it has not run",
         lambda: patch.object(upstream.Job, "broken", _broken),
     ),
     "free-resets": Mistake(
-        "a try that was lost with its connection doesn't count toward MaxAttempts",
+        "an attempt whose connection was reset doesn't count toward MaxAttempts",
         lambda: patch.object(retries.Retries, "_retry", _retry),
     ),
     "thawed": Mistake(
-        "a proxy that stood still sends for callers who have left",
+        "a proxy that was paused sends requests of callers that have left",
         lambda: patch.object(CallerConnection, "abandoned", lambda self: False),
     ),
     "late-dial": Mistake(
-        "what waited for a connection is sent although its time is over",
+        "a request that waited for a connection is sent after its deadline",
         lambda: patch.object(
             upstream.Job, "wanted", property(lambda self: lambda: True, lambda self, to: None)
         ),
     ),
     "no-deadline": Mistake(
-        "a call is held past its route's Cutoff",
+        "a request is held past its route's Cutoff",
         lambda: patch.object(egress, "min", lambda one, other: max(one, other) + 1_000_000, create=True),
     ),
 }
--- a/tests/proxy/proxy_pair.py
+++ b/tests/proxy/proxy_pair.py
@@ -1,6 +1,6 @@
-"""Both hops of the mesh in this process, on loopback sockets; the core that grants claims is a script.
+"""Both hops of the mesh in this process, on loopback sockets; claims are granted by a script.
 
-caller -> way out -> gate -> upstream
+caller -> egress -> ingress -> upstream
 """
 
 from __future__ import annotations
@@ -37,13 +37,14 @@
 
 
 def head(reader: Reader, framing: bytes, status: int = 200, seal: bool = True) -> bytes:
-    """Of an answer to what was read."""
-    said = b"X-Brackengate-Attempt-Id: " + reader.headers["x-brackengate-attempt-id"].encode() + b"\r\n"
-    said += b"X-Brackengate-Server-Seal: seal\r\n" if seal else b""
-    return b"HTTP/1.1 %d X\r\n%s%s\r\n" % (status, framing, said)
+    """The head of an answer to the request that was read."""
+    lines = b"X-Brackengate-Attempt-Id: " + reader.headers["x-brackengate-attempt-id"].encode() + b"\r\n"
+    lines += b"X-Brackengate-Server-Seal: seal\r\n" if seal else b""
+    return b"HTTP/1.1 %d X\r\n%s%s\r\n" % (status, framing, lines)
 
 
 async def body(writer: asyncio.StreamWriter, size: int, form: str) -> None:
+    """Write a body of `size` bytes of `BLOCK`, over and over."""
     while size:
         block = BLOCK[: min(size, 1 << 18)]
         writer.write(chunk(block) if form == "chunks" else block)
@@ -52,7 +53,7 @@
 
 
 def answers(size: int, form: str = "length", status: int = 200) -> Act:
-    """Reads the request and gives that many bytes of `BLOCK`, over and over."""
+    """Reads the request and answers with `size` bytes of `BLOCK`, over and over."""
 
     async def act(upstream: Upstream, reader: Reader, writer: asyncio.StreamWriter) -> None:
         await reader.body()
@@ -68,13 +69,13 @@
 
 
 class Upstream:
-    """`act` does what it does with a request whose head has come; `ran` is what it has executed."""
+    """A scripted upstream: `act` handles each request after its head; `ran` are the executed requests."""
 
     def __init__(self, act: Act) -> None:
         self.act = act
         self.ran: list[Reader] = []
         self.heads = 0
-        self.ended: asyncio.Queue[None] = asyncio.Queue()  # connections
+        self.ended: asyncio.Queue[None] = asyncio.Queue()  # one item for each closed connection
 
     async def start(self) -> Upstream:
         self.server = await asyncio.start_server(self._connected, LOCAL, 0)
@@ -94,7 +95,7 @@
 
 
 class Mesh:
-    """One pilot beside the caller, one beside the upstream; bodies of each have a budget of their own."""
+    """A proxy beside the caller and one beside the upstream; each has its own budget for bodies."""
 
     def __init__(self, upstream: Upstream, max_body_bytes: int = 16 << 20) -> None:
         loop = asyncio.get_running_loop()
@@ -106,7 +107,7 @@
         peers = Pool(
             loop, sockets, 5.0, 9.0, self.ingress_budget, judge=classify_proxy_answer, settle=0, slow=False
         )
-        self.holder: Mesh | None = None  # whose gate has all keys
+        self.holder: Mesh | None = None  # the mesh whose proxy holds all claims
         self.ingress = Ingress(
             loop,
             self.clock,
@@ -121,7 +122,7 @@
             "life",
         )
         table = self.table = RoutingTable()
-        self.current = True  # whether the proxy beside the caller can show that it is
+        self.current = True  # whether the caller's proxy has a current configuration
         rng, tries = random.Random(1), (0.2, 50.0)
         self.egress = Egress(
             loop,
@@ -156,8 +157,8 @@
         return LOCAL, self.holder.inbound if self.holder and machine == "other" else self.inbound
 
     def _grant_claims(self, what: Any, done: Callable[[Any], None], within_s: float) -> None:
-        said = HeldBy("other", "x") if self.holder else CommandDone()
-        asyncio.get_running_loop().call_soon(done, said)
+        result = HeldBy("other", "x") if self.holder else CommandDone()
+        asyncio.get_running_loop().call_soon(done, result)
 
     async def caller(self) -> Caller:
         return await Caller.to(self.port)
--- a/tests/proxy/test_big_change.py
+++ b/tests/proxy/test_big_change.py
@@ -24,7 +24,7 @@
     return "route", f"r-{number:07x}", [5, "host.example", body]
 
 
-def test_a_change_of_many_routes_fits_a_small_link() -> None:
+def test_change_of_many_routes_fits_a_slow_link() -> None:
     """Else it is not in force in time at a machine whose link is small, and holds up its requests."""
     rows = tuple(_route(number) for number in range(ROUTES))
     assert len(encoded(Changes(1, rows))) <= MOST_BYTES
--- a/tests/proxy/test_calls.py
+++ b/tests/proxy/test_calls.py
@@ -1,6 +1,7 @@
-"""Whose answer, and how often sent: histories over both real proxies, drawn and written, and mistakes found.
+"""Answers reach the right caller, and requests run as often as promised: random and scripted histories.
 
-client --> way out --> gate --> upstream, as `emulator/calls` plays them; `mistakes` takes one mechanism out.
+client --> egress --> ingress --> upstream, both proxies as in production, emulated by `emulator/calls`.
+The faulty variants of `mistakes`, with one mechanism disabled each, must be detected.
 """
 
 from __future__ import annotations
@@ -17,7 +18,7 @@
 from brackengate.emulator.calls.simulation import play
 from brackengate.emulator.loop import MS
 
-CHUNKS, EACH = 4, 40  # drawn histories, as parts that can run side by side
+CHUNKS, EACH = 4, 40  # random histories, in parts that can run in parallel
 
 
 def script(
@@ -26,7 +27,7 @@
     p: tuple[Behaviour, ...] = (),
     faults: tuple[Fault, ...] = (),
 ) -> History:
-    """`s`, `p`: what the upstreams of a service do; each of p's three does the same."""
+    """`s`, `p`: the behaviour of the upstreams of each service; the three of p behave the same."""
     return History(1, asks, ((4, s), *((number, p) for number in (1, 2, 3))), faults)
 
 
@@ -68,8 +69,8 @@
 
 
 @pytest.mark.parametrize("part", range(CHUNKS))
-def test_no_drawn_history_breaks_a_promise(part: int) -> None:
-    """On a failure the history is told with all left out that it fails without."""
+def test_no_random_history_breaks_a_promise(part: int) -> None:
+    """A failure prints the history, minimised to the steps that it needs."""
     for seed in range(part * EACH, (part + 1) * EACH):
         if broken(play(drawn(seed))):
             least = smallest(drawn(seed), lambda one: bool(broken(play(one))))
@@ -77,14 +78,14 @@
 
 
 @pytest.mark.parametrize("name", FOUND_BY)
-def test_a_mistake_is_found(name: str) -> None:
+def test_each_mistake_is_detected(name: str) -> None:
     history = FOUND_BY[name]
     assert broken(play(history)) == []
     with MISTAKES[name].apply():
         assert broken(play(history)) != [], MISTAKES[name].description
 
 
-def test_the_command_plays_histories_and_tells_the_shortest_that_breaks_a_promise() -> None:
+def test_command_plays_histories_and_prints_the_shortest_that_breaks_a_promise() -> None:
     run = CliRunner()
     kept = run.invoke(main, ["lab", "check-calls", "--histories", "5"])
     assert (kept.exit_code, kept.output) == (0, "5 histories: no promise is broken\n")
@@ -97,13 +98,13 @@
     assert set(MISTAKES) == {*FOUND_BY, "late-dial"}
 
 
-# --- a proxy that stands still
+# --- paused proxies
 
 
-def test_a_gate_that_thaws_runs_nothing_that_the_other_proxy_has_given_up() -> None:
-    """client        way out        gate (frozen from 50 ms to 1550 ms)
-    60 ms: asks ->  sends ->       (unread, on a connection that stands)
-    560 ms:      <- 502, closes    1550 ms: the request, and its connection's end
+def test_resumed_proxy_runs_nothing_that_the_other_proxy_has_given_up() -> None:
+    """client           egress         ingress (paused from 50 ms to 1550 ms)
+    60 ms: request -> sends ->     (unread, on an open connection)
+    560 ms:        <- 502, closes  1550 ms: reads the request and the end of its connection
     """
     history = script(read(), buy(60), faults=(Fault("freeze", 50, 4, 1500),))
     seen = play(history)
@@ -112,16 +113,16 @@
         assert [one.attempt for one in play(history).ran] == ["t0", "t1"]
 
 
-def test_what_waits_for_a_connection_while_its_proxy_stands_still_is_not_sent() -> None:
-    """Frozen while the connection is made, beyond the call's 60 ms; the client still waits."""
+def test_request_that_waits_for_a_connection_while_its_proxy_is_paused_is_not_sent() -> None:
+    """Paused while it connects, past the request's 60 ms; the client still waits."""
     history = script(buy(deadline=60, leaves=2500), faults=(Fault("freeze", 1, 0, 150),))
     assert play(history).ran == []
     with MISTAKES["late-dial"].apply():
         assert [one.attempt for one in play(history).ran] == ["t0"]
 
 
-def test_an_upstreams_own_limit_on_idle_connections_comes_first() -> None:
-    """It keeps them for a second: what has rested for most of that is not sent on again."""
+def test_upstreams_limit_on_idle_connections_takes_precedence() -> None:
+    """It keeps them for a second: one that was idle for most of that is not reused."""
     for act, wait, connections in (("brief", 700, 1), ("brief", 950, 2), ("served", 950, 1)):
         seen = play(script(read(), buy(wait), s=(Behaviour(act),)))
         assert (seen.connections, seen.ended["t1"].status) == (connections, 200)
@@ -129,11 +130,11 @@
 
 @pytest.mark.parametrize(("act", "connections"), [("other", 2), ("other-failure", 2), ("no-id", 2),
                                                   ("no-seal", 2), ("failed", 1)])  # fmt: skip
-def test_a_connection_that_is_out_of_step_is_not_used_again(act: str, connections: int) -> None:
+def test_connection_that_is_out_of_step_is_not_reused(act: str, connections: int) -> None:
     assert play(script(buy(), buy(100), s=(Behaviour(act),))).connections == connections
 
 
-# --- the rules of the later page
+# --- failures, limits of attempts and deadlines
 
 
 @pytest.mark.parametrize(
@@ -148,9 +149,7 @@
     ],
 )
 @pytest.mark.parametrize("route", ["buy", "bid", "read"])
-def test_a_failure_bears_a_seal_only_with_its_own_status(
-    route: str, act: str, status: int, sealed: bool
-) -> None:
+def test_failure_has_a_seal_only_with_its_own_status(route: str, act: str, status: int, sealed: bool) -> None:
     asks = Attempt(0, f"{route}-s", key="k" if route == "bid" else "")
     seen = play(script(asks, s=(Behaviour(act),) * 8))
     heard = seen.ended["t0"].heard
@@ -160,13 +159,13 @@
 
 
 @pytest.mark.parametrize("act", ["reset", "closed", "failed", "half", "garbage", "other"])
-def test_a_try_runs_on_no_more_upstreams_than_its_route_allows(act: str) -> None:
-    """Over both hops: three upstreams run whatever they get, and each answer is lost or no success."""
+def test_attempt_runs_on_no_more_upstreams_than_its_route_allows(act: str) -> None:
+    """Over both hops: three upstreams run every request, and each answer is lost or no success."""
     seen = play(script(Attempt(0, "read-p", deadline=2000), p=(Behaviour(act),) * 8))
     assert len(seen.ran) == 2 and broken(seen) == []
 
 
-def test_upstreams_that_turn_a_try_away_count_as_sent_to_and_not_as_run() -> None:
+def test_upstreams_that_reject_an_attempt_do_not_count_as_run() -> None:
     seen = play(script(Attempt(0, "read-p", deadline=2000), p=(Behaviour("full"),) * 8))
     assert (seen.ran, seen.ended["t0"].status) == ([], 503)
 
@@ -181,7 +180,7 @@
     assert ended.at <= (CUTOFF + 20) * MS and ended.status >= 502
 
 
-def test_a_key_that_was_turned_away_is_free_for_the_next_try() -> None:
-    """A promise frees it: the upstream is full, and then is not."""
+def test_rejected_key_is_free_for_the_next_attempt() -> None:
+    """A rejection promises that nothing ran: the upstream is full at first, and then is not."""
     seen = play(script(bid(), bid(700), s=(Behaviour("full"),) * 2))
     assert [seen.ended[f"t{n}"].status for n in (0, 1)] == [503, 200] and len(seen.ran) == 1
--- a/tests/proxy/test_failure_detector.py
+++ b/tests/proxy/test_failure_detector.py
@@ -72,10 +72,10 @@
         return seen
 
 
-class Watching(TestCase):
+class FailureDetection(TestCase):
     """One column a pilot: whom it takes for silent."""
 
-    def test_a_machine_without_power_is_known_to_all_in_half_a_second_and_so_is_its_return(self) -> None:
+    def test_dead_machine_is_silent_to_all_within_half_a_second_and_so_is_its_return(self) -> None:
         fleet = Fleet("abcdef")
         self.assertThat(fleet.play(1000), Equals([". . . . . ."]))
         fleet.dead.add("c")
@@ -87,7 +87,7 @@
         fleet.dead.clear()
         self.assertThat(fleet.play(2700)[-1], Equals(". . . . . ."))
 
-    def test_one_that_is_cut_off_is_silent_to_the_others_and_tells_nobody_anything(self) -> None:
+    def test_partitioned_machine_is_silent_to_the_others_and_reports_nothing(self) -> None:
         fleet = Fleet("abcdef")
         fleet.play(1000)
         fleet.cut.add("a")
@@ -95,7 +95,7 @@
         fleet.cut.clear()
         self.assertThat(fleet.play(2600)[-1], Equals(". . . . . ."))
 
-    def test_a_pair_that_is_cut_apart_does_no_harm_to_anybody_else(self) -> None:
+    def test_partition_of_one_pair_affects_nobody_else(self) -> None:
         fleet = Fleet("abcdef")
         fleet.play(1000)
         watcher = watchers_of("a", "abcdef")[0]
@@ -104,14 +104,14 @@
         silent = {name: took for name, took in zip("abcdef", row, strict=True) if took != "."}
         self.assertThat(silent, Equals({watcher: "a", "a": watcher}))  # nothing of either comes to the other
 
-    def test_a_pilot_that_stood_still_does_not_take_the_others_for_silent(self) -> None:
+    def test_resumed_proxy_does_not_suspect_the_others(self) -> None:
         fleet = Fleet("abcdef")
         fleet.play(1000)
         fleet.now += 5 * S  # all stood still: no signs were sent, and nobody is at fault
         self.assertThat(fleet.play(7000), Equals([". . . . . ."]))
         self.assertThat(set(fleet.suspects.values()), Equals({()}) if fleet.suspects else Equals(set()))
 
-    def test_what_one_sends_and_watches_does_not_grow_with_the_fleet(self) -> None:
+    def test_cost_of_a_proxy_does_not_grow_with_the_fleet(self) -> None:
         for many in (20, 400):
             fleet = [f"10.0.{n // 200}.{n % 200}" for n in range(many)]
             by_watcher: dict[str, int] = {}
@@ -121,7 +121,7 @@
             self.assertThat(len(watchers_of(fleet[0], fleet)), Equals(3))
             self.assertThat(max(by_watcher.values()), LessThan(15))
 
-    def test_a_region_that_starts_costs_each_proxy_a_ranking_for_each_tick_and_not_for_each_change(
+    def test_watchers_are_ranked_once_a_tick_and_not_for_each_change(
         self,
     ) -> None:
         rankings = self._count_rankings()
@@ -134,7 +134,7 @@
         self.assertThat(len(rankings), LessThan(5))
         self.assertThat(detector.tick(S).keepalives, Equals(watchers_of(fleet[0], fleet)))
 
-    def test_a_machine_that_stays_dead_costs_its_watcher_one_ranking(self) -> None:
+    def test_dead_machine_costs_its_watcher_one_ranking(self) -> None:
         fleet = [f"10.0.{n // 200}.{n % 200}" for n in range(400)]
         dead = next(one for one in fleet[1:] if fleet[0] in watchers_of(one, fleet))
         detector = FailureDetector(fleet[0], 0)
@@ -162,8 +162,8 @@
         return ranked
 
 
-class Budgets(TestCase):
-    def test_over_all_pilots_and_their_lives_every_window_keeps_to_ratio_and_slack(self) -> None:
+class RetryBudgets(TestCase):
+    def test_every_window_keeps_to_ratio_and_slack_over_all_proxies_and_restarts(self) -> None:
         """Every attempt breaks, for every request, at pilots that come, go and start again."""
         ratio, slack, window, seed = 0.2, 20.0, 10 * S, 7
         rng, now, spent, asked = random.Random(seed), 0, list[int](), list[int]()
--- a/tests/proxy/test_freshness.py
+++ b/tests/proxy/test_freshness.py
@@ -15,7 +15,7 @@
 MS, S = 1_000, 1_000_000
 
 
-def test_a_time_of_the_replica_is_never_taken_for_later_than_it_was() -> None:
+def test_converted_replica_time_is_never_too_late() -> None:
     rng = random.Random(1)
     for _ in range(300):
         ahead, clock = rng.randrange(-(10**12), 10**12), ClockOffset()  # of the replica's clock
@@ -29,7 +29,7 @@
             assert as_of - 800 * MS - 10 * MS <= clock.to_local(as_of + ahead, now) <= as_of
 
 
-def test_a_heartbeat_that_lay_in_a_queue_renews_nothing() -> None:
+def test_delayed_heartbeat_does_not_count_as_fresh() -> None:
     clock, freshness = ClockOffset(), ConfigFreshness()
     clock.add_exchange(0, 5 * S, 2 * MS)
     freshness.index_applied(7)
@@ -37,14 +37,14 @@
     assert freshness.is_current(S, S + 10 * MS) and not freshness.is_current(3 * S, S + 10 * MS)
 
 
-def test_without_an_exchange_of_times_nothing_is_known() -> None:
+def test_freshness_is_unknown_without_a_clock_exchange() -> None:
     freshness = ConfigFreshness()
     freshness.index_applied(7)
     freshness.heartbeat(7, ClockOffset().to_local(5 * S, 0))
     assert freshness.as_of <= NEVER
 
 
-def test_a_heartbeat_ahead_of_the_news_counts_once_the_news_is_in_force() -> None:
+def test_heartbeat_ahead_of_its_changes_counts_once_they_are_in_force() -> None:
     freshness = ConfigFreshness()
     freshness.index_applied(7)
     freshness.heartbeat(9, 5 * S)
@@ -56,7 +56,7 @@
 
 
 @pytest.mark.parametrize("current", [True, False])
-def test_only_a_current_proxy_says_that_there_is_no_route(current: bool) -> None:
+def test_only_a_current_proxy_answers_404(current: bool) -> None:
     async def play() -> None:
         mesh = Mesh(await Upstream(answers(1)).start())
         mesh.current = current
@@ -72,7 +72,7 @@
 
 
 @pytest.mark.parametrize("news", ["route", "current"])
-def test_what_is_held_goes_on_when_the_news_comes(news: str) -> None:
+def test_held_request_proceeds_when_the_update_arrives(news: str) -> None:
     async def play() -> None:
         upstream = await Upstream(answers(1)).start()
         mesh = Mesh(upstream)
--- a/tests/proxy/test_ingress.py
+++ b/tests/proxy/test_ingress.py
@@ -1,6 +1,6 @@
-"""The gate's carrier with a scripted core, upstream and callers: an operation runs once, promises hold.
+"""Ingress with a scripted control plane, upstream and callers: an operation runs once, promises hold.
 
-A world of one machine: `loop` is asked for timers by hand, the core answers when a test says so.
+`World` is one machine: its loop fires timers on request, and commands are answered when a test does so.
 """
 
 from __future__ import annotations
@@ -93,8 +93,8 @@
 class Connection:
     reply: Reply | None = None
     gone: Callable[[], None] = field(default=lambda: None)
-    sink: Any = None  # of a long answer
-    caller_left: bool = False  # its caller has, and the loop has not met that
+    sink: Any = None  # of a streamed answer
+    caller_left: bool = False  # which the event loop has not noticed yet
 
     def abandoned(self) -> bool:
         return self.caller_left
@@ -179,7 +179,7 @@
         return connection
 
     def answer_command(self, result: Any) -> Any:
-        """The core answers the oldest ask."""
+        """The control plane answers the oldest command."""
         what, done = self.commands.pop(0)
         done(result)
         return what
@@ -196,8 +196,8 @@
 OK = CommandDone()
 
 
-class Keys(TestCase):
-    def test_nothing_runs_before_its_claim_and_a_repeat_gets_the_first_answer(self) -> None:
+class KeyedRequestTests(TestCase):
+    def test_request_runs_after_its_claim_and_repeats_get_the_first_answer(self) -> None:
         world = World()
         first = world.arrive("k")
         self.assertThat(world.upstream_pool.jobs, Equals([]))
@@ -215,10 +215,10 @@
         self.assertThat(b"X-Brackengate-Attempt-Id: t3\r\n" in third.reply.extra, Equals(True))
         self.assertThat([world.upstream_pool.jobs, world.commands], Equals([[], []]))
 
-    def test_a_claim_without_an_answer_is_not_taken_for_granted(self) -> None:
+    def test_unanswered_claim_does_not_count_as_granted(self) -> None:
         world = World()
         first = world.arrive("k")
-        world.loop.run(0.6)  # half of its time: it is turned away, with a promise
+        world.loop.run(0.6)  # half of its time: it is rejected, and has not run
         self.assertThat(first.hop_outcome, Equals("unclaimed"))
         before = world.answer_command(None)
         world.arrive("k", attempt="t2")
@@ -229,37 +229,37 @@
         world.answer_command(HeldBy("other", "x"))
         self.assertThat([world.upstream_pool.jobs, len(world.peer_pool.jobs)], Equals([[], 1]))
 
-    def test_any_other_word_on_a_claim_is_no_grant(self) -> None:
+    def test_error_answer_to_a_claim_is_no_grant(self) -> None:
         world = World()
         first = world.arrive("k")
         world.answer_command(InvalidOrder("what is asked is not known here"))
         self.assertThat([first.hop_outcome, world.upstream_pool.jobs], Equals(["unclaimed", []]))
 
-    def test_a_claim_that_is_granted_late_runs_nothing_by_itself(self) -> None:
+    def test_late_grant_runs_nothing_until_the_next_request(self) -> None:
         world = World()
         world.arrive("k")
         world.loop.run(0.6)
         world.answer_command(OK)
         self.assertThat(world.upstream_pool.jobs, Equals([]))
-        world.arrive("k", attempt="t2")  # whoever comes next runs under it
+        world.arrive("k", attempt="t2")  # the next request runs under it
         self.assertThat([len(world.upstream_pool.jobs), world.commands], Equals([1, []]))
 
-    def test_what_the_upstream_turned_away_is_free_for_another_gate(self) -> None:
+    def test_rejection_by_the_upstream_releases_the_claim(self) -> None:
         world = World()
         first = world.arrive("k")
         world.answer_command(OK)
         world.answer_upstream(outcome=Outcome.REJECTED)
-        self.assertThat(first.hop_outcome, Equals("nothing"))  # not before the claim is lifted
+        self.assertThat(first.hop_outcome, Equals("nothing"))  # not before the claim is released
         self.assertThat(type(world.answer_command(OK)), Equals(Unclaim))
         self.assertThat(first.hop_outcome, Equals("shed"))
         world.arrive("k")
         self.assertThat(type(world.commands[0][0]), Equals(Claim))
 
-    def test_a_repeat_whose_route_has_moved_away_is_not_run_here(self) -> None:
-        """here:   claims k ... given up, not run            the claim is lifted
-        there:                      k comes, route moved ->  relayed    -> away: it runs there
+    def test_repeat_whose_route_has_moved_is_not_run_here(self) -> None:
+        """here:   claims k ... timed out, not run              the claim is released
+        there:                      k arrives, route moved -> relayed   -> away: it runs there
         """
-        for route, runs in (("other", 0), ("p", 1), ("-", 1)):  # "-": said by an earlier program
+        for route, runs in (("other", 0), ("p", 1), ("-", 1)):  # "-": from an earlier release
             world = World()
             world.arrive("k", remaining_ms=200)
             world.loop.run(0.3)
@@ -272,11 +272,11 @@
                 Equals([runs, "nothing" if runs else "away"]),
             )
 
-    def test_a_claim_of_over_a_window_is_lifted_before_anything_runs_under_it(self) -> None:
-        """The core holds it for two windows: a run that begins in the second would be guarded for less than
-        one.
+    def test_claim_older_than_a_window_is_released_before_anything_runs_under_it(self) -> None:
+        """The control plane holds it for two windows: a run that begins in the second would be protected for
+        less than one.
 
-        0 s: claimed, and given up   61 s: a try comes -> lifted, turned away -> the next one claims anew
+        0 s: claimed, timed out   61 s: an attempt -> released, rejected -> the next one claims again
         """
         world = World()
         world.arrive("k", remaining_ms=200)
@@ -284,23 +284,23 @@
         world.answer_command(OK)
         world.loop.run(61.0)
         second = world.arrive("k", attempt="t2")
-        lifted = world.answer_command(OK)
+        released = world.answer_command(OK)
         self.assertThat(
-            [type(lifted), second.hop_outcome, world.upstream_pool.jobs], Equals([Unclaim, "away", []])
+            [type(released), second.hop_outcome, world.upstream_pool.jobs], Equals([Unclaim, "away", []])
         )
         world.arrive("k", attempt="t3")
         again = world.answer_command(OK)
-        self.assertThat([type(again), again.instead], Equals([Claim, lifted.attempt]))  # a late sending of it
+        self.assertThat([type(again), again.instead], Equals([Claim, released.attempt]))  # sent late
         self.assertThat(len(world.upstream_pool.jobs), Equals(1))
 
-    def test_what_is_kept_of_an_operation_ends_with_its_claim_also_behind_one_that_runs(self) -> None:
+    def test_stored_answer_expires_with_its_claim_even_behind_a_running_operation(self) -> None:
         held = OperationStore(60 * S, 1 << 20)
         held.begin("first", "a", 0).state = OperationState.RUNNING
         held.store_answer(held.begin("k", "b", 0), Reply(200), 0)
         self.assertThat(held.get("k", 119 * S) is None, Equals(False))
         self.assertThat([held.get("k", 121 * S), held.get("first", 121 * S) is None], Equals([None, False]))
 
-    def test_nothing_runs_for_those_who_left_while_this_process_stood_still(self) -> None:
+    def test_nothing_runs_for_callers_that_left_while_the_process_was_paused(self) -> None:
         world = World()
         self.assertThat(
             [world.arrive(left_already=True).hop_outcome, world.upstream_pool.jobs], Equals(["nothing", []])
@@ -309,11 +309,11 @@
         first.caller_left = True
         world.answer_command(OK)
         self.assertThat(world.upstream_pool.jobs, Equals([]))
-        world.arrive("k", attempt="t2")  # the claim stands: it runs under it
+        world.arrive("k", attempt="t2")  # it runs under the same claim
         self.assertThat([len(world.upstream_pool.jobs), world.commands], Equals([1, []]))
 
-    def test_a_run_that_nobody_awaits_is_held_until_its_end(self) -> None:
-        """A process that leaves waits for it: its answer is its repeats'."""
+    def test_run_without_a_caller_is_pending_until_its_end(self) -> None:
+        """A process that shuts down waits for it, as repeats will ask for its answer."""
         world = World()
         first = world.arrive("k")
         world.answer_command(OK)
@@ -322,7 +322,7 @@
         world.answer_upstream()
         self.assertThat([*held, world.ingress.pending_count()], Equals([1, 0]))
 
-    def test_a_run_that_broke_blocks_its_key(self) -> None:
+    def test_run_whose_connection_broke_blocks_its_key(self) -> None:
         world = World()
         first = world.arrive("k")
         world.answer_command(OK)
@@ -333,7 +333,7 @@
             Equals(["broken", "unknown", []]),
         )
 
-    def test_a_claim_of_an_earlier_life_of_this_pilot_runs_nothing(self) -> None:
+    def test_claim_of_an_earlier_incarnation_of_the_proxy_runs_nothing(self) -> None:
         world = World()
         first = world.arrive("k")
         world.answer_command(HeldBy("me", "before"))
@@ -343,7 +343,7 @@
             Equals(["unknown", "unknown", []]),
         )
 
-    def test_an_operation_goes_on_without_its_caller_and_is_lost_when_it_hangs(self) -> None:
+    def test_operation_goes_on_without_its_caller_and_has_unknown_outcome_if_it_hangs(self) -> None:
         world = World()
         first = world.arrive("k")
         world.answer_command(OK)
@@ -356,8 +356,8 @@
         )
 
 
-class LongAnswers(TestCase):
-    """One that has begun is not bound by the deadline, counts as held until its end, and is not kept."""
+class StreamedAnswers(TestCase):
+    """A streamed answer ignores the deadline once begun, is pending until its end, and is not stored."""
 
     def begun(self) -> tuple[World, Connection, Sink]:
         world = World()
@@ -369,7 +369,7 @@
         assert sink is connection.sink
         return world, connection, sink
 
-    def test_it_goes_on_past_the_deadline_and_its_end_is_passed_on(self) -> None:
+    def test_streamed_answer_goes_on_past_the_deadline_and_its_end_is_forwarded(self) -> None:
         for outcome, ends in ((Outcome.OK, "finish"), (Outcome.RESET, "cut"), (Outcome.CANCELLED, "cut")):
             world, connection, sink = self.begun()
             repeat = world.arrive("k", attempt="t2")
@@ -383,12 +383,12 @@
             world.upstream_pool.jobs[0].done(Result(outcome))
             self.assertThat([sink.ends, len(world.ingress.requests)], Equals([[ends], 0]))
 
-    def test_what_tells_a_length_and_has_no_body_is_not_passed_on(self) -> None:
+    def test_answer_to_head_is_not_streamed(self) -> None:
         world = World()
         world.arrive(method=b"HEAD")
         self.assertThat(world.upstream_pool.jobs[0].begun, Equals(None))
 
-    def test_one_that_nobody_awaits_any_more_is_not_taken(self) -> None:
+    def test_streamed_answer_without_a_caller_is_not_read(self) -> None:
         world = World()
         connection = world.arrive("k")
         world.answer_command(OK)
@@ -400,8 +400,8 @@
         self.assertThat([world.arrive("k").hop_outcome, len(world.ingress.requests)], Equals(["unknown", 0]))
 
 
-class LongRequests(TestCase):
-    def test_their_time_counts_from_their_bodys_end(self) -> None:
+class StreamedRequests(TestCase):
+    def test_time_limit_starts_at_the_end_of_the_body(self) -> None:
         for key, lost in (("", Outcome.CANCELLED), ("k", Outcome.TIMEOUT)):
             world, stream = World(), Body(ByteBudget(1 << 20), None, lambda: None)
             connection = world.arrive(key, stream=stream)
@@ -415,7 +415,7 @@
             )
             world.loop.run(0.2)
             self.assertThat(connection.hop_outcome, Equals("late"))
-            world.loop.run(2.0)  # an operation goes on a while
+            world.loop.run(2.0)  # an operation goes on for a while
             self.assertThat(world.upstream_pool.jobs[0].given_up, Equals(lost))
 
 
@@ -426,17 +426,17 @@
         world.answer_command(HeldBy("other", "x"))
         return world, connection
 
-    def test_a_relay_that_broke_behind_its_request_promises_nothing(self) -> None:
+    def test_relay_that_broke_after_sending_promises_nothing(self) -> None:
         for outcome, hop_outcome in ((Outcome.RESET, "broken"), (Outcome.CONNECT_FAILED, "unknown")):
             world, connection = self.relayed()
             world.peer_pool.jobs[0].done(Result(outcome))
             self.assertThat(connection.hop_outcome, Equals(hop_outcome))
 
-    def test_the_other_gates_answer_comes_back_and_its_turning_away_frees_the_key(self) -> None:
+    def test_relayed_answer_is_forwarded_and_a_rejection_frees_the_key(self) -> None:
         for peer_outcome, hop_outcome in (
             (HopOutcome.RAN, "ran"),
             (HopOutcome.FULL, "away"),
-            (HopOutcome.SHED, "shed"),  # an upstream was asked: that counts as sent
+            (HopOutcome.SHED, "shed"),  # counts as an attempt at an upstream
             (HopOutcome.BROKEN, "broken"),
             (HopOutcome.LATE, "late"),
         ):
@@ -447,26 +447,26 @@
             self.assertThat(connection.hop_outcome, Equals(hop_outcome))
 
 
-class Turned(TestCase):
-    def test_the_gate_lets_nothing_through_to_another_life(self) -> None:
+class Rejections(TestCase):
+    def test_requests_for_another_incarnation_are_rejected(self) -> None:
         world = World()
         world.admission.receive_heartbeat(Heartbeat("i-2", "p", "ready", 2, 0, 1), 1)
         self.assertThat([world.arrive().hop_outcome, world.arrive("k").hop_outcome], Equals(["away", "away"]))
         self.assertThat([world.upstream_pool.jobs, world.commands], Equals([[], []]))
 
-    def test_a_word_of_the_gate_itself_bears_the_id_of_its_call(self) -> None:
+    def test_rejection_has_the_attempt_id_of_its_request(self) -> None:
         world = World()
         world.admission.receive_heartbeat(Heartbeat("i-2", "p", "ready", 2, 0, 1), 1)
         reply = world.arrive(attempt="t7").reply
         assert reply is not None
         self.assertThat(b"X-Brackengate-Attempt-Id: t7\r\n" in reply.extra, Equals(True))
 
-    def test_an_answer_cannot_name_its_own_seal_as_a_header_of_one_connection(self) -> None:
+    def test_answer_cannot_drop_its_seal_as_a_connection_header(self) -> None:
         headers = [(b"Connection", b"x-brackengate-server-seal, x-one"), (b"X-One", b"1"), (SEAL, b"seal")]
         answer = Answered(200, {name.lower(): value for name, value in headers}, b"", True, headers)
         self.assertThat(forwarded_answer(answer).extra, Equals(SEAL + b": seal\r\n"))
 
-    def test_the_target_and_what_is_left_go_to_the_upstream_and_the_hop_does_not(self) -> None:
+    def test_upstream_gets_target_and_remaining_time_but_no_hop_header(self) -> None:
         world = World()
         world.arrive()
         head = world.upstream_pool.jobs[0].payload
@@ -474,7 +474,7 @@
         self.assertThat(b"X-Brackengate-Deadline-Ms: 1000\r\n" in head, Equals(True))
         self.assertThat(HOP in head, Equals(False))
 
-    def test_answers_that_are_no_success_of_this_request_reach_no_caller_as_one(self) -> None:
+    def test_only_valid_answers_to_the_request_count_as_success(self) -> None:
         head = b"GET / HTTP/1.1\r\nX-Brackengate-Attempt-Id: t1\r\n\r\n"
         seal, mine, other = (b"x-brackengate-server-seal", b"s"), (b"x-brackengate-attempt-id", b"t1"), b"t0"
 
@@ -487,7 +487,9 @@
         self.assertThat(outcome(200, seal), Equals(Outcome.ERROR))
         self.assertThat(outcome(503, mine, (b"x-brackengate-not-executed", b"1")), Equals(Outcome.REJECTED))
         self.assertThat(outcome(421, mine), Equals(Outcome.REJECTED))
-        self.assertThat(outcome(421), Equals(Outcome.ERROR))  # nobody's: it says nothing of this request
+        self.assertThat(
+            outcome(421), Equals(Outcome.ERROR)
+        )  # without an id: it says nothing about this request
         self.assertThat(outcome(421, (mine[0], other)), Equals(Outcome.RESET))
         unrun = (b"x-brackengate-not-executed", b"1")
         twice = [(b"X-Brackengate-Attempt-Id", b"t0"), mine, seal]
@@ -495,7 +497,7 @@
         self.assertThat(classify_upstream_answer(head, duplicated).outcome, Equals(Outcome.ERROR))
         self.assertThat(outcome(503, (mine[0], other), unrun), Equals(Outcome.RESET))
         self.assertThat(outcome(500, seal, (mine[0], other)), Equals(Outcome.RESET))
-        for status in (408, 429, 503):  # only that header says that a call has not run
+        for status in (408, 429, 503):  # only that header says that a request has not run
             self.assertThat(outcome(status, seal, mine), Equals(Outcome.ERROR))
             self.assertThat(outcome(status, mine, unrun), Equals(Outcome.REJECTED))
         self.assertThat(outcome(500, seal, mine), Equals(Outcome.OK))
--- a/tests/proxy/test_processes.py
+++ b/tests/proxy/test_processes.py
@@ -17,7 +17,7 @@
     return Counter(key for upstream in mesh.upstreams for _, key in upstream.ran if key.startswith(prefix))
 
 
-def test_an_end_in_order_lets_a_long_answer_go_on_and_held_up_ones_fill_no_memory(tmp_path: Path) -> None:
+def test_graceful_shutdown_finishes_a_long_answer_and_stalled_ones_use_no_memory(tmp_path: Path) -> None:
     """Forty answers of 20 MiB are held up by their clients; both pilots have to leave, and one is taken."""
 
     async def play() -> None:
@@ -50,7 +50,7 @@
     asyncio.run(asyncio.wait_for(play(), 60))
 
 
-def test_keys_run_once_and_an_end_in_order_loses_nothing(tmp_path: Path) -> None:
+def test_keys_run_once_and_a_graceful_shutdown_loses_nothing(tmp_path: Path) -> None:
     async def bids(mesh: Mesh, prefix: str, count: int) -> list[tuple[int, bytes]]:
         """Each key at two pilots at once, again until both have the answer."""
 
--- a/tests/proxy/test_proxy_decisions.py
+++ b/tests/proxy/test_proxy_decisions.py
@@ -1,4 +1,4 @@
-"""What a pilot decides without a socket: table, gate, load, hop, and whom it follows."""
+"""Decisions of a proxy without sockets: routing, admission, load, hop headers and choice of replica."""
 
 from __future__ import annotations
 
@@ -33,8 +33,8 @@
     return "route", name, [version, "h.example", body]
 
 
-class Following(TestCase):
-    def test_the_longest_prefix_of_the_host_is_taken(self) -> None:
+class RoutingTables(TestCase):
+    def test_longest_prefix_of_the_host_wins(self) -> None:
         table = RoutingTable()
         table.apply_snapshot(1, [route("a", "/a/", 1), route("ab", "/a/b/", 1)])
         found = [table.find("h.example", path) for path in ("/a/b/c", "/a/bc", "/a/b/", "/a", "/x/a/")]
@@ -42,7 +42,7 @@
         self.assertThat(table.find("other.example", "/a/b"), Equals(None))
 
     def test_without_any_item_there_is_no_configuration(self) -> None:
-        """A core that has just begun is followed, and has nothing yet."""
+        """A new control plane accepts followers before it has any item."""
         table, one = RoutingTable(), {"id": "i-1", "plant": "p", "zone": "z", "state": "ready"}
         known = [table.has_configuration]
         table.apply_snapshot(3, [("inst", "10.0.0.1", one)])
@@ -50,7 +50,7 @@
         table.apply_changes(4, [route("a", "/a/", 1)])
         self.assertThat([*known, table.has_configuration], Equals([False, False, True]))
 
-    def test_no_item_goes_back_whichever_lighthouse_says_so(self) -> None:
+    def test_older_version_of_an_item_is_ignored(self) -> None:
         table = RoutingTable()
         table.apply_snapshot(5, [route("a", "/new/", 7)])
         table.apply_snapshot(4, [route("a", "/old/", 3)])
@@ -58,7 +58,7 @@
         self.assertThat(table.find("h.example", "/new/x") is not None, Equals(True))
         self.assertThat(table.find("h.example", "/old/x"), Equals(None))
 
-    def test_upstreams_that_a_snapshot_does_not_name_are_gone(self) -> None:
+    def test_snapshot_removes_upstreams_that_it_does_not_name(self) -> None:
         table, one = RoutingTable(), {"id": "i-1", "plant": "p", "zone": "z", "state": "ready"}
         table.apply_snapshot(1, [("inst", "10.0.0.1", one), ("inst", "10.0.0.2", {**one, "id": "i-2"})])
         table.apply_snapshot(9, [("inst", "10.0.0.2", {**one, "id": "i-3"})])
@@ -73,22 +73,20 @@
             [host_without_port(b"H.example:80"), host_without_port(b"h.example")], Equals(["h.example"] * 2)
         )
 
-    def test_pilots_of_a_zone_without_a_member_spread_over_the_others(self) -> None:
+    def test_proxies_of_a_zone_without_a_replica_spread_over_all_replicas(self) -> None:
         members = [("a", "z1"), ("b", "z2"), ("c", "z3")]
         first = [rank_replicas(f"10.0.0.{n}", "z4", members)[0] for n in range(60)]
         self.assertThat(max(first.count(one) for one in "abc"), LessThan(35))
         self.assertThat({rank_replicas(f"10.0.0.{n}", "z2", members)[0] for n in range(9)}, Equals({"b"}))
 
 
-class Gates(TestCase):
-    """ms | upstream                     | requests"""
-
+class Admissions(TestCase):
     def admission(self) -> Admission:
         admission = Admission("z", 1500 * MS, 2 * S)
         admission.receive_heartbeat(Heartbeat("i-1", "p", "ready", 6, 0, 1), 0)
         return admission
 
-    def test_only_its_own_life_of_the_upstream_is_reached(self) -> None:
+    def test_only_the_current_incarnation_of_the_upstream_is_reached(self) -> None:
         admission = self.admission()
         self.assertThat(
             [admission.rejection_reason("i-1", 0), bool(admission.rejection_reason("i-0", 0))],
@@ -101,13 +99,13 @@
         )
         admission.receive_heartbeat(
             Heartbeat("i-1", "p", "ready", 6, 0, 9), 20
-        )  # a late beat of the life before
+        )  # a late heartbeat of the earlier incarnation
         self.assertThat(admission.rejection_reason("i-2", 20), Equals(""))
 
     def test_nothing_reaches_a_draining_upstream_near_its_drain_time(self) -> None:
         admission = self.admission()
         admission.receive_heartbeat(Heartbeat("i-1", "p", "draining", 6, 0, 2), 1 * S)
-        admission.receive_heartbeat(Heartbeat("i-1", "p", "ready", 6, 0, 3), 1 * S)  # there is no way back
+        admission.receive_heartbeat(Heartbeat("i-1", "p", "ready", 6, 0, 3), 1 * S)  # draining is final
         self.assertThat(
             [admission.rejection_reason("i-1", 1500 * MS), bool(admission.rejection_reason("i-1", 2 * S))],
             Equals(["", True]),
@@ -115,7 +113,7 @@
         report = admission.report(2 * S)
         self.assertThat(report is not None and report.state, Equals("draining"))
 
-    def test_an_upstream_that_has_left_and_one_that_is_silent_are_gone(self) -> None:
+    def test_upstream_that_left_or_went_silent_is_gone(self) -> None:
         admission = self.admission()
         self.assertThat([admission.is_silent(5 * S), admission.is_silent(6 * S)], Equals([False, True]))
         admission.remove_upstream("i-1")
@@ -126,7 +124,7 @@
             admission.receive_heartbeat(Heartbeat("i-1", "p", "ready", 6, 0, 99), 2), Equals(False)
         )
 
-    def test_a_pilot_that_leaves_tells_first_and_then_closes(self) -> None:
+    def test_proxy_that_shuts_down_reports_it_before_it_closes(self) -> None:
         admission = self.admission()
         admission.leaving = True
         report = admission.report(0)
@@ -134,7 +132,7 @@
         admission.closed = True
         self.assertThat(bool(admission.rejection_reason("i-1", 0)), Equals(True))
 
-    def test_a_restarted_pilot_knows_its_upstream_until_the_first_beat_is_overdue(self) -> None:
+    def test_restarted_proxy_adopts_its_upstream_until_the_first_heartbeat_is_overdue(self) -> None:
         for state, admits in (("ready", True), ("away", True), ("draining", False), ("gone", False)):
             admission = Admission("z", 1500 * MS, 2 * S)
             admission.adopt(Instance("i-1", "p", "z", state, 6), 10 * S)
@@ -144,7 +142,7 @@
         admission.adopt(Instance("i-0", "p", "z", "ready", 6), 0)
         self.assertThat(admission.rejection_reason("i-1", 0), Equals(""))
 
-    def test_operations_are_forgotten_by_bytes_and_age_but_never_at_work(self) -> None:
+    def test_operations_are_evicted_by_bytes_and_age_but_never_in_progress(self) -> None:
         held = OperationStore(60 * S, max_bytes=1000)
         busy = held.begin("busy", "1", 0)
         for n in range(20):
@@ -167,35 +165,37 @@
             load.record_start("r", 0)
         return load
 
-    def test_a_free_slot_takes_anything(self) -> None:
+    def test_free_slot_accepts_anything(self) -> None:
         self.assertThat(self.loaded(3).accepts("r", 2, 1, 1, False, 0), Equals(True))
 
-    def test_what_would_be_late_is_turned_away_and_what_came_again_goes_first(self) -> None:
+    def test_late_requests_are_rejected_and_client_retries_preferred(self) -> None:
         takes = [self.loaded(n).accepts("r", 2, 300 * MS, 700 * MS, False, 0) for n in range(3, 14)]
-        self.assertThat(takes.index(False), Equals(7))  # seven wait: 175 ms is more than 0.85 of the rest
+        self.assertThat(
+            takes.index(False), Equals(7)
+        )  # seven wait: 175 ms is more than 0.85 of the remaining time
         self.assertThat(self.loaded(11).accepts("r", 2, 300 * MS, 700 * MS, True, 0), Equals(True))
 
-    def test_one_that_is_late_anyway_waits_behind_few(self) -> None:
+    def test_request_past_its_target_waits_behind_few(self) -> None:
         takes = [self.loaded(n).accepts("r", 2, -100 * MS, 400 * MS, False, 0) for n in range(3, 14)]
         self.assertThat(takes.index(False), Equals(4))
 
-    def test_work_of_a_lower_rank_leaves_room_for_what_can_wait_less(self) -> None:
-        """Calls of 20 ms that others wait for, beside reads of 100 ms that may wait for 300."""
-        for rank, may_wait in ((1, 1), (2, 2), (3, 6)):  # of the call: above, beside, below the reads
+    def test_lower_priority_leaves_room_for_requests_that_can_wait_less(self) -> None:
+        """Calls of 20 ms that others wait for, beside reads of 100 ms that may wait for 300 ms."""
+        for priority, may_wait in ((1, 1), (2, 2), (3, 6)):  # of the call: above, equal to, below the reads
             takes = []
             for n in range(4, 16):
                 load = self.loaded(n, call=20 * MS, r=100 * MS)
-                load.accepts("call", rank, 100 * MS, 200 * MS, False, 0)
+                load.accepts("call", priority, 100 * MS, 200 * MS, False, 0)
                 takes.append(load.accepts("r", 2, 300 * MS, 700 * MS, False, 0))
-            self.assertThat(takes.index(False), Equals(may_wait), f"rank {rank}")
+            self.assertThat(takes.index(False), Equals(may_wait), f"priority {priority}")
         load = self.loaded(8, call=20 * MS, r=100 * MS)
         load.accepts("call", 1, 100 * MS, 200 * MS, False, 0)
         self.assertThat(
             load.accepts("r", 2, 300 * MS, 700 * MS, False, 3 * S), Equals(True)
-        )  # none came of late
+        )  # no recent calls
 
-    def test_short_work_among_long_comes_late_rather_than_not_at_all(self) -> None:
-        """Their caller has spent more, and they cost those behind them little."""
+    def test_short_requests_among_long_ones_may_be_late_rather_than_rejected(self) -> None:
+        """Their callers have spent more on them, and they delay the others little."""
         for kind, accepted in (("call", 4), ("r", 1)):
             takes = []
             for n in range(4, 16):
@@ -203,13 +203,13 @@
                 takes.append(load.accepts(kind, 1, 30 * MS, 200 * MS, False, 0))
             self.assertThat(takes.index(False), Equals(accepted), kind)
 
-    def test_one_of_a_higher_rank_that_is_late_already_does_not_shut_out_the_others(self) -> None:
+    def test_late_request_of_higher_priority_does_not_block_the_others(self) -> None:
         load = self.loaded(5, bid=60 * MS, r=100 * MS)
         load.accepts("bid", 1, 200 * MS, 500 * MS, False, 0)
-        load.accepts("bid", 1, 10 * MS, 300 * MS, True, 0)  # comes again, with its aim nearly over
+        load.accepts("bid", 1, 10 * MS, 300 * MS, True, 0)  # a client's retry, near its target latency
         self.assertThat(load.accepts("r", 2, 300 * MS, 700 * MS, False, 0), Equals(True))
 
-    def test_what_waited_behind_long_work_is_not_taken_for_long_itself(self) -> None:
+    def test_wait_behind_long_requests_does_not_count_as_service_time(self) -> None:
         load = self.loaded(8, call=20 * MS, r=100 * MS)
         for _ in range(30):  # each waits for five of those before it: 125 ms
             load.record_end(load.record_start("call", 0), 145 * MS, True)
@@ -219,7 +219,7 @@
 
 
 class Hops(TestCase):
-    def test_a_step_is_read_as_it_was_said(self) -> None:
+    def test_hop_info_round_trip(self) -> None:
         for step in (HopInfo("i-1", True, 2, True, -40, True, "r-1", 2), HopInfo("i-1", False, route="x")):
             name, _, value = step.header_line().strip().partition(b": ")
             self.assertThat([name, parse_hop_info({HOP.lower(): value})], Equals([HOP, step]))
@@ -227,9 +227,9 @@
 
 
 class Callers(TestCase):
-    """What a client is told of a request that was not served."""
+    """Answers to clients whose requests were not served."""
 
-    def test_only_what_has_not_run_is_refused(self) -> None:
+    def test_only_requests_that_have_not_run_get_503(self) -> None:
         def answer(outcome: HopOutcome, status: int = 503) -> Result:
             fields = {HOP.lower(): outcome.value}
             return Result(Outcome.TIMEOUT, answer=Answered(status, fields, b"", True, [(HOP, outcome.value)]))
@@ -237,12 +237,12 @@
         ran = Earlier(Endpoint("i-1"), 0)
         cases = (
             ("all turned it away", REFUSED, answer(HopOutcome.FULL), (), 503),
-            ("it broke behind the request", REFUSED, answer(HopOutcome.BROKEN), (ran,), 502),
+            ("it broke after the request", REFUSED, answer(HopOutcome.BROKEN), (ran,), 502),
             ("nothing came back at all", REFUSED, None, (ran,), 502),
-            ("turned away, after it broke elsewhere", REFUSED, answer(HopOutcome.FULL), (ran,), 502),
-            ("its operation is known to nobody", FAILED, answer(HopOutcome.UNKNOWN), (ran,), 503),
+            ("rejected, after it broke elsewhere", REFUSED, answer(HopOutcome.FULL), (ran,), 502),
+            ("the outcome of its operation is unknown", FAILED, answer(HopOutcome.UNKNOWN), (ran,), 503),
             (
-                "so is it, but another attempt of it broke",
+                "unknown outcome, and another attempt of it broke",
                 FAILED,
                 answer(HopOutcome.UNKNOWN),
                 (ran, ran),
--- a/tests/proxy/test_reachability.py
+++ b/tests/proxy/test_reachability.py
@@ -48,7 +48,7 @@
         self.ended.set()
 
 
-def test_one_that_takes_connections_keeps_its_work_until_it_takes_none() -> None:
+def test_machine_that_accepts_connections_keeps_its_requests() -> None:
     async def play() -> None:
         server = await asyncio.start_server(lambda _, writer: writer.write(b"HTTP/1.1 400 X\r\n"), LOCAL, 0)
         machine = Machine()
@@ -68,7 +68,7 @@
 
 
 @pytest.mark.parametrize("full", [True, False])
-def test_one_that_answers_nothing_is_cut_off_after_a_while(full: bool) -> None:
+def test_machine_that_answers_nothing_is_reported_unreachable(full: bool) -> None:
     """Also where its kernel takes the connection, as that of a frozen process does."""
 
     async def play() -> None:
@@ -86,7 +86,7 @@
     run(play())
 
 
-def test_one_that_answers_again_meanwhile_is_not() -> None:
+def test_check_is_cancelled_when_the_machine_answers_again() -> None:
     async def play() -> None:
         machine = Machine()
         machine.fill()
--- a/tests/proxy/test_routing_table_indexes.py
+++ b/tests/proxy/test_routing_table_indexes.py
@@ -20,7 +20,7 @@
     return "inst", machine, {"id": f"i-{machine}", "plant": service, "zone": "z", "state": state}
 
 
-def test_drawn_changes_leave_what_a_new_table_would_hold() -> None:
+def test_random_changes_leave_the_state_of_a_new_table() -> None:
     rng, table, rows = random.Random(1), RoutingTable(), dict[tuple[str, str], Row]()
     for index in range(1, 2_000):
         if rng.random() < 0.5:
@@ -43,7 +43,7 @@
                 assert dict(table.upstreams_of(service)) == dict(anew.upstreams_of(service))
 
 
-def test_what_was_touched_is_told_once() -> None:
+def test_changed_names_are_returned_once() -> None:
     table = RoutingTable()
     table.apply_changes(1, [route("a", 1, "/a/"), instance("m", "p", "ready")])
     changed = table.take_changed_names()
@@ -54,7 +54,7 @@
     assert isinstance(table.upstreams_of("q")["m"], Instance)
 
 
-def test_a_route_that_comes_to_a_place_before_the_old_one_leaves_keeps_it() -> None:
+def test_new_route_keeps_its_prefix_when_the_old_one_is_removed_later() -> None:
     table = RoutingTable()
     table.apply_changes(1, [route("old", 1, "/a/")])
     table.apply_changes(2, [route("new", 1, "/a/", "q"), ("route", "old", [2])])
@@ -62,7 +62,7 @@
     assert found is not None and found.name == "new"
 
 
-def test_one_change_amid_many_routes_costs_its_own_size() -> None:
+def test_cost_of_a_change_does_not_grow_with_the_table() -> None:
     took = []
     for routes in (10, MANY):
         table = RoutingTable()
--- a/tests/proxy/test_shutdown_plan.py
+++ b/tests/proxy/test_shutdown_plan.py
@@ -1,4 +1,4 @@
-"""A proxy that was told to stop: what it takes, when it closes which door, that it finishes what it took."""
+"""Shutdown of a proxy: what it accepts, when egress and ingress close, and that accepted requests finish."""
 
 from __future__ import annotations
 
@@ -22,55 +22,57 @@
 
 @pytest.mark.parametrize("grace", [2 * S, 6 * S, 10 * S])
 @pytest.mark.parametrize("longest_request", [0, 800 * MS, 4 * S, 60 * S])
-def test_the_doors_close_one_after_the_other(grace: int, longest_request: int) -> None:
-    one = plan(longest_request, grace)
+def test_steps_of_a_shutdown_are_in_order(grace: int, longest_request: int) -> None:
+    schedule = plan(longest_request, grace)
     assert (
-        one.started_at
-        <= one.deregisters_at
-        < one.ingress_closes_at
-        <= one.egress_closes_at
-        < one.exit_deadline
-        < one.started_at + grace
+        schedule.started_at
+        <= schedule.deregisters_at
+        < schedule.ingress_closes_at
+        <= schedule.egress_closes_at
+        < schedule.exit_deadline
+        < schedule.started_at + grace
     )
 
 
-def test_what_other_proxies_send_last_can_end_in_time() -> None:
+def test_last_requests_of_other_proxies_can_finish_in_time() -> None:
     assert plan(longest_request=2 * S).ingress_closes_at + 2 * S <= plan(longest_request=2 * S).exit_deadline
 
 
 @pytest.mark.parametrize(
     ("after", "time_limit", "taken"),
     [
-        (0, 30 * S, True),  # its client knows no better
+        (0, 30 * S, True),  # its client does not know of the shutdown yet
         (2_800 * MS, 4 * S, True),
         (3 * S, 2 * S, True),
         (3 * S, 4 * S, False),  # it could outlast the process
-        (3_300 * MS, 10 * MS, False),  # whoever still comes would keep it from ending
+        (3_300 * MS, 10 * MS, False),  # late clients would keep it from exiting
         (5 * S, 10 * MS, False),
     ],
 )
-def test_what_a_client_asks_is_taken_where_it_can_be_finished(
+def test_client_requests_are_accepted_if_they_can_be_finished(
     after: int, time_limit: int, taken: bool
 ) -> None:
-    one = plan()
-    assert one.accepts(time_limit, one.started_at + after) is taken
+    schedule = plan()
+    assert schedule.accepts(time_limit, schedule.started_at + after) is taken
 
 
-def test_a_long_grace_takes_no_long_request_late() -> None:
-    one = plan(grace=10 * S)
-    assert one.accepts(6 * S, one.started_at + 2 * S) and not one.accepts(6 * S, one.started_at + 4 * S)
-    assert one.accepts(4 * S, one.started_at + 5 * S)
+def test_long_grace_period_accepts_no_long_request_late() -> None:
+    schedule = plan(grace=10 * S)
+    assert schedule.accepts(6 * S, schedule.started_at + 2 * S) and not schedule.accepts(
+        6 * S, schedule.started_at + 4 * S
+    )
+    assert schedule.accepts(4 * S, schedule.started_at + 5 * S)
 
 
 @pytest.mark.parametrize("seed", [1, 2])
-def test_a_zone_whose_proxies_all_leave_loses_no_request(seed: int) -> None:
-    """Its clients come to the end, as fewer than half of the zone are ready."""
+def test_shutdown_of_all_proxies_of_a_zone_loses_no_request(seed: int) -> None:
+    """Its clients send requests until the end, as fewer than half of the zone's proxies are ready."""
     path = MESH / "leaving-zone.toml"
     made = play(changed(path.read_text(), str(path), ()), seed)
     assert [f"{one.rule}: {word}" for one in made.found for word in one.words] == []
 
 
-def test_other_proxies_are_asked_to_go_once_the_gate_is_closed() -> None:
+def test_connections_of_other_proxies_are_drained_after_ingress_has_closed() -> None:
     """A close that crosses a request leaves its caller without knowing whether it ran."""
     path = MESH / "calm.toml"
     told = changed(path.read_text(), str(path), ("length=8s", "route.read.deadline=3s"))
--- a/tests/proxy/test_snapshot_receiver.py
+++ b/tests/proxy/test_snapshot_receiver.py
@@ -52,7 +52,7 @@
     return count
 
 
-def test_nothing_of_it_is_in_force_before_it_is_whole() -> None:
+def test_nothing_is_in_force_before_the_snapshot_is_complete() -> None:
     sender, receiver, table = Sender(), SnapshotReceiver(), RoutingTable()
     for _ in range(5):
         assert not receiver.receive(receiver.position, sender.piece(receiver))
@@ -64,7 +64,7 @@
     assert not any(kind == "key" for kind, _, _ in rows)
 
 
-def test_it_goes_on_at_another_replica_with_what_changed_meanwhile() -> None:
+def test_transfer_resumes_at_another_replica_with_newer_changes() -> None:
     sender, other, receiver = Sender(), Sender(), SnapshotReceiver()
     for _ in range(5):
         receiver.receive(receiver.position, sender.piece(receiver))
@@ -81,7 +81,7 @@
     assert index == 2 * ITEMS + 1 and {value[0] for kind, _, value in rows if kind == "plant"} == {2}
 
 
-def test_it_begins_anew_where_the_changes_are_gone() -> None:
+def test_transfer_restarts_where_the_changes_are_no_longer_kept() -> None:
     sender, receiver = Sender(), SnapshotReceiver()
     for _ in range(5):
         receiver.receive(receiver.position, sender.piece(receiver))
@@ -93,7 +93,7 @@
     assert receiver.rows.checksum == sender.log.state.public.checksum
 
 
-def test_a_piece_that_follows_another_place_is_left_alone() -> None:
+def test_piece_that_follows_another_position_is_ignored() -> None:
     """Two replicas are asked at once, and the copy has gone on at the other one."""
     sender, receiver = Sender(), SnapshotReceiver()
     receiver.receive(NOTHING, sender.piece(receiver))
@@ -107,7 +107,7 @@
     assert receiver.rows.checksum == sender.log.state.public.checksum
 
 
-def test_one_that_differs_is_not_taken() -> None:
+def test_snapshot_with_a_wrong_checksum_is_dropped() -> None:
     sender, receiver = Sender(), SnapshotReceiver()
     for _ in range(3):
         receiver.receive(receiver.position, sender.piece(receiver))
@@ -119,7 +119,7 @@
     assert receiver.rows.checksum == sender.log.state.public.checksum
 
 
-def test_an_older_copy_takes_nothing_back() -> None:
+def test_older_snapshot_is_ignored() -> None:
     """It was at a replica that knows more; the one that it comes to gives a whole copy of before."""
     newer, older, table = Sender(), Sender(), RoutingTable()
     newer.set(ITEMS + 1, "plant", "p1", plant(1, 2))
--- a/tests/proxy/test_staged_changes.py
+++ b/tests/proxy/test_staged_changes.py
@@ -50,7 +50,7 @@
     return StagePiece("x", number, tuple(route(n) for n in range(number * each, (number + 1) * each)))
 
 
-def test_pieces_are_taken_in_order_and_go_on_at_another_replica() -> None:
+def test_pieces_are_received_in_order_and_resume_at_another_replica() -> None:
     store = StagedChanges()
     assert store.next_piece("x", 3) == 0
     assert store.receive(piece(1)) is None
@@ -66,7 +66,7 @@
     assert store.positions() == ()
 
 
-def test_an_order_that_lacks_a_piece_is_never_put_in_force() -> None:
+def test_change_that_lacks_a_piece_is_never_applied() -> None:
     store = StagedChanges()
     store.next_piece("x", 2)
     store.receive(piece(0))
@@ -74,7 +74,7 @@
         store.take_rows(StagedRows("x"))
 
 
-def test_few_orders_are_held_at_a_time() -> None:
+def test_number_of_staged_changes_is_limited() -> None:
     store = StagedChanges()
     for number in range(MAX_STAGED_CHANGES + 2):
         store.next_piece(f"x{number}", 1)
@@ -126,7 +126,7 @@
     run(coroutine, PLAYED_S)
 
 
-def test_a_staged_order_is_in_force_with_its_reference_and_not_before() -> None:
+def test_staged_change_is_in_force_with_its_reference_and_not_before() -> None:
     async def play() -> None:
         follower = Follower()
         follower.stage(3, 10)
@@ -139,7 +139,7 @@
     played(play())
 
 
-def test_a_long_change_goes_in_slices_and_what_follows_waits_for_it() -> None:
+def test_long_change_is_applied_in_slices_and_later_ones_wait() -> None:
     async def play() -> None:
         follower = Follower()
         follower.stage(4, ROUTES // 4)
@@ -161,7 +161,7 @@
     played(play())
 
 
-def test_it_is_current_when_all_of_a_long_change_is_in_force() -> None:
+def test_proxy_is_current_when_all_of_a_long_change_is_in_force() -> None:
     async def play() -> None:
         follower = Follower()
         follower.now = 1_000
@@ -176,7 +176,7 @@
     played(play())
 
 
-def test_a_reference_to_what_is_not_here_makes_it_follow_anew() -> None:
+def test_reference_to_a_missing_change_closes_the_link() -> None:
     async def play() -> None:
         follower = Follower()
         follower.stage(1, 10)
@@ -219,7 +219,7 @@
         return piece
 
 
-def test_a_whole_copy_goes_in_slices_at_a_proxy_that_serves() -> None:
+def test_snapshot_is_applied_in_slices_at_a_serving_proxy() -> None:
     async def play() -> None:
         follower = SnapshotFollower()
         gone = {"id": "i", "plant": "p", "zone": "z", "state": "ready"}
@@ -238,7 +238,7 @@
     played(play())
 
 
-def test_the_first_configuration_is_served_when_all_of_it_is_there() -> None:
+def test_first_configuration_is_in_force_only_when_complete() -> None:
     """A part of it could send a request to a route that a more specific one overrides."""
 
     async def play() -> None:
@@ -255,7 +255,7 @@
     played(play())
 
 
-def test_a_change_that_comes_again_from_a_replica_that_lags_takes_nothing_back() -> None:
+def test_change_sent_again_by_a_lagging_replica_is_skipped() -> None:
     """Rows of machines have no versions: what is in force already is passed over."""
 
     async def play() -> None:
@@ -275,7 +275,7 @@
     played(play())
 
 
-def test_a_restarted_proxy_knows_its_upstream_when_its_own_row_comes_in_the_last_slice() -> None:
+def test_restarted_proxy_adopts_its_upstream_from_a_row_in_the_last_slice() -> None:
     table, admission, steps = RoutingTable(), Admission("z", 1_500_000, 2_000_000), list[Callable[[], None]]()
     settings, clock = SimpleNamespace(ip="10.0.0.9", plant="p"), SimpleNamespace(now=lambda: 0)
     parts = {"settings": settings, "clock": clock, "egress": Mock(), "liveness_monitor": Mock()}
--- a/tests/proxy/test_streamed_bodies.py
+++ b/tests/proxy/test_streamed_bodies.py
@@ -1,9 +1,9 @@
-"""Long bodies over both hops: whole, broken, slow and left, with nothing held behind them.
+"""Long bodies over both hops: complete, broken, slow or abandoned, with no memory held afterwards.
 
-caller         way out        gate           upstream
+caller          egress        ingress         upstream
   |--- request --->|------------>|--------------->|
-  |<-- head, first bytes: from here on there is no way back ---|
-  |<-- the rest, as fast as the slowest takes it --------------|
+  |<-- head, first bytes: no retry from here on --|
+  |<-- the rest, at the pace of the slowest ------|
 """
 
 from __future__ import annotations
@@ -28,7 +28,7 @@
 
 
 def digest(size: int) -> bytes:
-    """Of what `proxy_pair.body` writes."""
+    """The digest of `size` bytes as `proxy_pair.body` writes them."""
     told = hashlib.sha256()
     for at in range(0, size, 256 * KIB):
         told.update(BLOCK[: min(size - at, 256 * KIB)])
@@ -41,7 +41,7 @@
 
 @pytest.mark.parametrize("form", list(FORMS))
 @pytest.mark.parametrize("route", ["read", "buy", "bid"])
-def test_an_answer_comes_back_as_it_was_whatever_its_length(route: str, form: str) -> None:
+def test_answers_of_any_length_are_forwarded_unchanged(route: str, form: str) -> None:
     async def main() -> None:
         for size in (64 * KIB, MIB, 3 * MIB // 2, LONG):
             upstream = await Upstream(answers(size, form)).start()
@@ -54,7 +54,7 @@
             assert "x-brackengate-hop" not in got.headers
             await until(settled(mesh))
             assert max(mesh.egress_budget.most, mesh.ingress_budget.most) <= 2 * MIB
-            caller.writer.write(request_head("read", attempt="t2"))  # the connection is still good
+            caller.writer.write(request_head("read", attempt="t2"))  # the connection is still usable
             assert (await received(caller)).size == size
 
     run(main())
@@ -62,7 +62,7 @@
 
 @pytest.mark.parametrize("form", ["length", "chunks"])
 @pytest.mark.parametrize("route", ["read", "bid"])
-def test_a_request_goes_up_as_it_was_and_nothing_of_it_is_held_afterwards(route: str, form: str) -> None:
+def test_request_bodies_are_forwarded_unchanged_and_released(route: str, form: str) -> None:
     async def main() -> None:
         for size in (64 * KIB, MIB, 3 * MIB // 2, LONG):
             upstream = await Upstream(answers(4)).start()
@@ -93,7 +93,7 @@
 
 @pytest.mark.parametrize("form", list(FORMS))
 @pytest.mark.parametrize("route", ["read", "bid"])
-def test_an_answer_that_breaks_in_its_middle_never_looks_whole_and_runs_once(route: str, form: str) -> None:
+def test_broken_answer_never_looks_complete_and_runs_once(route: str, form: str) -> None:
     async def main() -> None:
         async def act(upstream: Upstream, reader: Reader, writer: asyncio.StreamWriter) -> None:
             upstream.ran.append(reader)
@@ -117,13 +117,13 @@
                 rest += data
         assert len(rest) < 4 * MIB and not rest.endswith(b"0\r\n\r\n")
         await until(settled(mesh))
-        assert len(upstream.ran) == 1  # what has begun is not tried again
+        assert len(upstream.ran) == 1  # no retry once the answer has begun
 
     run(main())
 
 
-def test_a_caller_of_the_old_version_sees_a_break_as_one() -> None:
-    """It gets no chunks: the connection's end alone tells the body's, and here it is a reset."""
+def test_http_1_0_caller_sees_a_broken_answer_as_a_reset() -> None:
+    """It gets no chunks: only the end of the connection ends the body, and here that is a reset."""
 
     async def main() -> None:
         async def act(upstream: Upstream, reader: Reader, writer: asyncio.StreamWriter) -> None:
@@ -147,7 +147,7 @@
     run(main())
 
 
-def test_a_long_answer_that_is_no_success_of_this_request_reaches_nobody() -> None:
+def test_long_answer_that_is_no_valid_success_is_not_forwarded() -> None:
     async def main() -> None:
         async def act(upstream: Upstream, reader: Reader, writer: asyncio.StreamWriter) -> None:
             upstream.ran.append(reader)
@@ -156,19 +156,19 @@
             await body(writer, 2 * MIB, "length")
 
         mesh = Mesh(await Upstream(act).start())
-        for number, said in enumerate((502, 502)):  # without a seal; another one's
+        for number, status in enumerate((502, 502)):  # without a seal; with another request's id
             caller = await mesh.caller()
             caller.writer.write(request_head("buy"))
-            assert ((await caller.read())[0], number) == (said, number)
+            assert ((await caller.read())[0], number) == (status, number)
         await until(settled(mesh))
 
     run(main())
 
 
-def test_callers_that_stop_reading_hold_their_upstreams_up_and_no_memory(
+def test_callers_that_stop_reading_slow_their_upstreams_and_use_no_memory(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """Forty answers of 20 MiB, of which nothing is taken; then one of them is."""
+    """Forty answers of 20 MiB, of which nothing is read; then one of them is."""
     monkeypatch.setattr(http_module, "SEND_BUFFER", 16 * KIB)
 
     async def main() -> None:
@@ -196,7 +196,7 @@
             await caller.reader.readuntil(b"\r\n\r\n")
             callers.append(caller)
         before = -1
-        while before != written:  # until nothing moves for ten turns
+        while before != written:  # until nothing is written for ten turns of the loop
             before = written
             for _ in range(10):
                 await asyncio.sleep(0)
@@ -215,7 +215,7 @@
 
 
 @pytest.mark.parametrize("route", ["read", "bid"])
-def test_a_caller_that_leaves_lets_its_upstream_go(route: str) -> None:
+def test_disconnect_of_a_caller_ends_its_upstream_connection(route: str) -> None:
     async def main() -> None:
         async def endless(upstream: Upstream, reader: Reader, writer: asyncio.StreamWriter) -> None:
             writer.write(head(reader, FORMS["length"](60 * MIB)))
@@ -234,7 +234,7 @@
 
 
 @pytest.mark.parametrize("route", ["buy", "bid"])
-def test_a_request_that_is_left_in_its_middle_runs_nothing_and_frees_its_key(route: str) -> None:
+def test_incomplete_request_runs_nothing_and_frees_its_key(route: str) -> None:
     async def main() -> None:
         upstream = await Upstream(answers(4)).start()
         mesh = Mesh(upstream)
@@ -253,8 +253,8 @@
     run(main())
 
 
-def test_a_request_takes_longer_than_its_time_where_its_body_does() -> None:
-    """The time counts from the body's last byte, on both hops: here the deadline passes before it."""
+def test_time_limit_starts_after_the_request_body() -> None:
+    """On both hops the time limit starts at the body's last byte; here the deadline would pass before it."""
 
     async def main() -> None:
         upstream = await Upstream(answers(4)).start()
@@ -272,7 +272,7 @@
     run(main())
 
 
-def test_a_keyed_answer_is_kept_for_repeats_up_to_a_bound() -> None:
+def test_keyed_answer_is_kept_for_repeats_up_to_a_limit() -> None:
     async def main() -> None:
         for size, statuses in ((machine.MAX_ANSWER, [200, 200]), (machine.MAX_ANSWER + 1, [200, 503])):
             upstream = await Upstream(answers(size)).start()
@@ -290,8 +290,8 @@
     run(main())
 
 
-def test_a_repeat_at_another_gate_gets_the_first_answer_in_pieces() -> None:
-    """Its long body goes on to the gate that holds the key; the kept answer comes back over three hops."""
+def test_repeat_at_another_proxy_gets_the_first_answer_streamed() -> None:
+    """Its long body is relayed to the proxy that holds the claim; the stored answer takes three hops back."""
 
     async def main() -> None:
         upstream, other = await Upstream(answers(MIB)).start(), await Upstream(answers(4)).start()
@@ -311,7 +311,7 @@
     run(main())
 
 
-def test_a_long_repeat_gets_the_first_answer() -> None:
+def test_repeat_with_a_long_body_gets_the_first_answer() -> None:
     async def main() -> None:
         upstream = await Upstream(answers(4)).start()
         mesh = Mesh(upstream)
@@ -327,7 +327,7 @@
     run(main())
 
 
-def test_a_short_answer_that_comes_slowly_is_kept_whole_and_mended_by_another_attempt() -> None:
+def test_short_slow_answer_is_buffered_and_replaced_by_another_attempt_if_it_breaks() -> None:
     async def main() -> None:
         async def act(upstream: Upstream, reader: Reader, writer: asyncio.StreamWriter) -> None:
             upstream.ran.append(reader)
@@ -343,7 +343,7 @@
 
         upstream = await Upstream(act).start()
         mesh = Mesh(upstream)
-        mesh.egress.services["p"].balancer.retries = 1.0  # earned by requests before this one
+        mesh.egress.services["p"].balancer.retries = 1.0  # as if earned by earlier requests
         caller = await mesh.caller()
         caller.writer.write(request_head("read"))
         assert (await caller.read())[::2] == (200, b"onetwo") and len(upstream.ran) == 2
