--- a/benchmarks/scale/hollow.py
+++ b/benchmarks/scale/hollow.py
@@ -1,10 +1,11 @@
 """A process of hollow proxies: all that a proxy does for control, and no calls.
 
 Each follows the log, reports the upstream beside it, sends and hears signs of life, suspects the silent and
-claims keys with the product's own code (`Following`, `Watcher`, `Gate`, `Table`).  What is left out: HTTP,
-with it the heartbeats of the upstream over HTTP, which are given to the gate directly.  As many proxies share
-a loop, the failure detector hears of a longer list of upstreams only every second, and of suspects together
-every 50 ms: a real proxy hears of each at once, which costs it 0.16 ms at 1,000 proxies.
+claims keys with the product's own code (`ControlClient`, `LivenessMonitor`, `Admission`, `RoutingTable`).
+What is left out: HTTP, with it the heartbeats of the upstream over HTTP, which are given to the admission
+directly.  As many proxies share a loop, the failure detector hears of a longer list of upstreams only every
+second, and of suspects together every 50 ms: a real proxy hears of each at once, which costs it 0.16 ms at
+1,000 proxies.
 """
 
 from __future__ import annotations
--- a/brackengate/proxy/admission.py
+++ b/brackengate/proxy/admission.py
@@ -47,7 +47,7 @@
         self._last_heartbeat_at = 0
         self._ended_instances: set[str] = set()  # incarnations that left or were replaced
         self._draining_since = 0
-        self.leaving = False  # this process will end: callers are told to use other proxies
+        self.leaving = False  # this process will end: callers should use other proxies
         self.closed = False  # this process ends: requests in flight finish, new ones are rejected
 
     def receive_heartbeat(self, heartbeat: Heartbeat, now: int) -> bool:
--- a/brackengate/proxy/answer_classification.py
+++ b/brackengate/proxy/answer_classification.py
@@ -55,9 +55,8 @@
     if _NOT_EXECUTED in answer.fields or answer.status == MISDIRECTED:
         return Result(Outcome.REJECTED, answer=answer)
     if answer.status in NOT_EXECUTED_STATUSES:
-        return Result(
-            Outcome.ERROR
-        )  # without that header it proves nothing, and forwarding it would promise that
+        # Without that header it does not prove that nothing ran, which forwarding it would promise.
+        return Result(Outcome.ERROR)
     if _lacks_seal(answer):
         return Result(Outcome.ERROR, astray=True)
     return Result(Outcome.OK, answer=answer)
--- a/brackengate/proxy/apply_queue.py
+++ b/brackengate/proxy/apply_queue.py
@@ -1,7 +1,7 @@
-"""Changes on their way into the routing table: in their order, long ones in slices.
+"""Applies changes to the routing table in order, long ones in slices.
 
-Requests pass between two slices.  Only the last slice of a change brings the table to the index of the
-change, so a proxy that is in the middle of one does not call itself current.
+Requests are served between two slices.  Only the last slice of a change moves the table to the change's
+index, so a proxy in the middle of a change does not count as current.
 """
 
 from __future__ import annotations
@@ -13,12 +13,12 @@
 from brackengate.protocol.messages import Row
 from brackengate.proxy.routing_table import RoutingTable
 
-SLICE_ROWS = 100  # rows that are put in force in one step of the loop
+SLICE_ROWS = 100  # applied in one turn of the event loop
 
 
 @dataclass(slots=True)
 class PendingChange:
-    """`applied`: how many of its rows are in force."""
+    """A change that is not completely in force.  `applied`: the number of its rows that are."""
 
     index: int
     rows: Sequence[Row]
@@ -26,28 +26,30 @@
 
 
 class ApplyQueue:
+    """Changes that wait to be applied."""
+
     def __init__(
         self,
         table: RoutingTable,
         call_soon: Callable[[Callable[[], None]], object],
         on_applied: Callable[[set[str]], None],
     ) -> None:
-        """`call_soon`: calls back in the next step of the loop.  `told`: hears the kinds of rows changed."""
+        """`call_soon`: calls back in the next turn of the loop.  `on_applied`: gets kinds of changed rows."""
         self._table, self._call_soon, self._on_applied = table, call_soon, on_applied
-        self._pending: deque[PendingChange] = deque()  # the first one is being put in force
+        self._pending: deque[PendingChange] = deque()  # the first one is being applied
         self._scheduled = False
 
     def add(self, index: int, rows: Sequence[Row]) -> None:
-        """A short change that waits for nothing is in force at once."""
+        """Add a change; a short one with nothing before it is applied at once."""
         self._pending.append(PendingChange(index, rows))
         if not self._scheduled:
             self._apply_next_slices()
 
     def add_snapshot(self, index: int, rows: Sequence[Row]) -> None:
-        """A whole copy, which is newer than all that waits.  What it does not name is gone.
+        """Add a complete snapshot, which replaces all waiting changes; what it does not name is removed.
 
-        The first one is put in force in one step: until then this proxy has no configuration, and a part of
-        one could send requests to a route that a more specific one overrides.
+        The first one is applied in one step: until then this proxy has no configuration, and with a part of
+        it requests could go to a route that a more specific one overrides.
         """
         self._pending.clear()
         if not self._table.has_configuration:
@@ -56,11 +58,11 @@
             self.add(index, self._table.rows_with_removals(rows))
 
     def _apply_next_slices(self) -> None:
-        """Up to the end of one slice that is not the last of its change."""
+        """Apply waiting changes, up to the first slice that does not complete its change."""
         self._scheduled = False
         while self._pending:
             change = self._pending[0]
-            if change.index <= self._table.index:  # sent again by the next replica: all of it is in force
+            if change.index <= self._table.index:  # sent again by another replica: it is in force
                 self._pending.popleft()
                 self._on_applied(set())
                 continue
--- a/brackengate/proxy/control_client.py
+++ b/brackengate/proxy/control_client.py
@@ -1,8 +1,8 @@
-"""A pilot's link to the lighthouses: it follows the log of changes, and asks.
+"""A proxy's connection to the control replicas: it follows the log of changes, and sends commands.
 
-Nearest first: a member in its own zone, then the others in an order of its own (rendezvous hashing), so that
-those who lose theirs do not all go to the same one.  Silence, a broken connection or `Away` moves it on.
-Asks that have no answer are asked again wherever it goes: each says what is wanted, so again does no harm.
+It prefers a replica in its own zone, then the others in an order of its own (rendezvous hashing), so that
+proxies that lose their replica do not all move to the same one.  It moves on after silence, a broken
+connection or `Away`.  Unanswered commands are sent again to the next replica; they are idempotent.
 """
 
 from __future__ import annotations
@@ -47,15 +47,15 @@
 
 log = logging.getLogger("brackengate.follow")
 
-SILENCE_TIMEOUT_US = 600_000  # a member beats every 0.15 to 0.2 s
-SILENCE_CHECK_S = 0.15  # between two looks whether it has gone silent
+SILENCE_TIMEOUT_US = 600_000  # replicas send a heartbeat every 0.15 to 0.2 s
+SILENCE_CHECK_S = 0.15  # interval
 RECONNECT_PAUSE_S = 0.1
-CLOCK_EXCHANGE_S = 4.0  # between two exchanges of times with the member that is followed
-NEARER_REPLICA_CHECK_S = 4.0  # between two looks whether a nearer member is there again
+CLOCK_EXCHANGE_S = 4.0  # interval of clock exchanges with the followed replica
+NEARER_REPLICA_CHECK_S = 4.0  # interval of attempts to return to a nearer replica
 
 
 def rank_replicas(me: str, zone: str, replicas: Iterable[tuple[str, str]]) -> list[str]:
-    """The members as this pilot would follow them: its own zone's first, then by rendezvous hashing."""
+    """Addresses of the replicas in this proxy's order: its own zone's first, then by rendezvous hashing."""
 
     def rank(replica: tuple[str, str]) -> tuple[bool, bytes]:
         addr, replica_zone = replica
@@ -66,20 +66,22 @@
 
 @dataclass(slots=True, eq=False)
 class PendingCommand:
+    """A command without an answer yet."""
+
     command: Command
     done: Callable[[Any], None]
     timer: asyncio.TimerHandle
 
 
 class ReplicaLink:
-    """One connection to one member, and whether it has said anything of use."""
+    """A connection to one replica.  `established`: it has sent changes or a piece of a snapshot."""
 
     def __init__(self, client: ControlClient, addr: str) -> None:
         self.addr, self._client = addr, client
         self.last_received = client.now()
         self.established = False
         self.clock = ClockOffset()
-        self._requested_position, self._request_id = NOTHING, 0  # the piece of a copy that comes next
+        self._requested_position, self._request_id = NOTHING, 0  # of the next snapshot piece
         host = parse_address(addr)[0]
         address = host, client.port
         self._dialer = Dialer(
@@ -87,9 +89,11 @@
         )
 
     def send(self, message: Line) -> None:
+        """Send a message to the replica."""
         self._dialer.send(message)
 
     def close(self) -> None:
+        """Close the connection."""
         self._dialer.close()
 
     def _on_open(self, dialer: Dialer) -> None:
@@ -107,11 +111,12 @@
         )
 
     def request_piece(self, position: CopyPosition) -> None:
+        """Request the piece of a snapshot that follows `position`."""
         self._requested_position, self._request_id = position, self._request_id + 1
         self.send(CopyRequest(self._request_id, position))
 
     def requested_position(self, piece: CopyPiece) -> CopyPosition | None:
-        """The position that this piece follows; None where it answers no open request."""
+        """The position that this piece follows; None if it answers no open request."""
         return self._requested_position if piece.id in (0, self._request_id) else None
 
     def _note_activity(self) -> None:
@@ -126,6 +131,8 @@
 
 
 class ControlClient:
+    """Keeps the routing table up to date from a control replica, and sends commands to the control plane."""
+
     def __init__(
         self,
         me: str,
@@ -137,19 +144,18 @@
         now: Callable[[], int],
         records_of: Callable[[str], tuple[dict[str, Any], ...]],
     ) -> None:
-        """`seeds`: asked again whenever nobody else is known who answers.  `changed`: told what kinds of rows
-        have changed, once the table has them.  `wake`: what was decided of an attempt, for an operator."""
+        """`seeds`: addresses to try if no other replica answers; called again each time.  `changed`: gets the
+        kinds of rows that the table has changed.  `records_of`: the request log's records of an attempt."""
         self._records_of = records_of
         self.snapshot = SnapshotReceiver()
         self.staged_changes, self.freshness = StagedChanges(), ConfigFreshness()
-        self.on_freshness_changed: Callable[[], None] = (
-            lambda: None
-        )  # what is in force, or how current it is, changed
+        # Called when the configuration in force or its freshness has changed.
+        self.on_freshness_changed: Callable[[], None] = lambda: None
         self.me, self.zone, self.port, self.table, self.now = me, zone, port, table, now
         self._seeds, self._on_changed = seeds, changed
         self._replicas: dict[str, str] = {}
-        self._link: ReplicaLink | None = None  # followed, or being tried
-        self._nearer_link: ReplicaLink | None = None  # a nearer one, being tried beside it
+        self._link: ReplicaLink | None = None  # followed, or being connected
+        self._nearer_link: ReplicaLink | None = None  # to a nearer replica, being connected
         self._candidates: list[str] = []
         self._pending: dict[int, PendingCommand] = {}
         self._last_command_id = 0
@@ -158,12 +164,14 @@
         self._apply_queue = ApplyQueue(table, self._loop.call_soon, self._on_applied)
 
     def start(self) -> None:
+        """Connect to a replica and start all periodic checks."""
         self._connect_next()
         self._check_silence()
         self._loop.call_later(NEARER_REPLICA_CHECK_S, self._check_nearer_replica)
         self._exchange_times()
 
     def close(self) -> None:
+        """Disconnect and stop all periodic checks."""
         self._closed = True
         for link in (self._link, self._nearer_link):
             if link is not None:
@@ -171,12 +179,13 @@
 
     @property
     def connected(self) -> bool:
+        """Whether a replica is being followed."""
         return self._link is not None and self._link.established
 
-    # --- asking
+    # --- commands
 
     def send_command(self, command: Command, done: Callable[[Any], None], timeout_s: float) -> None:
-        """`done` is called once, with None where no answer came in time."""
+        """Send a command; `done` is called once, with its result or with None after `timeout_s`."""
         self._last_command_id += 1
         number = self._last_command_id
         timer = self._loop.call_later(timeout_s, self._on_command_timeout, number)
@@ -189,10 +198,10 @@
         if pending is not None:
             pending.done(None)
 
-    # --- how current it is
+    # --- freshness
 
     def is_current(self, max_age: int) -> bool:
-        """Whether all that was acknowledged `within` microseconds ago is in force here."""
+        """Whether everything that was acknowledged `max_age` microseconds ago is in force here."""
         return self.freshness.is_current(self.now(), max_age)
 
     def _exchange_times(self) -> None:
@@ -211,10 +220,10 @@
         self.freshness.heartbeat(beat.index, link.clock.to_local(beat.now - beat.age, now))
         self.on_freshness_changed()
 
-    # --- following
+    # --- connection to a replica
 
     def _connect_next(self) -> None:
-        """Try the next member in turn."""
+        """Connect to the next candidate."""
         if self._closed:
             return
         if not self._candidates:
@@ -226,12 +235,13 @@
         self._link = ReplicaLink(self, self._candidates.pop(0))
 
     def drop_link(self, link: ReplicaLink, reason: str) -> None:
+        """Close a link; if it was the followed one, connect to the next candidate."""
         link.close()
         if link is self._nearer_link:
             self._nearer_link = None
         elif link is self._link:
-            if link.established:  # the others first: whoever has just gone silent would be waited for in vain
-                log.info("follow: left %s: %s", link.addr, reason)
+            if link.established:  # the others first: a replica that has just gone silent would cost a timeout
+                log.info("control client: disconnected from %s: %s", link.addr, reason)
                 others = rank_replicas(self.me, self.zone, self._replicas.items())
                 self._candidates = [*(addr for addr in others if addr != link.addr), link.addr]
             self._link = None
@@ -257,6 +267,7 @@
             self._nearer_link = ReplicaLink(self, nearest[0])
 
     def receive(self, link: ReplicaLink, message: Line) -> None:
+        """Handle a message of a replica."""
         if isinstance(message, Away):
             self.drop_link(link, "it is out of touch")
         elif isinstance(message, Look):
@@ -292,7 +303,7 @@
         try:
             complete = self.snapshot.receive(requested_after, piece)
         except Differs as reason:
-            log.error("follow: step copy, from %s: it differs: %s", link.addr, reason)
+            log.error("control client: step copy, from %s: checksum differs: %s", link.addr, reason)
             self.drop_link(link, "its copy differs")
             return
         if complete:
@@ -301,13 +312,13 @@
             link.request_piece(self.snapshot.position)
 
     def _take_changes(self, link: ReplicaLink, changes: Changes) -> None:
-        """Staged rows are put in force before those that come with them."""
+        """Apply staged rows before those that the message itself has."""
         rows: list[Row] = []
         try:
             for reference in changes.staged:
                 rows += self.staged_changes.take_rows(reference)
         except StagedChangeMissing as reason:
-            log.error("follow: step staged, from %s: %s is not here", link.addr, reason)
+            log.error("control client: step staged, from %s: %s is missing", link.addr, reason)
             self.drop_link(link, "it refers to what is not here")
             return
         self._apply_queue.add(changes.index, (*rows, *changes.rows))
@@ -319,7 +330,7 @@
         self.on_freshness_changed()
 
     def _establish(self, link: ReplicaLink) -> None:
-        """It is in touch: what was asked is asked again there."""
+        """The replica serves this proxy: follow it, and send it all pending commands."""
         if link.established:
             return
         link.established = True
@@ -328,6 +339,6 @@
             if old is not None:
                 old.close()
         self._candidates = []
-        log.info("follow: %s, from index %d", link.addr, self.table.index)
+        log.info("control client: following %s, from index %d", link.addr, self.table.index)
         for number, pending in self._pending.items():
             link.send(FollowerCommand(number, pending.command))
--- a/brackengate/proxy/egress.py
+++ b/brackengate/proxy/egress.py
@@ -182,8 +182,8 @@
     def update_upstreams(self, rows: list[tuple[str, Instance, Address]]) -> None:
         """Replace the list of upstreams.  `rows`: machine, instance row, address of its proxy."""
         now = self._clock.now()
-        named = {instance.id for _, instance, _ in rows}
-        self._warm_since = {id_: at for id_, at in self._warm_since.items() if id_ in named}
+        listed_ids = {instance.id for _, instance, _ in rows}
+        self._warm_since = {id_: at for id_, at in self._warm_since.items() if id_ in listed_ids}
         endpoints: list[tuple[Endpoint, Address]] = []
         for _, instance, address in rows:
             started = self._warm_since.get(instance.id)
@@ -309,6 +309,7 @@
         return service
 
     def set_health(self, machine: str, up: bool) -> None:
+        """A machine has gone silent (False) or answers again."""
         for service in self.services.values():
             service.set_health(self._address_of(machine), up)
 
@@ -365,13 +366,13 @@
     def _forward(self, route: Route, arrival: Arrival, connection: CallerConnection) -> None:
         attempt = arrival.fields.get(ATTEMPT_ID_FIELD, b"")
         service = self.services[self._choose_service(route, arrival)]
-        limit = time_limit_of(route, arrival)
+        time_limit = time_limit_of(route, arrival)
         self._request_count += 1
         request = Request(
-            str(self._request_count), route.name, arrival.at + max(limit, 1000) + DEADLINE_SLACK_US
+            str(self._request_count), route.name, arrival.at + max(time_limit, 1000) + DEADLINE_SLACK_US
         )
         self._request_log.record_request(
-            request.request, attempt, arrival.at, route.name, service.name, limit
+            request.request, attempt, arrival.at, route.name, service.name, time_limit
         )
         keyed = route.kind == "keyed" and OPERATION_KEY.lower() in arrival.fields
         head = forwarded_head(arrival, drop=(CALLER_SERVICE, DEADLINE, HOP)) + b"%s: %s\r\n" % (
@@ -386,7 +387,7 @@
         message.in_pieces = arrival.method != b"HEAD"  # an answer to HEAD has a length and no body
         message.call = attempt
         message.wanted = partial(_is_awaited, connection)
-        message.client_retry = limit < CLIENT_RETRY_BELOW * route.cutoff
+        message.client_retry = time_limit < CLIENT_RETRY_BELOW * route.cutoff
         connection.hold(partial(service.node.gone, request.request, connection))
         service.node.submit(request, message, connection)
 
--- a/brackengate/proxy/heartbeats.py
+++ b/brackengate/proxy/heartbeats.py
@@ -1,4 +1,4 @@
-"""Beats of the upstream on this machine: read, taken at the gate, acknowledged at once."""
+"""Receives heartbeats of the upstream on this machine, and acknowledges them at once."""
 
 from __future__ import annotations
 
@@ -19,6 +19,8 @@
 
 
 class _HeartbeatBody(msgspec.Struct, rename="pascal"):
+    """The body of an `instances.feedback` call."""
+
     plant: str
     state: str
     capacity: int = 1
@@ -28,7 +30,7 @@
 
 
 class HeartbeatEndpoint:
-    """The front of `Control` on machines with an upstream."""
+    """Protocol frontend of the `Control` listener on machines with an upstream."""
 
     most_body = 64 << 10
 
@@ -36,6 +38,7 @@
         self._on_heartbeat, self._on_leave = on_heartbeat, on_leave
 
     def begin(self, arrival: Arrival, connection: CallerConnection) -> None:
+        """Handle a call of the upstream.  `Bad`: 404 for an unknown call, 400 for an invalid heartbeat."""
         call, of = rpc(arrival.target)
         if call == "instances.feedback" and of:
             collect(arrival, lambda body: self._receive(of, body, connection))
@@ -50,7 +53,7 @@
             decoded: _HeartbeatBody = msgspec.json.decode(body, type=_HeartbeatBody)
             warmup = int(duration(decoded.warmup_left))
         except (msgspec.DecodeError, ValueError) as error:
-            log.warning("beats: unreadable from %s: %s", of, error)
+            log.warning("heartbeats: invalid heartbeat from %s: %s", of, error)
             raise Bad(400, "not a beat") from None
         self._on_heartbeat(
             Heartbeat(
--- a/brackengate/proxy/ingress_request.py
+++ b/brackengate/proxy/ingress_request.py
@@ -54,7 +54,8 @@
 
     def answer(
         self, request: IngressRequest, reply: Reply, outcome: HopOutcome = HopOutcome.RAN, reason: str = ""
-    ) -> None: ...
+    ) -> None:
+        """Answer with an upstream's reply and record the outcome."""
 
     def stream_receiver(
         self, request: IngressRequest, make_reply: Callable[[Answered], Reply]
--- a/brackengate/proxy/keys.py
+++ b/brackengate/proxy/keys.py
@@ -39,13 +39,14 @@
 CLAIM_TIMEOUT_S = 5.0
 UNCLAIM_TIMEOUT_S = 1.0
 MAX_KEPT_ANSWER_BYTES = 24 << 20  # over all operations; an answer over MAX_ANSWER is forwarded but not kept
+# Answers of the proxy that held the claim that say that the operation has not run.
 NOT_RUN_OUTCOMES = (
     HopOutcome.AWAY,
     HopOutcome.FULL,
     HopOutcome.SHED,
     HopOutcome.UNREACHED,
     HopOutcome.UNCLAIMED,
-)  # if answered by the proxy that held the claim
+)
 
 
 class KeyedRequests:
@@ -85,9 +86,8 @@
             return
         reason = self._admission.rejection_reason(request.hop.instance, now)
         if request.hop.replay:
-            self._handler.answer_outcome(
-                request, HopOutcome.UNKNOWN
-            )  # claimed by an earlier incarnation of this process
+            # The key was claimed by an earlier incarnation of this process.
+            self._handler.answer_outcome(request, HopOutcome.UNKNOWN)
         elif reason:
             self._handler.answer_outcome(request, HopOutcome.AWAY, reason)
         elif not self._handler.accepts(request):
@@ -114,9 +114,8 @@
             case CommandDone():
                 operation.state = OperationState.CLAIMED
             case HeldBy(owner) if owner == self._machine:
-                operation.state = (
-                    OperationState.OUTCOME_UNKNOWN
-                )  # claimed by an earlier incarnation of this process
+                # The key was claimed by an earlier incarnation of this process.
+                operation.state = OperationState.OUTCOME_UNKNOWN
             case HeldBy(owner):
                 operation.state, operation.holder = OperationState.ELSEWHERE, owner
             case _:  # no answer in time, or an error: the claim may exist
@@ -128,10 +127,10 @@
 
     def _take_waiters(self, operation: Operation) -> list[IngressRequest]:
         waiters, operation.waiters = operation.waiters, []
-        visits = [
+        requests = [
             request for request in waiters if isinstance(request, IngressRequest) and not request.finished
         ]
-        return [request for request in visits if not request.connection.abandoned()]
+        return [request for request in requests if not request.connection.abandoned()]
 
     def resume_waiters(self, operation: Operation) -> None:
         """Proceed with the requests that wait for a change of the operation's state."""
@@ -223,9 +222,8 @@
                     request, forwarded_answer(answer, drop=()), reason=f"by the gate {operation.holder}"
                 )
             elif outcome in NOT_RUN_OUTCOMES:
-                operation.state = (
-                    OperationState.UNCLAIMED
-                )  # SHED is kept, as an attempt at an upstream counts
+                operation.state = OperationState.UNCLAIMED
+                # SHED is kept, as an attempt at an upstream counts.
                 self._handler.answer_outcome(
                     request, HopOutcome.SHED if outcome is HopOutcome.SHED else HopOutcome.AWAY
                 )
--- a/brackengate/proxy/liveness_monitor.py
+++ b/brackengate/proxy/liveness_monitor.py
@@ -1,7 +1,4 @@
-"""The carrier of `failure_detector.py`.
-
-Signs of life as datagrams, and word to the core of those that have stopped.
-"""
+"""Network I/O of `failure_detector.py`: keepalive and probe datagrams, and reports to the control plane."""
 
 from __future__ import annotations
 
@@ -22,6 +19,8 @@
 
 
 class LivenessMonitor(asyncio.DatagramProtocol):
+    """Runs a `FailureDetector` on a UDP port and passes on what it finds."""
+
     def __init__(
         self,
         me: Address,
@@ -30,8 +29,9 @@
         on_health_changed: Callable[[str, bool], None],
         on_gone: Callable[[str], None],
     ) -> None:
-        """`me`: where this pilot sends from and hears; all machines have the same port.  `standing`: told of
-        a machine that has gone silent (False) or answers again.  `gone`: it has been silent for long."""
+        """`me`: the address this proxy sends from and listens on; all machines use the same port.
+        `on_health_changed`: a machine has gone silent (False) or answers again.  `on_gone`: it has been
+        silent for long."""
         self.detector = FailureDetector(me[0], now())
         self._me, self._now, self._send_command, self._on_health_changed = (
             me,
@@ -43,23 +43,24 @@
         self._loop = asyncio.get_running_loop()
         self._transport: asyncio.DatagramTransport | None = None
         self._timer: asyncio.TimerHandle | None = None
-        self._reported: tuple[str, ...] | None = None  # None: what the core has of an earlier process
+        self._reported: tuple[str, ...] | None = None  # None: the last report is an earlier process's
         self._reporting = False
         self._silent: frozenset[str] = frozenset()
         self._gone: frozenset[str] = frozenset()
 
     async def start(self) -> None:
-        """OSError where the port is taken."""
+        """Open the port and start sending.  OSError: the port is in use."""
         await self._loop.create_datagram_endpoint(lambda: self, self._me)
         self._tick()
 
     def close(self) -> None:
+        """Stop sending and close the port."""
         if self._transport is not None:
             self._transport.close()
             self._transport = None
 
     def update(self, proxies: Iterable[str], suspects: Iterable[str]) -> None:
-        """The list of machines, and whom any watcher does not hear, have changed."""
+        """Set the list of machines, and of those that any watcher suspects."""
         was_probing = self.detector.probing
         self.detector.update(proxies, suspects, self._now())
         if self.detector.probing and not was_probing and self._timer is not None:
@@ -70,9 +71,11 @@
     # --- asyncio.DatagramProtocol
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
+        """The port is open."""
         self._transport = cast(asyncio.DatagramTransport, transport)
 
     def datagram_received(self, data: bytes, addr: tuple[str | Any, int]) -> None:
+        """Handle a keepalive, a probe or a reply to one."""
         sender, now = str(addr[0]), self._now()
         if data == KEEPALIVE:
             self.detector.receive_keepalive(sender, now)
@@ -83,9 +86,9 @@
         self._notify_changes()
 
     def error_received(self, exc: Exception) -> None:
-        """Nobody listens there: its other watchers notice."""
+        """Ignored: nobody listens there, which the machine's watchers detect."""
 
-    # --- what the decider says
+    # --- failure detector
 
     def _tick(self) -> None:
         if self._transport is None:
@@ -101,7 +104,7 @@
         suspects = self.detector.suspects
         if suspects != self._reported and not self._reporting:
             if suspects or self._reported:
-                log.info("watch: not heard by now: %s", ", ".join(suspects) or "nobody")
+                log.info("liveness: suspected now: %s", ", ".join(suspects) or "none")
             self._reporting = True
             self._send_command(
                 Suspect(self._me[0], suspects), partial(self._on_reported, suspects), REPORT_TIMEOUT_S
@@ -114,11 +117,11 @@
         before, self._silent = self._silent, silent
         for machine in silent ^ before:
             up = machine not in silent
-            log.info("watch: %s %s", machine, "answers again" if up else "is silent")
+            log.info("liveness: %s %s", machine, "answers again" if up else "is silent")
             self._on_health_changed(machine, up)
         newly_gone, self._gone = gone - self._gone, gone
         for machine in newly_gone:
-            log.info("watch: %s is given up", machine)
+            log.info("liveness: %s has been silent for long", machine)
             self._on_gone(machine)
 
     def _on_reported(self, suspects: tuple[str, ...], result: object) -> None:
--- a/brackengate/proxy/reachability.py
+++ b/brackengate/proxy/reachability.py
@@ -1,8 +1,7 @@
-"""Whether a machine that answers no datagrams is still there: asked on a connection, before work is cut off.
+"""Checks over a connection whether a machine that answers no datagrams is reachable, before its requests end.
 
-Datagrams are lost where a link is full, while connections only wait: a machine with a full link is slow, and
-what is under way there will be answered.  One that is frozen, without power or behind a cut says nothing on a
-connection either.
+A congested link loses datagrams, while connections are only delayed: such a machine is slow, and will answer
+the requests in flight.  One that is paused, without power or partitioned answers on no connection either.
 """
 
 from __future__ import annotations
@@ -16,40 +15,44 @@
 
 log = logging.getLogger("brackengate.watch")
 
-ANSWER_TIMEOUT_S = 0.5  # for a connection and a word on it
-RECHECK_INTERVAL_S = 0.2  # between two questions to one that answers no datagrams yet
-PROBE_REQUEST = b"GET / HTTP/1.1\r\nHost: proxy\r\nContent-Length: 0\r\n\r\n"  # its gate turns it away
+ANSWER_TIMEOUT_S = 0.5  # to connect and receive any data
+RECHECK_INTERVAL_S = 0.2  # while the machine answers connections but no datagrams
+PROBE_REQUEST = b"GET / HTTP/1.1\r\nHost: proxy\r\nContent-Length: 0\r\n\r\n"  # rejected at ingress
 
 
 class Reachability:
+    """Runs a check for each machine that has been silent for long, until it answers or is unreachable."""
+
     def __init__(
         self,
         loop: asyncio.AbstractEventLoop,
         address_of: Callable[[str], Address],
         on_unreachable: Callable[[str], None],
     ) -> None:
-        """`address_of`: where a machine's proxy listens.  `cut_off`: told of one that is not there."""
+        """`address_of`: of a machine's proxy.  `on_unreachable`: gets a machine that does not answer."""
         self._loop, self._address_of, self._on_unreachable = loop, address_of, on_unreachable
         self._checks: dict[str, asyncio.Task[None]] = {}
 
     def check(self, machine: str) -> None:
-        """It has answered no datagram for long."""
+        """Start checking a machine that has answered no datagram for long."""
         if machine not in self._checks:
             self._checks[machine] = self._loop.create_task(self._check_until_unreachable(machine))
 
     def cancel(self, machine: str) -> None:
+        """Stop checking a machine, as it answers datagrams again."""
         task = self._checks.pop(machine, None)
         if task is not None:
             task.cancel()
 
     def close(self) -> None:
+        """Stop all checks."""
         for machine in list(self._checks):
             self.cancel(machine)
 
     async def _check_until_unreachable(self, machine: str) -> None:
         while await self._is_reachable(machine):
             await asyncio.sleep(RECHECK_INTERVAL_S)
-        log.info("watch: %s answers on no connection: what is under way there ends", machine)
+        log.info("liveness: %s answers on no connection: its requests in flight end", machine)
         self._checks.pop(machine, None)
         self._on_unreachable(machine)
 
@@ -70,7 +73,7 @@
 
 
 class _Probe(asyncio.Protocol):
-    """Any word is an answer."""
+    """Takes any received data as an answer."""
 
     def __init__(self, answered: asyncio.Future[None]) -> None:
         self._answered = answered
--- a/brackengate/proxy/request_log.py
+++ b/brackengate/proxy/request_log.py
@@ -1,8 +1,8 @@
-"""What a pilot decided of its latest requests, told when an operator asks.  Pure.
+"""A log of what this proxy did with its latest requests, for queries of operators.  Pure.
 
-Kept as bare tuples in bounded queues and written out only on demand: a few microseconds a request, and some
-hundred bytes each.  Those that took more than one upstream, or were not served by any, are kept for longer.
-Times are microseconds of the pilot's clock.
+Records are plain tuples in bounded queues and are formatted only on demand, at a cost of a few microseconds
+and some hundred bytes a request.  Unusual requests, which took more than one upstream or were not served by
+any, are kept for longer.  Times are microseconds of the proxy's clock.
 """
 
 from __future__ import annotations
@@ -14,37 +14,36 @@
 from brackengate.interface import Outcome, Request
 from brackengate.proxy.hop_headers import ATTEMPT_ID, HopOutcome
 
-MAX_REQUESTS, MAX_UNUSUAL = 512, 512  # requests; odd ones
-MAX_OPEN = 4096  # that have no answer yet: one whose caller leaves before its body is whole has no end
+MAX_REQUESTS, MAX_UNUSUAL = 512, 512
+MAX_OPEN = 4096  # unanswered; a request whose caller leaves before its body is complete is never ended
 ATTEMPT_ID_FIELD = ATTEMPT_ID.lower()
 NO_ANSWER_YET = "no answer by then"
-SERVED = 200  # as the node says it: an upstream's answer went back, whatever its status
-
-AttemptRecord = tuple[
-    int, int, str, Outcome | None, int
-]  # number, when sent, upstream, outcome, how long it took
+SERVED = 200  # the node's status if an upstream's answer was forwarded, whatever that one's status
 
+# Number, time sent, upstream, outcome, duration.
+AttemptRecord = tuple[int, int, str, Outcome | None, int]
 
+# Attempt id, arrival, duration, route, upstream, operation key, outcome, reason.
 IngressRecord = tuple[bytes, int, int, str, str, bytes, HopOutcome, str]
 
 
 @dataclass(slots=True, eq=False)
 class EgressRecord:
-    """One request at the way out."""
+    """One request at egress."""
 
     attempt: bytes
     at: int
     route: str
     service: str
-    limit: int  # the time that it had
+    limit: int  # its time limit
     reason: str = ""
-    attempts: list[AttemptRecord] = field(default_factory=list)  # what has become of its attempts so far
+    attempts: list[AttemptRecord] = field(default_factory=list)  # by number
     status: int | None = None  # None: no answer yet; 0: its caller has gone
     took: int = 0
 
 
 class RequestLog:
-    """`observer.Observer` of the way out's nodes, and told of each visit at the gate."""
+    """Records requests, as the `observer.Observer` of the nodes at egress and for each answer at ingress."""
 
     def __init__(self, max_requests: int = MAX_REQUESTS, max_unusual: int = MAX_UNUSUAL) -> None:
         self._egress: deque[EgressRecord] = deque(maxlen=max_requests)
@@ -53,49 +52,53 @@
         self._ingress: deque[IngressRecord] = deque(maxlen=max_requests)
         self._ingress_unusual: deque[IngressRecord] = deque(maxlen=max_unusual)
 
-    # --- the way out
+    # --- egress
 
     def record_request(
         self, request: str, attempt: bytes, at: int, route: str, service: str, limit: int
     ) -> None:
-        """A request is about to be handed to the service's node.  `limit`: the time that it has."""
+        """A request is about to be handed to the service's node.  `limit`: its time limit."""
         record = self._open[request] = EgressRecord(attempt, at, route, service, limit)
         self._egress.append(record)
         if len(self._open) > MAX_OPEN:
             del self._open[next(iter(self._open))]
 
     def record_rejection(self, attempt: bytes, at: int, status: int, reason: str) -> None:
+        """A request was rejected before it reached a service's node."""
         self._egress_unusual.append(EgressRecord(attempt, at, "", "", 0, reason, status=status))
 
     def serving(self, now: bool) -> None:
-        pass
+        """Not recorded."""
 
     def taken(self, request: Request, at: int) -> None:
-        pass
+        """Not recorded; `record_request` has done so."""
 
     def attempt_began(self, request: Request, number: int, upstream: str, at: int) -> None:
+        """Attempt `number` of a request begins."""
         record = self._open.get(request.request)
         if record is not None:
             record.attempts.append((number, at, upstream, None, 0))
 
     def attempt_written(self, request: Request, number: int, upstream: str) -> None:
-        pass
+        """Not recorded."""
 
     def attempt_ended(
         self, request: Request, number: int, upstream: str, outcome: Outcome, latency: int
     ) -> None:
+        """Attempt `number` of a request has ended, after `latency`."""
         record = self._open.get(request.request)
         if record is not None:
             record.attempts[number] = (number, record.attempts[number][1], upstream, outcome, latency)
 
     def ended(self, request: Request, status: int, began: int, at: int) -> None:
+        """A request is answered; keeps it for longer if it is unusual."""
         record = self._open.pop(request.request, None)
         if record is not None:
             record.status, record.took = status, at - began
             if status != SERVED or len(record.attempts) > 1:
                 self._egress_unusual.append(record)
 
-    # --- the gate
+    # --- ingress
 
     def record_ingress(
         self,
@@ -108,16 +111,16 @@
         outcome: HopOutcome,
         reason: str,
     ) -> None:
-        """The gate has answered: what it said, and why.  `upstream`: the life that was asked for."""
+        """Ingress has answered a request.  `upstream`: the incarnation that the request was for."""
         record = (attempt, at, took, route, upstream, key, outcome, reason)
         self._ingress.append(record)
         if outcome is not HopOutcome.RAN:
             self._ingress_unusual.append(record)
 
-    # --- told
+    # --- queries
 
     def records_of(self, attempt: str) -> tuple[dict[str, Any], ...]:
-        """All that is known of an attempt, the oldest first; times in milliseconds."""
+        """All records of an attempt, the oldest first, as JSON objects; times in milliseconds."""
         wanted = attempt.encode("latin-1", "replace")
         egress = {
             id(record): _egress_to_dict(record)
--- a/brackengate/proxy/role.py
+++ b/brackengate/proxy/role.py
@@ -1,10 +1,10 @@
-"""The pilot as a process: what is wanted, and the loops that bring it about.  Decides nothing.
+"""The proxy as a process: wires its parts together and reconciles its row at the control plane.
 
-Outbound   egress.py      requests that begin on this machine: route, service, choice, another pilot
-Inbound    ingress.py     requests from pilots: gate, key, the upstream beside this one
-Control    heartbeats.py  the upstream's beats
-lighthouse control_client.py the log of changes in; reports and claims out
-pilots     liveness_monitor.py signs of life, to and from the few others that watch this one
+Outbound          egress.py            requests that begin on this machine: route, service, another proxy
+Inbound           ingress.py           requests from proxies: admission, operation key, the local upstream
+Control           heartbeats.py        heartbeats of the upstream
+control replicas  control_client.py    receives the log of changes; sends reports and claims
+other proxies     liveness_monitor.py  keepalives and probes, to and from the few that watch each other
 """
 
 from __future__ import annotations
@@ -44,28 +44,28 @@
 log = logging.getLogger("brackengate.pilot")
 
 CONNECT_TIMEOUT_S = 0.25
-SEND_STALL_TIMEOUT_MS = (
-    500  # a pilot's machine that takes no bytes for so long is given up: a cut says nothing
-)
-IDLE_TIMEOUT_S = 9.0  # kept connections; an upstream's own limit comes first where it says so
-REPORT_INTERVAL_S = 0.25  # between two looks whether the core knows what this pilot knows
+SEND_STALL_TIMEOUT_MS = 500  # without any bytes taken by another proxy; a partition closes no connection
+IDLE_TIMEOUT_S = 9.0  # of kept connections; a shorter limit that an upstream announces takes precedence
+REPORT_INTERVAL_S = 0.25  # between two checks that the control plane's row of this machine is right
 REPORT_TIMEOUT_S = 1.0
-SHUTDOWN_CHECK_S = 0.02  # between two looks whether a proxy that leaves still holds anything
-MAX_BODY_BYTES = 16 << 20  # bytes: what all bodies in pieces hold together; memory at its peak has a price
+SHUTDOWN_CHECK_S = 0.02  # between two checks for pending requests, at the end of a shutdown
+MAX_BODY_BYTES = 16 << 20  # of all streamed bodies together, which bounds the peak of memory
 
 
 class Proxy:
+    """The parts of a proxy.  `exited`: done with 0 after an orderly shutdown."""
+
     def __init__(
         self, settings: Settings, read: Callable[[], Settings], ground: Ground | None = None
     ) -> None:
-        """`read`: the settings as the file has them by now; BadSettings where it can't be used.  `ground`:
-        what it stands on; by default the machine."""
+        """`read`: loads the settings file again; BadSettings if it is invalid.  `ground`: the runtime
+        environment, by default this machine's."""
         self.settings, self._read = settings, read
         ground = ground or Ground(asyncio.get_running_loop(), random.Random())
         loop, rng, bind = ground.loop, ground.rng, ground.bind
         self._loop = loop
         clock = self.clock = ground.clock or Clock()
-        self.exited: asyncio.Future[int] = loop.create_future()  # done with 0 once it has left in order
+        self.exited: asyncio.Future[int] = loop.create_future()
         self._shutting_down = False
         descriptors = min(
             settings.limits.file_limit - 250, resource.getrlimit(resource.RLIMIT_NOFILE)[0] - 100
@@ -175,45 +175,47 @@
 
     @property
     def ready(self) -> bool:
+        """Whether clients may use this proxy."""
         return self.table.has_configuration and not self._shutting_down
 
     def _address_of(self, machine: str) -> Address:
         return machine, self._port
 
     def reload_settings(self) -> None:
-        """The settings file has changed."""
+        """Read the settings file again, as it has changed."""
         self._control_replicas()
 
     def _control_replicas(self) -> Iterable[str]:
-        """As the file names them now: they may have changed without a signal."""
+        """Addresses from the settings file, read again, as it may have changed without a signal."""
         try:
             self.settings = self._read()
         except BadSettings as error:
-            log.warning("pilot: the settings stay as they are: %s", error)
+            log.warning("proxy: invalid settings file, keeping the old settings: %s", error)
         return [f"{host}:{port}" for host, port in self.settings.seeds]
 
-    # --- life
+    # --- start and shutdown
 
     def start(self) -> None:
+        """Start all parts and servers."""
         self._loop.create_task(self.liveness_monitor.start()).add_done_callback(self._on_monitor_started)
         self.control_client.start()
         for server in (self._egress_server, self._ingress_server, *self._other_servers):
             server.start()
         self._report_periodically()
-        log.info("pilot: %s is up beside %s", self.settings.ip, self.settings.plant or "nobody")
+        log.info("proxy: %s started beside %s", self.settings.ip, self.settings.plant or "no upstream")
 
     def _on_monitor_started(self, started: asyncio.Task[None]) -> None:
-        """Without its port it would be taken for silent: it ends with that error."""
+        """Exit with the error if the monitor has no port: other proxies would take this one for silent."""
         if not started.cancelled() and (error := started.exception()) is not None and not self.exited.done():
             self.exited.set_exception(error)
 
     def stop(self) -> None:
-        """Leave in order: clients and pilots are asked to go, what is held is answered, then the end."""
+        """Shut down in order: drain clients, then other proxies, answer pending requests, and exit."""
         if self._shutting_down:
             return
         self._shutting_down = True
         log.info(
-            "pilot: leaving, with %d requests held",
+            "proxy: shutting down with %d pending requests",
             self.egress.pending_count() + self.ingress.pending_count(),
         )
         self._egress_server.ask_to_go(True)
@@ -231,13 +233,16 @@
         self._loop.call_later((when - self.clock.now()) / 1e6, do, *args)
 
     def _deregister(self) -> None:
-        """Callers hear that they are to look elsewhere before the gate closes."""
+        """Notify callers to use another upstream, before the ingress closes."""
         self.admission.leaving = True
         self._reconcile()
 
     def _close_ingress(self) -> None:
-        """Other proxies' connections end with their next answer, and not before the news has reached them:
-        a close that crosses a request leaves its caller without knowing whether it ran."""
+        """End other proxies' connections with their next answer.
+
+        Not before they were notified: a close that crosses a request leaves its caller without knowing
+        whether the request ran.
+        """
         self.admission.closed = True
         self._ingress_server.ask_to_go(True)
 
@@ -246,7 +251,7 @@
         if pending and self.clock.now() < plan.exit_deadline:
             self._loop.call_later(SHUTDOWN_CHECK_S, self._exit_when_idle, plan)
             return
-        log.info("pilot: left, with %d requests held", pending)
+        log.info("proxy: exiting with %d pending requests", pending)
         self.control_client.close()
         self.liveness_monitor.close()
         self.reachability.close()
@@ -272,7 +277,7 @@
         self._reconcile()
 
     def _reconcile(self) -> None:
-        """Wanted: that the core's row of this machine says what the gate knows."""
+        """Report to the control plane if its row of this machine differs from the state at admission."""
         me, wanted = self.settings.ip, self.admission.report(self.clock.now())
         known = self.table.instances.get(me)
         if wanted is None:
@@ -294,10 +299,11 @@
     def _on_reported(self, result: object) -> None:
         self._reporting = False
 
-    # --- what is followed
+    # --- control plane and liveness
 
     def _on_table_changed(self, kinds: set[str]) -> None:
-        if self.table.has_configuration and not self._adopted:  # its own row may come in the last slice
+        # Not before the table is complete: this machine's row may come in the last slice.
+        if self.table.has_configuration and not self._adopted:
             self._adopt()
         self.egress.apply_table_changes()
         if kinds & {"inst", "silent"}:
@@ -313,23 +319,24 @@
             self.admission.adopt(known, self.clock.now())
 
     def _on_health_changed(self, machine: str, up: bool) -> None:
-        """Wanted: that nothing new goes to a machine which does not answer."""
+        """Send nothing new to a machine that does not answer."""
         if up:
             self.reachability.cancel(machine)
         self.egress.set_health(machine, up)
 
     def _on_unreachable(self, machine: str) -> None:
-        """And that nothing waits for one which has not answered for long, nor on a connection."""
+        """End the requests at a machine that has not answered for long, on no connection either."""
         self.egress.break_connections(machine)
         self._peer_pool.break_off(machine)
 
 
 def _reported_fields(instance: Instance) -> tuple[str, str, str]:
-    """What of a report is news; the rest goes with it."""
+    """The fields of a row whose change requires a new report; the others are sent with it."""
     return instance.id, instance.state, instance.pilot
 
 
 async def serve(settings: Settings, path: str) -> int:
+    """Run a proxy until it has shut down; returns its exit status.  `path`: of the settings file."""
     proxy, loop = Proxy(settings, lambda: files.load(path)), asyncio.get_running_loop()
     for number in (signal.SIGTERM, signal.SIGINT):
         loop.add_signal_handler(number, proxy.stop)
--- a/brackengate/proxy/snapshot_receiver.py
+++ b/brackengate/proxy/snapshot_receiver.py
@@ -1,4 +1,4 @@
-"""A follower's copy of the public rows, in pieces; none of it is in force until it is whole.  Pure."""
+"""Receives a snapshot of the public rows in pieces; none of it is in force until it is complete.  Pure."""
 
 from __future__ import annotations
 
@@ -11,15 +11,17 @@
 
 @dataclass
 class SnapshotReceiver:
-    """It goes on where it was cut off, at whichever replica."""
+    """A snapshot being received; after an interruption it resumes at its position, from any replica."""
 
     position: CopyPosition = NOTHING
     rows: CommittedRows = field(default_factory=CommittedRows)
 
     def receive(self, requested_after: CopyPosition, piece: CopyPiece) -> bool:
-        """Whether it is whole.  `asked`: what the piece follows; it may have gone on elsewhere since then.
+        """Add a piece; returns whether the snapshot is complete.
 
-        Differs, and it begins anew, where it is not what its sender holds.
+        `requested_after`: the position that the piece follows.  A piece is ignored if another one has moved
+        the position since the request.  `Differs`: the checksum does not match the sender's; the snapshot
+        restarts from nothing.
         """
         if not piece.anew and requested_after != self.position:
             return False
@@ -37,12 +39,13 @@
         return piece.total is not None
 
     def take_complete(self) -> tuple[int, list[Row]]:
-        """Its index and its rows, once it is whole; the next one begins with nothing."""
+        """The log index and the rows of a complete snapshot; the next one starts from nothing."""
         index = self.position.index
         rows: list[Row] = [(kind, name, value) for kind, name, _, value in self.rows]
         self.restart()
         return index, rows
 
     def restart(self) -> None:
+        """Drop what was received."""
         self.position = NOTHING
         self.rows.clear()
--- a/brackengate/proxy/staged_changes.py
+++ b/brackengate/proxy/staged_changes.py
@@ -1,6 +1,6 @@
-"""Orders that a proxy holds ahead of their decision; none of them is in force.  Pure.
+"""Configuration changes that a proxy receives before they are committed; none is in force.  Pure.
 
-Their rows are read when they come, so that putting an order in force is quick.
+Their rows are parsed on arrival, so that applying a change after its commit is quick.
 """
 
 from __future__ import annotations
@@ -10,28 +10,30 @@
 from brackengate.protocol.messages import ITEMS, Row, StagedPosition, StagedRows, StagePiece
 from brackengate.proxy.routing_table import ParsedItem, parse_item
 
-MAX_STAGED_CHANGES = (
-    12  # orders that are held at most, so that several can be under way at once; the oldest goes
-)
+MAX_STAGED_CHANGES = 12  # allows several in flight at once; beyond that the oldest is dropped
 
 
 @dataclass(slots=True)
 class StagedChange:
-    count: int  # of its pieces
-    pieces: int = 0  # that are here
+    """A change of `count` pieces, of which the first `pieces` have arrived."""
+
+    count: int
+    pieces: int = 0
     rows: list[tuple[str, str, ParsedItem]] = field(default_factory=list)
 
 
 class StagedChangeMissing(Exception):
-    """A reference to an order that is not here."""
+    """A committed entry refers to a staged change that is missing or incomplete here."""
 
 
 @dataclass
 class StagedChanges:
+    """The staged changes of a proxy, by id."""
+
     changes: dict[str, StagedChange] = field(default_factory=dict)
 
     def next_piece(self, id_: str, pieces: int) -> int:
-        """The piece that comes next; `pieces` where all are here."""
+        """The number of the piece to request of an offered change; `pieces` if all have arrived."""
         change = self.changes.get(id_)
         if change is None:
             change = self.changes[id_] = StagedChange(pieces)
@@ -40,7 +42,7 @@
         return change.pieces
 
     def receive(self, piece: StagePiece) -> int | None:
-        """The piece to ask for now; None where this one was not asked for."""
+        """Add a piece; returns the number of the next one, or None if this one was not requested."""
         change = self.changes.get(piece.id)
         if change is None or piece.piece != change.pieces:
             return None
@@ -51,10 +53,14 @@
         return change.pieces
 
     def positions(self) -> tuple[StagedPosition, ...]:
+        """How much of each change has arrived."""
         return tuple(StagedPosition(id_, change.pieces) for id_, change in self.changes.items())
 
     def take_rows(self, reference: StagedRows) -> list[Row]:
-        """Its rows; it is not held any more.  `NotHeld` where some of it never came."""
+        """Remove a change that is committed and return its rows, without those named by the reference.
+
+        `StagedChangeMissing`: some of it never arrived.
+        """
         change = self.changes.pop(reference.id, None)
         if change is None or change.pieces < change.count:
             raise StagedChangeMissing(reference.id)
--- a/tests/proxy/mistakes.py
+++ b/tests/proxy/mistakes.py
@@ -161,11 +161,11 @@
 
 
 MISTAKES = {
-    "id-at-gate": Mistake(
+    "id-at-ingress": Mistake(
         "the proxy beside the upstream doesn't check the attempt id of answers",
         lambda: patch.object(answer_classification, "classify_upstream_answer", _no_id(_own_judge)),
     ),
-    "id-at-way-out": Mistake(
+    "id-at-egress": Mistake(
         "the proxy beside the client doesn't check the attempt id of answers",
         _both(_own_judge, _no_id(_judge)),
     ),
@@ -188,7 +188,7 @@
         "a keyed request runs before its key is claimed",
         lambda: patch.object(keys.KeyedRequests, "_claim", _claim),
     ),
-    "lifted": Mistake(
+    "claim-released": Mistake(
         "the claim of an operation that may have run is released",
         lambda: patch.object(ingress.Ingress, "_on_upstream_done", _on_upstream_done),
     ),
@@ -208,7 +208,7 @@
         "an attempt whose connection was reset doesn't count toward MaxAttempts",
         lambda: patch.object(retries.Retries, "_retry", _retry),
     ),
-    "thawed": Mistake(
+    "resumed": Mistake(
         "a proxy that was paused sends requests of callers that have left",
         lambda: patch.object(CallerConnection, "abandoned", lambda self: False),
     ),
--- a/tests/proxy/proxy_pair.py
+++ b/tests/proxy/proxy_pair.py
@@ -119,7 +119,7 @@
             self._grant_claims,
             peers,
             self._address_of,
-            "life",
+            "incarnation",
         )
         table = self.table = RoutingTable()
         self.current = True  # whether the caller's proxy has a current configuration
--- a/tests/proxy/test_big_change.py
+++ b/tests/proxy/test_big_change.py
@@ -1,12 +1,12 @@
-"""What a change of many routes costs a follower's link."""
+"""The size of a change of many routes on the link to a proxy."""
 
 from __future__ import annotations
 
 from brackengate.protocol.json_connection import encoded
 from brackengate.protocol.messages import Changes, Row
 
-ROUTES = 1_520  # in one order
-MOST_BYTES = 125_000  # half a second of a link of 2 Mbit/s, which requests share
+ROUTES = 1_520  # in one change
+MAX_BYTES = 125_000  # half a second of a link of 2 Mbit/s, which requests share
 
 
 def _route(number: int) -> Row:
@@ -25,6 +25,6 @@
 
 
 def test_change_of_many_routes_fits_a_slow_link() -> None:
-    """Else it is not in force in time at a machine whose link is small, and holds up its requests."""
+    """Otherwise it is in force too late at a machine with a slow link, and delays its requests."""
     rows = tuple(_route(number) for number in range(ROUTES))
-    assert len(encoded(Changes(1, rows))) <= MOST_BYTES
+    assert len(encoded(Changes(1, rows))) <= MAX_BYTES
--- a/tests/proxy/test_calls.py
+++ b/tests/proxy/test_calls.py
@@ -44,8 +44,8 @@
 
 
 FOUND_BY = {
-    "id-at-gate": script(bid(), bid(200), s=(Behaviour("other"),)),
-    "id-at-way-out": script(
+    "id-at-ingress": script(bid(), bid(200), s=(Behaviour("other"),)),
+    "id-at-egress": script(
         read(), buy(50), s=(Behaviour(), Behaviour("served", 50)), faults=(Fault("stray", 70, 4),)
     ),
     "bare-refusal": script(buy(), s=(Behaviour("bare-503"),)),
@@ -53,7 +53,7 @@
     "sealed-502": script(buy(), s=(Behaviour("overdue"),)),
     "sent-again": script(buy(), s=(Behaviour("reset"),)),
     "unclaimed": script(*(Attempt(0, "bid-p", proxy, "k") for proxy in (0, 0, 1))),
-    "lifted": script(bid(), s=(Behaviour("reset"),)),
+    "claim-released": script(bid(), s=(Behaviour("reset"),)),
     "same-connection": script(
         read(),
         buy(50, deadline=2000),
@@ -63,7 +63,7 @@
     "cut-short": script(read(), s=(Behaviour("half-closed"),) * 4),
     "broken-is-unrun": script(buy(), s=(Behaviour("reset"),)),
     "free-resets": script(Attempt(0, "read-p", deadline=2000), p=(Behaviour("reset"),)),
-    "thawed": script(read(), buy(60, leaves=200), faults=(Fault("freeze", 50, 0, 1500),)),
+    "resumed": script(read(), buy(60, leaves=200), faults=(Fault("freeze", 50, 0, 1500),)),
     "no-deadline": script(read(), s=(Behaviour("silent"),)),
 }
 
@@ -90,8 +90,8 @@
     kept = run.invoke(main, ["lab", "check-calls", "--histories", "5"])
     assert (kept.exit_code, kept.output) == (0, "5 histories: no promise is broken\n")
     with MISTAKES["sent-again"].apply():
-        told = run.invoke(main, ["lab", "check-calls", "--histories", "40", "--json"])
-    assert told.exit_code == 5 and "ran 2 times" in json.loads(told.output)["broken"][0]
+        failed = run.invoke(main, ["lab", "check-calls", "--histories", "40", "--json"])
+    assert failed.exit_code == 5 and "ran 2 times" in json.loads(failed.output)["broken"][0]
 
 
 def test_every_mistake_has_a_history() -> None:
@@ -109,7 +109,7 @@
     history = script(read(), buy(60), faults=(Fault("freeze", 50, 4, 1500),))
     seen = play(history)
     assert ([one.attempt for one in seen.ran], seen.ended["t1"].status) == (["t0"], 502)
-    with MISTAKES["thawed"].apply():
+    with MISTAKES["resumed"].apply():
         assert [one.attempt for one in play(history).ran] == ["t0", "t1"]
 
 
--- a/tests/proxy/test_failure_detector.py
+++ b/tests/proxy/test_failure_detector.py
@@ -1,4 +1,4 @@
-"""Who is watched by whom, when a machine is taken for silent, and what a storm of further tries may cost."""
+"""Failure detection: who watches whom and when a machine counts as silent; and the shared retry budget."""
 
 from __future__ import annotations
 
@@ -18,18 +18,18 @@
 
 
 class Fleet:
-    """Pilots on links that can be cut; the core takes what they notice, if it hears them.
+    """Failure detectors on links that can be cut; the control plane gets the suspects if it is reachable.
 
-    `play` draws a timeline, one column a pilot: the letters of those that it takes for silent, `x` for a
-    pilot without power.
+    `play` draws a timeline with one column for each proxy: the letters of the machines that it takes for
+    silent, or `x` for a proxy without power.
     """
 
     def __init__(self, names: str) -> None:
         self.now = 0
         self.detectors = {name: FailureDetector(name, 0) for name in names}
         self.dead: set[str] = set()
-        self.cut: set[str] = set()  # from all others and the core
-        self.deaf: set[tuple[str, str]] = set()  # nothing from the first comes to the second
+        self.cut: set[str] = set()  # from all others and the control plane
+        self.deaf: set[tuple[str, str]] = set()  # nothing from the first reaches the second
         self.suspects: dict[str, tuple[str, ...]] = {}
         self._update_detectors()
 
@@ -73,7 +73,7 @@
 
 
 class FailureDetection(TestCase):
-    """One column a pilot: whom it takes for silent."""
+    """Timelines have one column for each proxy: the machines that it takes for silent."""
 
     def test_dead_machine_is_silent_to_all_within_half_a_second_and_so_is_its_return(self) -> None:
         fleet = Fleet("abcdef")
@@ -81,7 +81,7 @@
         fleet.dead.add("c")
         self.assertThat(fleet.play(1550)[-1], Equals("c c x c c c"))
         self.assertThat({detector.gone for detector in fleet.detectors.values()}, Equals({frozenset()}))
-        fleet.play(1900)  # not at once: one that is only slow keeps what it is at work on
+        fleet.play(1900)  # not at once: a machine that is only slow keeps its requests
         gone = {name for name, detector in fleet.detectors.items() if detector.gone == {"c"}}
         self.assertThat(gone, Equals(set("abdef")))
         fleet.dead.clear()
@@ -102,12 +102,12 @@
         fleet.deaf = {("a", watcher), (watcher, "a")}
         row = fleet.play(2500)[-1].split()
         silent = {name: took for name, took in zip("abcdef", row, strict=True) if took != "."}
-        self.assertThat(silent, Equals({watcher: "a", "a": watcher}))  # nothing of either comes to the other
+        self.assertThat(silent, Equals({watcher: "a", "a": watcher}))  # keepalives of neither arrive
 
     def test_resumed_proxy_does_not_suspect_the_others(self) -> None:
         fleet = Fleet("abcdef")
         fleet.play(1000)
-        fleet.now += 5 * S  # all stood still: no signs were sent, and nobody is at fault
+        fleet.now += 5 * S  # all were paused: no keepalives were sent, by no fault of theirs
         self.assertThat(fleet.play(7000), Equals([". . . . . ."]))
         self.assertThat(set(fleet.suspects.values()), Equals({()}) if fleet.suspects else Equals(set()))
 
@@ -151,7 +151,7 @@
         self.assertThat(detector.suspects, Equals(()))
 
     def _count_rankings(self) -> list[str]:
-        """Whose watchers are ranked from here on."""
+        """Record the machines whose watchers are ranked from here on."""
         ranked: list[str] = []
 
         def counted(machine: str, proxies: Iterable[str]) -> tuple[str, ...]:
@@ -164,7 +164,7 @@
 
 class RetryBudgets(TestCase):
     def test_every_window_keeps_to_ratio_and_slack_over_all_proxies_and_restarts(self) -> None:
-        """Every attempt breaks, for every request, at pilots that come, go and start again."""
+        """Every attempt of every request is reset, at proxies that start, stop and restart."""
         ratio, slack, window, seed = 0.2, 20.0, 10 * S, 7
         rng, now, spent, asked = random.Random(seed), 0, list[int](), list[int]()
         once = api.RequestClass("read", S, S, api.Idempotency.REPEATABLE, max_attempts=3)
--- a/tests/proxy/test_freshness.py
+++ b/tests/proxy/test_freshness.py
@@ -1,4 +1,4 @@
-"""What a proxy may say of the configuration in force: only as far back as it can show that it is current."""
+"""How stale a proxy's configuration may be, and that only a current proxy answers that there is no route."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 def test_converted_replica_time_is_never_too_late() -> None:
     rng = random.Random(1)
     for _ in range(300):
-        ahead, clock = rng.randrange(-(10**12), 10**12), ClockOffset()  # of the replica's clock
+        ahead, clock = rng.randrange(-(10**12), 10**12), ClockOffset()  # difference of the replica's clock
         now = rng.randrange(10**9)
         for _ in range(20):
             sent, there = now, now + rng.randrange(400 * MS)
@@ -33,7 +33,7 @@
     clock, freshness = ClockOffset(), ConfigFreshness()
     clock.add_exchange(0, 5 * S, 2 * MS)
     freshness.index_applied(7)
-    freshness.heartbeat(7, clock.to_local(5 * S, 3 * S))  # it comes 3 s later
+    freshness.heartbeat(7, clock.to_local(5 * S, 3 * S))  # it arrives 3 s later
     assert freshness.is_current(S, S + 10 * MS) and not freshness.is_current(3 * S, S + 10 * MS)
 
 
--- a/tests/proxy/test_ingress.py
+++ b/tests/proxy/test_ingress.py
@@ -150,7 +150,7 @@
             send_command,
             self.peer_pool,  # type: ignore[arg-type]
             lambda machine: (machine, 2),
-            "life",
+            "incarnation",
         )
 
     def arrive(
@@ -487,9 +487,8 @@
         self.assertThat(outcome(200, seal), Equals(Outcome.ERROR))
         self.assertThat(outcome(503, mine, (b"x-brackengate-not-executed", b"1")), Equals(Outcome.REJECTED))
         self.assertThat(outcome(421, mine), Equals(Outcome.REJECTED))
-        self.assertThat(
-            outcome(421), Equals(Outcome.ERROR)
-        )  # without an id: it says nothing about this request
+        # Without an attempt id it says nothing about this request.
+        self.assertThat(outcome(421), Equals(Outcome.ERROR))
         self.assertThat(outcome(421, (mine[0], other)), Equals(Outcome.RESET))
         unrun = (b"x-brackengate-not-executed", b"1")
         twice = [(b"X-Brackengate-Attempt-Id", b"t0"), mine, seal]
--- a/tests/proxy/test_processes.py
+++ b/tests/proxy/test_processes.py
@@ -1,4 +1,4 @@
-"""The roles as processes on loopback: kills and ends in order, as an installation would see them."""
+"""Proxies and control replicas as processes on loopback: kills and graceful shutdowns."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 
 
 def test_graceful_shutdown_finishes_a_long_answer_and_stalled_ones_use_no_memory(tmp_path: Path) -> None:
-    """Forty answers of 20 MiB are held up by their clients; both pilots have to leave, and one is taken."""
+    """Forty answers of 20 MiB are stalled by their clients; both proxies shut down, one answer is read."""
 
     async def play() -> None:
         mesh = Mesh(tmp_path, lighthouses=2, pilots=2, first_port=FIRST_PORT)
@@ -52,11 +52,13 @@
 
 def test_keys_run_once_and_a_graceful_shutdown_loses_nothing(tmp_path: Path) -> None:
     async def bids(mesh: Mesh, prefix: str, count: int) -> list[tuple[int, bytes]]:
-        """Each key at two pilots at once, again until both have the answer."""
+        """Send each key to two proxies at once, and retry until both have the answer."""
 
         async def bid(n: int, side: int) -> tuple[int, bytes]:
             until, again = asyncio.get_running_loop().time() + 20, 0
-            while asyncio.get_running_loop().time() < until:  # by the clock: a view takes longer beside load
+            while (
+                asyncio.get_running_loop().time() < until
+            ):  # by the clock: a view change takes longer under load
                 again += 1
                 target = mesh.sides[(n + side) % len(mesh.sides)]
                 try:
@@ -75,16 +77,15 @@
         mesh = Mesh(tmp_path, pilots=3, first_port=FIRST_PORT)
         try:
             await mesh.start()
-            # The head is killed while keys are being claimed.
+            # The head of the chain is killed while keys are being claimed.
             work = asyncio.create_task(bids(mesh, "a", 30))
             mesh.core[0].end()
             answers = await work
             assert [status for status, _ in answers] == [200] * 60
-            assert all(
-                answers[n] == answers[n + 1] for n in range(0, 60, 2)
-            )  # a repeat gets the first answer
+            # A repeat gets the first answer.
+            assert all(answers[n] == answers[n + 1] for n in range(0, 60, 2))
             assert set(runs(mesh, "a").values()) == {1}
-            # It comes back with an empty disk; another one is killed; what was claimed stands.
+            # It restarts with an empty disk; another one is killed; claims are kept.
             mesh.restart(mesh.core[0], wipe=True)
             await mesh.amend([("later", "/later/", "idempotent")])
             while (await mesh.request(mesh.sides[2], "/later/x"))[0] != 200:
@@ -93,7 +94,7 @@
             await bids(mesh, "a", 30)
             assert set(runs(mesh, "a").values()) == {1}
             mesh.restart(mesh.core[1])
-            # A pilot is told to leave under load: what it has read is answered.
+            # A proxy is shut down under load: the requests that it has read are answered.
             reads = [
                 asyncio.create_task(mesh.request(mesh.sides[0], "/read/x", attempt=f"r{n}"))
                 for n in range(40)
--- a/tests/proxy/test_proxy_decisions.py
+++ b/tests/proxy/test_proxy_decisions.py
@@ -97,9 +97,8 @@
             [bool(admission.rejection_reason("i-1", 10)), admission.rejection_reason("i-2", 10)],
             Equals([True, ""]),
         )
-        admission.receive_heartbeat(
-            Heartbeat("i-1", "p", "ready", 6, 0, 9), 20
-        )  # a late heartbeat of the earlier incarnation
+        # A late heartbeat of the earlier incarnation.
+        admission.receive_heartbeat(Heartbeat("i-1", "p", "ready", 6, 0, 9), 20)
         self.assertThat(admission.rejection_reason("i-2", 20), Equals(""))
 
     def test_nothing_reaches_a_draining_upstream_near_its_drain_time(self) -> None:
@@ -169,39 +168,37 @@
         self.assertThat(self.loaded(3).accepts("r", 2, 1, 1, False, 0), Equals(True))
 
     def test_late_requests_are_rejected_and_client_retries_preferred(self) -> None:
-        takes = [self.loaded(n).accepts("r", 2, 300 * MS, 700 * MS, False, 0) for n in range(3, 14)]
-        self.assertThat(
-            takes.index(False), Equals(7)
-        )  # seven wait: 175 ms is more than 0.85 of the remaining time
+        results = [self.loaded(n).accepts("r", 2, 300 * MS, 700 * MS, False, 0) for n in range(3, 14)]
+        # With seven waiting, the wait of 175 ms is more than 0.85 of what the target leaves, 300 - 100 ms.
+        self.assertThat(results.index(False), Equals(7))
         self.assertThat(self.loaded(11).accepts("r", 2, 300 * MS, 700 * MS, True, 0), Equals(True))
 
     def test_request_past_its_target_waits_behind_few(self) -> None:
-        takes = [self.loaded(n).accepts("r", 2, -100 * MS, 400 * MS, False, 0) for n in range(3, 14)]
-        self.assertThat(takes.index(False), Equals(4))
+        results = [self.loaded(n).accepts("r", 2, -100 * MS, 400 * MS, False, 0) for n in range(3, 14)]
+        self.assertThat(results.index(False), Equals(4))
 
     def test_lower_priority_leaves_room_for_requests_that_can_wait_less(self) -> None:
         """Calls of 20 ms that others wait for, beside reads of 100 ms that may wait for 300 ms."""
         for priority, may_wait in ((1, 1), (2, 2), (3, 6)):  # of the call: above, equal to, below the reads
-            takes = []
+            results = []
             for n in range(4, 16):
                 load = self.loaded(n, call=20 * MS, r=100 * MS)
                 load.accepts("call", priority, 100 * MS, 200 * MS, False, 0)
-                takes.append(load.accepts("r", 2, 300 * MS, 700 * MS, False, 0))
-            self.assertThat(takes.index(False), Equals(may_wait), f"priority {priority}")
+                results.append(load.accepts("r", 2, 300 * MS, 700 * MS, False, 0))
+            self.assertThat(results.index(False), Equals(may_wait), f"priority {priority}")
         load = self.loaded(8, call=20 * MS, r=100 * MS)
         load.accepts("call", 1, 100 * MS, 200 * MS, False, 0)
-        self.assertThat(
-            load.accepts("r", 2, 300 * MS, 700 * MS, False, 3 * S), Equals(True)
-        )  # no recent calls
+        # The last call was too long ago to count.
+        self.assertThat(load.accepts("r", 2, 300 * MS, 700 * MS, False, 3 * S), Equals(True))
 
     def test_short_requests_among_long_ones_may_be_late_rather_than_rejected(self) -> None:
         """Their callers have spent more on them, and they delay the others little."""
         for kind, accepted in (("call", 4), ("r", 1)):
-            takes = []
+            results = []
             for n in range(4, 16):
                 load = self.loaded(n, call=20 * MS, r=100 * MS)
-                takes.append(load.accepts(kind, 1, 30 * MS, 200 * MS, False, 0))
-            self.assertThat(takes.index(False), Equals(accepted), kind)
+                results.append(load.accepts(kind, 1, 30 * MS, 200 * MS, False, 0))
+            self.assertThat(results.index(False), Equals(accepted), kind)
 
     def test_late_request_of_higher_priority_does_not_block_the_others(self) -> None:
         load = self.loaded(5, bid=60 * MS, r=100 * MS)
--- a/tests/proxy/test_reachability.py
+++ b/tests/proxy/test_reachability.py
@@ -1,4 +1,4 @@
-"""Work at a machine that answers no datagrams is cut off only where no connection answers either."""
+"""A machine that answers no datagrams is reported unreachable only if no connection is answered either."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 
 
 class Machine:
-    """A listener that can be full, so that connections to it hang as into a cut, or closed."""
+    """A listener that can be closed, or so full that connections hang as in a network partition."""
 
     def __init__(self) -> None:
         self._listener = socket.create_server((LOCAL, 0), backlog=0)
@@ -23,7 +23,7 @@
         self.address: tuple[str, int] = self._listener.getsockname()
 
     def fill(self) -> None:
-        """Until the kernel answers no more."""
+        """Fill the backlog until the kernel answers no more connections."""
         for _ in range(8):
             one = socket.socket()
             one.setblocking(False)
@@ -69,7 +69,7 @@
 
 @pytest.mark.parametrize("full", [True, False])
 def test_machine_that_answers_nothing_is_reported_unreachable(full: bool) -> None:
-    """Also where its kernel takes the connection, as that of a frozen process does."""
+    """Also if its kernel accepts the connection, as for a paused process."""
 
     async def play() -> None:
         machine = Machine()
--- a/tests/proxy/test_routing_table_indexes.py
+++ b/tests/proxy/test_routing_table_indexes.py
@@ -1,4 +1,4 @@
-"""What a proxy looks up is kept up with each change: the same as built anew, at the cost of the change."""
+"""Indexes of the routing table: updated with each change, equal to a new table's, at the change's cost."""
 
 from __future__ import annotations
 
@@ -34,13 +34,13 @@
         table.apply_changes(index, [row])
         rows[row[0], row[1]] = row
         if index % 40 == 0:
-            anew = RoutingTable()
-            anew.apply_snapshot(index, rows.values())
+            rebuilt = RoutingTable()
+            rebuilt.apply_snapshot(index, rows.values())
             for prefix in (f"/r{n}-{m}/x" for n in range(12) for m in range(3)):
-                assert table.find("h.example", prefix) == anew.find("h.example", prefix)
-            assert sorted(table.proxy_machines()) == sorted(anew.proxy_machines())
+                assert table.find("h.example", prefix) == rebuilt.find("h.example", prefix)
+            assert sorted(table.proxy_machines()) == sorted(rebuilt.proxy_machines())
             for service in "pq":
-                assert dict(table.upstreams_of(service)) == dict(anew.upstreams_of(service))
+                assert dict(table.upstreams_of(service)) == dict(rebuilt.upstreams_of(service))
 
 
 def test_changed_names_are_returned_once() -> None:
--- a/tests/proxy/test_shutdown_plan.py
+++ b/tests/proxy/test_shutdown_plan.py
@@ -75,8 +75,8 @@
 def test_connections_of_other_proxies_are_drained_after_ingress_has_closed() -> None:
     """A close that crosses a request leaves its caller without knowing whether it ran."""
     path = MESH / "calm.toml"
-    told = changed(path.read_text(), str(path), ("length=8s", "route.read.deadline=3s"))
-    world = World(told, 1)
+    scenario = changed(path.read_text(), str(path), ("length=8s", "route.read.deadline=3s"))
+    world = World(scenario, 1)
     seen: list[tuple[bool, bool, bool]] = []
 
     def look() -> None:
@@ -87,7 +87,7 @@
     world.loop.after(begun, lambda: world.pilots[0].role.stop())
     for at in range(100 * MS, 3 * S, 100 * MS):
         world.loop.after(begun + at, look)
-    world.run(faults.schedule(world), faults.over(told))
+    world.run(faults.schedule(world), faults.over(scenario))
     assert (True, False, False) in seen and (True, True, True) in seen
     assert all(
         egress_draining and admission_closed is ingress_draining
--- a/tests/proxy/test_snapshot_receiver.py
+++ b/tests/proxy/test_snapshot_receiver.py
@@ -1,4 +1,4 @@
-"""A follower's copy of the public rows: in pieces, resumed anywhere, in force when it is whole."""
+"""Snapshots of the public rows: received in pieces, resumable at any replica, applied when complete."""
 
 from __future__ import annotations
 
@@ -22,7 +22,7 @@
 
 
 class Sender:
-    """A replica, as far as followers copy from it."""
+    """A replica, as far as it sends snapshots."""
 
     def __init__(self) -> None:
         self.log = ReplicaLog(0)
@@ -45,7 +45,7 @@
 
 
 def finish(sender: Sender, receiver: SnapshotReceiver) -> int:
-    """The pieces that it took."""
+    """Receive the rest; returns the number of pieces."""
     count = 1
     while not receiver.receive(receiver.position, sender.piece(receiver)):
         count += 1
@@ -68,7 +68,7 @@
     sender, other, receiver = Sender(), Sender(), SnapshotReceiver()
     for _ in range(5):
         receiver.receive(receiver.position, sender.piece(receiver))
-    for n in range(1, ITEMS + 1):  # of what it holds and of what it does not hold yet
+    for n in range(1, ITEMS + 1):  # rows that were received, and rows that were not
         other.set(ITEMS + n, "plant", f"p{n}", plant(n, 2))
     other.set(2 * ITEMS + 1, "inst", "10.0.0.1", None)
     before = receiver.rows.count
@@ -94,7 +94,7 @@
 
 
 def test_piece_that_follows_another_position_is_ignored() -> None:
-    """Two replicas are asked at once, and the copy has gone on at the other one."""
+    """Two replicas send pieces at once, and the snapshot has moved on with the other one's."""
     sender, receiver = Sender(), SnapshotReceiver()
     receiver.receive(NOTHING, sender.piece(receiver))
     requested_after, piece = receiver.position, sender.piece(receiver)
@@ -120,7 +120,7 @@
 
 
 def test_older_snapshot_is_ignored() -> None:
-    """It was at a replica that knows more; the one that it comes to gives a whole copy of before."""
+    """The proxy moves from a newer replica to a lagging one, which sends a complete older snapshot."""
     newer, older, table = Sender(), Sender(), RoutingTable()
     newer.set(ITEMS + 1, "plant", "p1", plant(1, 2))
     receiver = SnapshotReceiver()
--- a/tests/proxy/test_staged_changes.py
+++ b/tests/proxy/test_staged_changes.py
@@ -1,4 +1,4 @@
-"""Orders that a proxy holds ahead of their decision, and long changes that are put in force in slices."""
+"""Changes that a proxy receives before their commit, and long changes that are applied in slices."""
 
 from __future__ import annotations
 
@@ -84,7 +84,7 @@
 
 
 class Replica:
-    """The end of a link, as the follower sees it."""
+    """The replica's end of a link, as the proxy sees it."""
 
     def __init__(self) -> None:
         self.addr, self.established, self.closed = "10.0.0.1:80", True, False
@@ -187,7 +187,7 @@
 
 
 class SnapshotFollower(Follower):
-    """A follower that takes a whole copy, piece by piece."""
+    """A follower that receives a complete snapshot, piece by piece."""
 
     def follow_snapshot(self, index: int, *rows: Row) -> None:
         replica = SnapshotSource(index, rows)
@@ -239,7 +239,7 @@
 
 
 def test_first_configuration_is_in_force_only_when_complete() -> None:
-    """A part of it could send a request to a route that a more specific one overrides."""
+    """With a part of it a request could go to a route that a more specific one overrides."""
 
     async def play() -> None:
         changed = Follower()
@@ -256,7 +256,7 @@
 
 
 def test_change_sent_again_by_a_lagging_replica_is_skipped() -> None:
-    """Rows of machines have no versions: what is in force already is passed over."""
+    """Rows of machines have no versions: a change that is in force is skipped."""
 
     async def play() -> None:
         follower = Follower()
@@ -266,7 +266,7 @@
         states = list[str]()
         follower.client._on_changed = lambda kinds: states.append(follower.table.instances[machine].state)
         follower.deliver(Changes(4, long), Changes(5, (("inst", machine, {**ready, "state": "gone"}),)))
-        follower.deliver(Changes(4, long))  # by the next replica, before the first one was in force
+        follower.deliver(Changes(4, long))  # by the next replica, before the first change was in force
         for _ in range(20):
             await asyncio.sleep(0)
         assert states[-1] == "gone" and "ready" not in states[states.index("gone") :]
--- a/tests/proxy/test_streamed_bodies.py
+++ b/tests/proxy/test_streamed_bodies.py
@@ -29,10 +29,10 @@
 
 def digest(size: int) -> bytes:
     """The digest of `size` bytes as `proxy_pair.body` writes them."""
-    told = hashlib.sha256()
+    checksum = hashlib.sha256()
     for at in range(0, size, 256 * KIB):
-        told.update(BLOCK[: min(size - at, 256 * KIB)])
-    return told.digest()
+        checksum.update(BLOCK[: min(size - at, 256 * KIB)])
+    return checksum.digest()
 
 
 def settled(mesh: Mesh) -> Callable[[], bool]:
@@ -151,8 +151,8 @@
     async def main() -> None:
         async def act(upstream: Upstream, reader: Reader, writer: asyncio.StreamWriter) -> None:
             upstream.ran.append(reader)
-            told = head(reader, FORMS["length"](2 * MIB), seal=len(upstream.ran) > 1)
-            writer.write(told.replace(b"Attempt-Id: t1", b"Attempt-Id: t0"))
+            answer_head = head(reader, FORMS["length"](2 * MIB), seal=len(upstream.ran) > 1)
+            writer.write(answer_head.replace(b"Attempt-Id: t1", b"Attempt-Id: t0"))
             await body(writer, 2 * MIB, "length")
 
         mesh = Mesh(await Upstream(act).start())
