--- a/tests/scale/test_slopes.py
+++ b/tests/scale/test_slopes.py
@@ -107,5 +107,5 @@
     sent = pieces(CommittedRows.of((kind, name, 1, value) for kind, name, value in held), recent)
     assert len(sent) > 1
     table = take(sent)
-    assert sorted(table.pilots()) == sorted(proxy_ip(n) for n in range(600))
+    assert sorted(table.proxy_machines()) == sorted(proxy_ip(n) for n in range(600))
     assert len(list(table.routes())) == 2 * size.services
