--- a/tests/proxy/test_snapshot_receiver.py
+++ b/tests/proxy/test_snapshot_receiver.py
@@ -1,4 +1,4 @@
-"""A follower's copy of the public rows: in pieces, resumed anywhere, in force when it is whole."""
+"""Snapshots of the public rows: received in pieces, resumable at any replica, applied when complete."""
 
 from __future__ import annotations
 
@@ -22,7 +22,7 @@
 
 
 class Sender:
-    """A replica, as far as followers copy from it."""
+    """A replica, as far as it sends snapshots."""
 
     def __init__(self) -> None:
         self.log = ReplicaLog(0)
@@ -47,14 +47,14 @@
 
 
 def finish(sender: Sender, receiver: SnapshotReceiver) -> int:
-    """The pieces that it took."""
+    """Receive the rest; returns the number of pieces."""
     count = 1
     while not receiver.receive(receiver.position, sender.piece(receiver)):
         count += 1
     return count
 
 
-def test_nothing_of_it_is_in_force_before_it_is_whole() -> None:
+def test_nothing_is_in_force_before_the_snapshot_is_complete() -> None:
     sender, receiver, table = Sender(), SnapshotReceiver(), RoutingTable()
     for _ in range(5):
         assert not receiver.receive(receiver.position, sender.piece(receiver))
@@ -66,11 +66,11 @@
     assert not any(kind == "key" for kind, _, _ in rows)
 
 
-def test_it_goes_on_at_another_replica_with_what_changed_meanwhile() -> None:
+def test_transfer_resumes_at_another_replica_with_newer_changes() -> None:
     sender, other, receiver = Sender(), Sender(), SnapshotReceiver()
     for _ in range(5):
         receiver.receive(receiver.position, sender.piece(receiver))
-    for n in range(1, ITEMS + 1):  # of what it holds and of what it does not hold yet
+    for n in range(1, ITEMS + 1):  # rows that were received, and rows that were not
         other.set(ITEMS + n, "plant", f"p{n}", plant(n, 2))
     other.set(2 * ITEMS + 1, "inst", "10.0.0.1", None)
     before = receiver.rows.count
@@ -83,7 +83,7 @@
     assert index == 2 * ITEMS + 1 and {value[0] for kind, _, value in rows if kind == "plant"} == {2}
 
 
-def test_it_begins_anew_where_the_changes_are_gone() -> None:
+def test_transfer_restarts_where_the_changes_are_no_longer_kept() -> None:
     sender, receiver = Sender(), SnapshotReceiver()
     for _ in range(5):
         receiver.receive(receiver.position, sender.piece(receiver))
@@ -95,8 +95,8 @@
     assert receiver.rows.checksum == sender.log.state.public.checksum
 
 
-def test_a_piece_that_follows_another_place_is_left_alone() -> None:
-    """Two replicas are asked at once, and the copy has gone on at the other one."""
+def test_piece_that_follows_another_position_is_ignored() -> None:
+    """Two replicas send pieces at once, and the snapshot has moved on with the other one's."""
     sender, receiver = Sender(), SnapshotReceiver()
     receiver.receive(EMPTY_POSITION, sender.piece(receiver))
     requested_after, piece = receiver.position, sender.piece(receiver)
@@ -109,7 +109,7 @@
     assert receiver.rows.checksum == sender.log.state.public.checksum
 
 
-def test_one_that_differs_is_not_taken() -> None:
+def test_snapshot_with_a_wrong_checksum_is_dropped() -> None:
     sender, receiver = Sender(), SnapshotReceiver()
     for _ in range(3):
         receiver.receive(receiver.position, sender.piece(receiver))
@@ -121,8 +121,8 @@
     assert receiver.rows.checksum == sender.log.state.public.checksum
 
 
-def test_an_older_copy_takes_nothing_back() -> None:
-    """It was at a replica that knows more; the one that it comes to gives a whole copy of before."""
+def test_older_snapshot_is_ignored() -> None:
+    """The proxy moves from a newer replica to a lagging one, which sends a complete older snapshot."""
     newer, older, table = Sender(), Sender(), RoutingTable()
     newer.set(ITEMS + 1, "plant", "p1", plant(1, 2))
     receiver = SnapshotReceiver()
