--- a/brackengate/platform/program.py
+++ b/brackengate/platform/program.py
@@ -223,7 +223,7 @@
         try:
             new = load_config(environ)
         except BadConfig as error:
-            log.error("%s: configuration rejected and unchanged: %s", config.name, error)
+            log.error("%s: the configuration stays as it is: %s", config.name, error)
             return "configuration turned down"
         log.info("%s: configuration reloaded; discovery at %s:%d", config.name, *new.discovery)
         if (new.listen, new.sockets, new.settings) != (config.listen, config.sockets, config.settings):
--- a/tests/net/test_attempts.py
+++ b/tests/net/test_attempts.py
@@ -537,7 +537,7 @@
             await module.next(api.AttemptEnded)
         await caller.ask("a1")
         ended = await module.next(api.AttemptEnded)
-        assert (ended.outcome, ended.stale) == (Outcome.RESET, False)
+        assert (ended.outcome, ended.stale_connection) == (Outcome.RESET, False)
 
     run(main())
 
--- a/tests/proxy/test_pieces.py
+++ b/tests/proxy/test_pieces.py
@@ -338,7 +338,7 @@
 
         upstream = await Upstream(act).start()
         mesh = Mesh(upstream)
-        mesh.way.services["p"].module.retries = 1.0  # earned by requests before this one
+        mesh.way.services["p"].module.retry_tokens = 1.0  # earned by requests before this one
         caller = await mesh.caller()
         caller.writer.write(ask("read"))
         assert (await caller.read())[::2] == (200, b"onetwo") and len(upstream.ran) == 2
