--- a/tests/proxy/test_streamed_bodies.py
+++ b/tests/proxy/test_streamed_bodies.py
@@ -346,7 +346,7 @@
 
         upstream = await Upstream(act).start()
         mesh = Mesh(upstream)
-        mesh.egress.services["p"].balancer.retries = 1.0  # as if earned by earlier requests
+        mesh.egress.services["p"].balancer.retry_tokens = 1.0  # as if earned by earlier requests
         caller = await mesh.caller()
         caller.writer.write(request_head("read"))
         assert (await caller.read())[::2] == (200, b"onetwo") and len(upstream.ran) == 2
