--- a/brackengate/control/store.py
+++ b/brackengate/control/store.py
@@ -229,13 +229,13 @@
     def _read_rows(self) -> LoadedRows:
         loaded = LoadedRows(CommittedRows(), [], 0)
         waiting: list[tuple[int, bytes]] = []
-        for kind, name, place, value in self.db.execute("SELECT kind, name, place, value FROM rows"):
-            self._checksum += _row_checksum(kind, name, place, value)
+        for kind, name, log_index, value in self.db.execute("SELECT kind, name, place, value FROM rows"):
+            self._checksum += _row_checksum(kind, name, log_index, value)
             if self._format < FORMAT_VERSION or kind != b"key":
                 held = msgspec.json.decode(value)
                 if kind != b"key":  # rows of other kinds are few
-                    loaded.others.append((kind.decode(), name.decode(), place, held))
-            waiting.append(loaded.record(kind, name, place, value))
+                    loaded.others.append((kind.decode(), name.decode(), log_index, held))
+            waiting.append(loaded.record(kind, name, log_index, value))
             if len(waiting) >= LOAD_BATCH_ROWS:
                 loaded.rows.add_records(waiting)
                 waiting.clear()
@@ -244,9 +244,9 @@
 
     def _read_log(self) -> list[Entry]:
         entries = []
-        for place, value in self.db.execute("SELECT place, value FROM log ORDER BY place"):
-            self._log[place] = _row_checksum(b"", b"", place, value)
-            entries.append(Entry(place, msgspec.json.decode(value, type=tuple[Row, ...])))
+        for log_index, value in self.db.execute("SELECT place, value FROM log ORDER BY place"):
+            self._log[log_index] = _row_checksum(b"", b"", log_index, value)
+            entries.append(Entry(log_index, msgspec.json.decode(value, type=tuple[Row, ...])))
         self._checksum += sum(self._log.values())
         return entries
 
@@ -343,8 +343,8 @@
             self._drop_entries(max(self.log, default=0))
         for name, meant in store.meta.items():
             self.meta[name] = msgspec.Raw(msgspec.json.encode(meant))
-        for place, row in store.rows:
-            self._row(place, *row)
+        for log_index, row in store.rows:
+            self._row(log_index, *row)
         self._drop_entries(store.committed)
         for entry in store.entries:
             value = msgspec.json.encode(entry.rows)
@@ -357,7 +357,7 @@
         self.meta["tally"] = msgspec.Raw(msgspec.json.encode((count, self.checksum)))
         return msgspec.json.encode(self.meta)
 
-    def _row(self, place: int, kind: str, name: str, value: Any) -> None:
+    def _row(self, log_index: int, kind: str, name: str, value: Any) -> None:
         execute, key = self._execute, (bucket_of(name), kind, name)
         for old in execute(f"SELECT place, value FROM rows {THIS_ROW}", key).fetchall():
             self.checksum -= _row_checksum(kind.encode(), name.encode(), *old)
@@ -365,20 +365,20 @@
             execute(f"DELETE FROM rows {THIS_ROW}", key)
             return
         new = msgspec.json.encode(value)
-        self.checksum += _row_checksum(kind.encode(), name.encode(), place, new)
-        execute("INSERT OR REPLACE INTO rows VALUES (?, ?, ?, ?, ?)", (*key, place, new))
+        self.checksum += _row_checksum(kind.encode(), name.encode(), log_index, new)
+        execute("INSERT OR REPLACE INTO rows VALUES (?, ?, ?, ?, ?)", (*key, log_index, new))
 
     def _drop_entries(self, index: int) -> None:
         """Deletes the entries up to this index."""
-        gone = [place for place in self.log if place <= index]
+        gone = [log_index for log_index in self.log if log_index <= index]
         if gone:
             self._execute("DELETE FROM log WHERE place <= ?", (index,))
-        for place in gone:
-            self.checksum -= self.log.pop(place)
+        for log_index in gone:
+            self.checksum -= self.log.pop(log_index)
 
 
-def _row_checksum(kind: bytes, name: bytes, place: int, value: bytes) -> int:
-    return crc32(value, crc32(b"%b\0%b\0%d\0" % (kind, name, place)))
+def _row_checksum(kind: bytes, name: bytes, log_index: int, value: bytes) -> int:
+    return crc32(value, crc32(b"%b\0%b\0%d\0" % (kind, name, log_index)))
 
 
 def _check_header(path: Path) -> None:
