--- a/brackengate/http/body.py
+++ b/brackengate/http/body.py
@@ -151,9 +151,8 @@
     # --- internals
 
     def _has_room(self) -> bool:
-        return self._unsent_bytes < max(
-            MIN_SHARE_BYTES, self._budget.share() // 2
-        )  # the other half is for sent pieces
+        # The other half of the share is for sent pieces.
+        return self._unsent_bytes < max(MIN_SHARE_BYTES, self._budget.share() // 2)
 
     def _drop_sent_pieces(self) -> None:
         """Release sent pieces while more than the share is held.
--- a/brackengate/http/message.py
+++ b/brackengate/http/message.py
@@ -88,8 +88,7 @@
     close: bool,
     extra_headers: bytes = b"",
 ) -> bytes:
-    """A whole answer.  `retry_after_us` in microseconds: told as a decimal, as whole seconds would be
-    coarse."""
+    """A complete answer.  Retry-After is sent as a decimal, as whole seconds would be too coarse."""
     return b"HTTP/1.1 %d %s\r\nContent-Length: %d\r\n%s%s%s%s\r\n%s" % (
         status,
         REASON_PHRASES.get(status, b"Status"),
--- a/brackengate/net/http.py
+++ b/brackengate/net/http.py
@@ -19,7 +19,7 @@
 
 MAX_BUFFERED_BODY_BYTES = MAX_UNSTREAMED_BYTES  # for frontends that need complete bodies
 MAX_STREAMED_BODY_BYTES = 64 << 20  # for frontends that stream them; bodies are specified as up to 32 MB
-# The kernel's send buffer for a streamed answer: with a larger one, seconds pass before a slow reader shows.
+# The kernel's send buffer for a streamed answer: by default, slow reading shows only after seconds.
 SEND_BUFFER_BYTES = 128 << 10
 MAX_UNSENT_BYTES = 32 << 10  # of a streamed answer, in the transport's buffer
 LINGER_RESET = struct.pack("ii", 1, 0)  # SO_LINGER value that makes a close send a reset
--- a/tests/http/test_single_headers.py
+++ b/tests/http/test_single_headers.py
@@ -32,7 +32,7 @@
     )  # a list by definition: the value of our own load balancer is the last
 
 
-def test_a_header_that_a_route_matches_may_occur_once() -> None:
+def test_a_header_that_a_route_matches_may_occur_only_once() -> None:
     seen: list[Any] = []
     table = SimpleNamespace(headers={b"x-tier"})
     pools = SimpleNamespace(table=table, choose=lambda traits: seen.append(traits.headers) or "pool")
--- a/tests/lighthouse/test_commands_pending.py
+++ b/tests/lighthouse/test_commands_pending.py
@@ -133,7 +133,7 @@
 
 
 class Connection:
-    def hold(self, gone: Callable[[], None]) -> None:
+    def expect_answer(self, gone: Callable[[], None]) -> None:
         self.gone = gone
 
 
--- a/tests/pilot/test_pieces.py
+++ b/tests/pilot/test_pieces.py
@@ -222,7 +222,7 @@
         mesh = Mesh(upstream)
         caller = await mesh.caller()
         caller.writer.write(ask(route, key="k" if route == "bid" else ""))
-        await received(caller, most=100 * KIB)
+        await received(caller, max_bytes=100 * KIB)
         reset(caller.writer)
         await upstream.ended.get()
         await until(settled(mesh))
