--- a/benchmarks/mesh.py
+++ b/benchmarks/mesh.py
@@ -113,7 +113,7 @@
             wake.attempt_began(request, 0, "i-7f3a91c2", at + 300)
             wake.attempt_written(request, 0, "i-7f3a91c2")
             wake.attempt_ended(request, 0, "i-7f3a91c2", Outcome.OK, 9_000)
-            wake.ended(request, 200 if n % 2 else 503, at, at + 9_400)
+            wake.request_ended(request, 200 if n % 2 else 503, at, at + 9_400)
             wake.visited(b"%016x" % n, at, 5_000, "route", "i-7f3a91c2", b"", Said.RAN, "")
 
     begun = time.perf_counter()
--- a/brackengate/fleet/counters.py
+++ b/brackengate/fleet/counters.py
@@ -22,11 +22,11 @@
         self.attempts: dict[str, Counter[str]] = {}
         self.latencies = [0] * (len(BOUNDS_MS) + 1)
 
-    def serving(self, now: bool) -> None:
+    def serving_changed(self, now: bool) -> None:
         self._on_serving(now)
 
-    def ended(self, request: Request, status: int, began: int, at: int) -> None:
-        super().ended(request, status, began, at)
+    def request_ended(self, request: Request, status: int, began: int, at: int) -> None:
+        super().request_ended(request, status, began, at)
         if status == 200:
             self.latencies[bisect.bisect_left(BOUNDS_MS, (at - began) / 1000)] += 1
 
--- a/brackengate/net/metrics.py
+++ b/brackengate/net/metrics.py
@@ -51,13 +51,13 @@
 
     # --- Observer
 
-    def serving(self, now: bool) -> None:
+    def serving_changed(self, now: bool) -> None:
         pass
 
-    def taken(self, request: Request, at: int) -> None:
+    def request_started(self, request: Request, at: int) -> None:
         self.started_total += 1
 
-    def ended(self, request: Request, status: int, began: int, at: int) -> None:
+    def request_ended(self, request: Request, status: int, began: int, at: int) -> None:
         self.ended_total += 1
         self.requests_by_status[request.class_name, status] += 1
 
--- a/brackengate/net/node.py
+++ b/brackengate/net/node.py
@@ -313,7 +313,7 @@
     def _report_started(self, exchange: Exchange) -> None:
         exchange.start_reported = True
         if self.observer is not None:
-            self.observer.taken(exchange.request, exchange.began_at)
+            self.observer.request_started(exchange.request, exchange.began_at)
 
     def _body_ended(self, exchange: Exchange) -> None:
         """The body of a request that was submitted early is complete or was truncated."""
@@ -363,7 +363,7 @@
                 self._serving.discard(name)
         self._post(UpstreamList(kind, tuple(row for row, _ in rows), version))
         if self.observer is not None and bool(self._serving) is not was_serving:
-            self.observer.serving(not was_serving)
+            self.observer.serving_changed(not was_serving)
 
     def post_event(self, event: Event) -> None:
         """Pass the decision module an event that concerns neither a request nor the list."""
@@ -577,7 +577,7 @@
         if not exchange.start_reported and status:
             self._report_started(exchange)  # answered before its body was complete
         if self.observer is not None and exchange.start_reported:
-            self.observer.ended(exchange.request, status, exchange.began_at, now or self.clock.now())
+            self.observer.request_ended(exchange.request, status, exchange.began_at, now or self.clock.now())
         self._recent_ids[exchange.id] = None
         if len(self._recent_ids) > MAX_RECENT_IDS:
             del self._recent_ids[next(iter(self._recent_ids))]
--- a/brackengate/net/observer.py
+++ b/brackengate/net/observer.py
@@ -13,13 +13,13 @@
     Notifications never block, and cost one check if there is no observer.  Implementations must not raise.
     """
 
-    def serving(self, now: bool) -> None:
+    def serving_changed(self, now: bool) -> None:
         """`now`: whether at least one upstream serves; called when this changes."""
 
-    def taken(self, request: Request, at: int) -> None:
+    def request_started(self, request: Request, at: int) -> None:
         """A request was accepted at clock time `at`, in microseconds."""
 
-    def ended(self, request: Request, status: int, began: int, at: int) -> None:
+    def request_ended(self, request: Request, status: int, began: int, at: int) -> None:
         """A request was answered, with status 0 if its caller had disconnected; times in microseconds."""
 
     def attempt_began(self, request: Request, number: int, upstream: str, at: int) -> None:
--- a/brackengate/pilot/wake.py
+++ b/brackengate/pilot/wake.py
@@ -63,10 +63,10 @@
     def turned_away(self, attempt: bytes, at: int, status: int, why: str) -> None:
         self._odd.append(Trace(attempt, at, "", "", 0, why, status=status))
 
-    def serving(self, now: bool) -> None:
+    def serving_changed(self, now: bool) -> None:
         pass
 
-    def taken(self, request: Request, at: int) -> None:
+    def request_started(self, request: Request, at: int) -> None:
         pass
 
     def attempt_began(self, request: Request, number: int, upstream: str, at: int) -> None:
@@ -84,7 +84,7 @@
         if trace is not None:
             trace.steps[number] = (number, trace.steps[number][1], upstream, outcome, latency)
 
-    def ended(self, request: Request, status: int, began: int, at: int) -> None:
+    def request_ended(self, request: Request, status: int, began: int, at: int) -> None:
         trace = self._open.pop(request.request, None)
         if trace is not None:
             trace.status, trace.took = status, at - began
--- a/brackengate/platform/program.py
+++ b/brackengate/platform/program.py
@@ -45,7 +45,7 @@
         super().__init__()
         self._program = program
 
-    def serving(self, now: bool) -> None:
+    def serving_changed(self, now: bool) -> None:
         self._program.post(lifecycle.Serving(now))
 
 
--- a/brackengate/routing/pools.py
+++ b/brackengate/routing/pools.py
@@ -57,15 +57,22 @@
 class _PoolObserver:
     """For one pool's node: what it tells goes straight on, but whether it serves is a matter of all pools."""
 
-    __slots__ = ("attempt_began", "attempt_ended", "attempt_written", "ended", "serving", "taken")
+    __slots__ = (
+        "attempt_began",
+        "attempt_ended",
+        "attempt_written",
+        "request_ended",
+        "request_started",
+        "serving_changed",
+    )
 
     def __init__(self, inner: Observer, serving: Callable[[], None]) -> None:
-        self.taken: Callable[[Request, int], None] = inner.taken
-        self.ended: Callable[[Request, int, int, int], None] = inner.ended
+        self.request_started: Callable[[Request, int], None] = inner.request_started
+        self.request_ended: Callable[[Request, int, int, int], None] = inner.request_ended
         self.attempt_began: Callable[[Request, int, str, int], None] = inner.attempt_began
         self.attempt_written: Callable[[Request, int, str], None] = inner.attempt_written
         self.attempt_ended: Callable[[Request, int, str, Outcome, int], None] = inner.attempt_ended
-        self.serving: Callable[[bool], None] = lambda now: serving()
+        self.serving_changed: Callable[[bool], None] = lambda now: serving()
 
 
 class PoolRun:
@@ -371,7 +378,7 @@
         if now is not self._serves:
             self._serves = now
             if self._observer is not None:
-                self._observer.serving(now)
+                self._observer.serving_changed(now)
 
     def _look(self) -> None:
         """Close pools that have left and hold nothing any more."""
--- a/tests/admin/test_admin_protocol.py
+++ b/tests/admin/test_admin_protocol.py
@@ -82,9 +82,9 @@
     metrics = RequestMetrics()
     for number, status in enumerate((200, 503, 429, 502, 504, 500, 0)):
         request = Request(f"r{number}", "read", 1)
-        metrics.taken(request, 0)
+        metrics.request_started(request, 0)
         assert metrics.inflight == 1
-        metrics.ended(request, status, 0, 1)
+        metrics.request_ended(request, status, 0, 1)
     assert metrics.inflight == 0
     counts = metrics.count_by_result(["read"])
     assert counts == {
--- a/tests/bridge/test_bridge_pure.py
+++ b/tests/bridge/test_bridge_pure.py
@@ -194,7 +194,7 @@
         wake.attempt_ended(request, 0, "i-1", Outcome.NOT_SENT, 2_000)
         wake.attempt_began(request, 1, "i-2", 1_002_400)
         wake.attempt_ended(request, 1, "i-2", Outcome.OK, 9_000)
-        wake.ended(request, 200, 1_000_000, 1_011_400)
+        wake.request_ended(request, 200, 1_000_000, 1_011_400)
         wake.visited(b"id-1", 1_000_900, 400, "r", "i-1", b"", Said.AWAY, "draining")
         wake.turned_away(b"id-2", 5_000_000, 404, "no route")
         found = hops.in_order([Follows("10.0.0.9", 1, 1, wake.about("id-1"))])
@@ -219,7 +219,7 @@
             wake.begins(request.request, name, n, "r", "s", 0)
             wake.attempt_began(request, 0, "i-1", n)
             if n < 20:
-                wake.ended(request, 503 if n in (4, 6, 8) else 200, n, n + 1)
+                wake.request_ended(request, 503 if n in (4, 6, 8) else 200, n, n + 1)
         known = [n for n in range(MOST_OPEN + 50) if wake.about(f"id-{n}")]
         self.assertThat(known, Equals([6, 8, *range(MOST_OPEN + 47, MOST_OPEN + 50)]))
         self.assertThat(len(wake._open), Equals(MOST_OPEN))
