--- a/benchmarks/mesh.py
+++ b/benchmarks/mesh.py
@@ -113,7 +113,7 @@
             request_log.attempt_began(request, 0, "i-7f3a91c2", at + 300)
             request_log.attempt_written(request, 0, "i-7f3a91c2")
             request_log.attempt_ended(request, 0, "i-7f3a91c2", Outcome.OK, 9_000)
-            request_log.ended(request, 200 if n % 2 else 503, at, at + 9_400)
+            request_log.request_ended(request, 200 if n % 2 else 503, at, at + 9_400)
             request_log.record_ingress(
                 b"%016x" % n, at, 5_000, "route", "i-7f3a91c2", b"", HopOutcome.RAN, ""
             )
--- a/brackengate/proxy/request_log.py
+++ b/brackengate/proxy/request_log.py
@@ -67,10 +67,10 @@
         """A request was rejected before it reached a service's node."""
         self._egress_unusual.append(EgressRecord(attempt, at, "", "", 0, reason, status=status))
 
-    def serving(self, now: bool) -> None:
+    def serving_changed(self, now: bool) -> None:
         """Not recorded."""
 
-    def taken(self, request: Request, at: int) -> None:
+    def request_started(self, request: Request, at: int) -> None:
         """Not recorded; `record_request` has done so."""
 
     def attempt_began(self, request: Request, number: int, upstream: str, at: int) -> None:
@@ -90,7 +90,7 @@
         if record is not None:
             record.attempts[number] = (number, record.attempts[number][1], upstream, outcome, latency)
 
-    def ended(self, request: Request, status: int, began: int, at: int) -> None:
+    def request_ended(self, request: Request, status: int, began: int, at: int) -> None:
         """A request is answered; keeps it for longer if it is unusual."""
         record = self._open.pop(request.request, None)
         if record is not None:
--- a/tests/meshctl/test_meshctl_pure.py
+++ b/tests/meshctl/test_meshctl_pure.py
@@ -197,7 +197,7 @@
         request_log.attempt_ended(request, 0, "i-1", Outcome.NOT_SENT, 2_000)
         request_log.attempt_began(request, 1, "i-2", 1_002_400)
         request_log.attempt_ended(request, 1, "i-2", Outcome.OK, 9_000)
-        request_log.ended(request, 200, 1_000_000, 1_011_400)
+        request_log.request_ended(request, 200, 1_000_000, 1_011_400)
         request_log.record_ingress(b"id-1", 1_000_900, 400, "r", "i-1", b"", HopOutcome.AWAY, "draining")
         request_log.record_rejection(b"id-2", 5_000_000, 404, "no route")
         found = hops.in_order([FollowerStatus("10.0.0.9", 1, 1, request_log.records_of("id-1"))])
@@ -223,7 +223,7 @@
             request_log.record_request(request.request, name, n, "r", "s", 0)
             request_log.attempt_began(request, 0, "i-1", n)
             if n < 20:
-                request_log.ended(request, 503 if n in (4, 6, 8) else 200, n, n + 1)
+                request_log.request_ended(request, 503 if n in (4, 6, 8) else 200, n, n + 1)
         known = [n for n in range(MAX_OPEN + 50) if request_log.records_of(f"id-{n}")]
         self.assertThat(known, Equals([6, 8, *range(MAX_OPEN + 47, MAX_OPEN + 50)]))
         self.assertThat(len(request_log._open), Equals(MAX_OPEN))
--- a/tests/proxy/test_streamed_bodies.py
+++ b/tests/proxy/test_streamed_bodies.py
@@ -225,7 +225,7 @@
         mesh = Mesh(upstream)
         caller = await mesh.caller()
         caller.writer.write(request_head(route, key="k" if route == "bid" else ""))
-        await received(caller, most=100 * KIB)
+        await received(caller, max_bytes=100 * KIB)
         reset(caller.writer)
         await upstream.ended.get()
         await until(settled(mesh))
