--- a/benchmarks/scale/site.py
+++ b/benchmarks/scale/site.py
@@ -15,8 +15,8 @@
 
 from benchmarks.scale.orders import CHANGED_ROUTE, HOST, End, HollowPlan, Order, Report
 from brackengate.meshctl.ask import MeshClient
-from brackengate.protocol.messages import Standing
-from brackengate.proxy.failure_detector import LATE
+from brackengate.protocol.messages import ReplicaStatus
+from brackengate.proxy.failure_detector import KEEPALIVE_TIMEOUT_US
 from standins.mesh import ROOT, Machine, Ports, Upstream, call
 
 FEEDBACK_US = 1_500_000
@@ -44,7 +44,7 @@
     replicas: int = 3
     real_proxies: int = 3
     tolerance: int = 1
-    late_us: int = LATE
+    late_us: int = KEEPALIVE_TIMEOUT_US
 
     @property
     def services(self) -> int:
@@ -227,7 +227,7 @@
                 return
             await asyncio.sleep(0.2)
 
-    async def standings(self) -> list[Standing]:
+    async def standings(self) -> list[ReplicaStatus]:
         """Of the members, from the head to the tail; then of those that have lost their seat."""
         standings, _ = await self.client.statuses()
         order = [member.addr for member in max(standings, key=lambda one: one.epoch).members]
--- a/brackengate/control/contact.py
+++ b/brackengate/control/contact.py
@@ -22,7 +22,7 @@
     Peer,
     majority_since,
 )
-from brackengate.protocol.messages import Member, NewView, Ping, Pong, View, WantView
+from brackengate.protocol.messages import Member, NewView, Ping, Pong, View, ViewRequest
 
 
 @dataclass(slots=True)
@@ -146,7 +146,7 @@
         pong = Pong(self.view.epoch, ping.sent, self.epoch_closed, self.incarnation)
         out: list[Action] = [Tell(addr, pong)]
         if ping.epoch > self.view.epoch:
-            out.append(Tell(addr, WantView()))
+            out.append(Tell(addr, ViewRequest()))
         elif ping.epoch < self.view.epoch:
             out.append(Tell(addr, NewView(self.view)))
         return out
@@ -196,7 +196,7 @@
         for one in alive:
             said = self._fresh(one.addr, now)
             for other in alive:
-                if said is not None and other.addr not in (one.addr, self.me, *said.hears):
+                if said is not None and other.addr not in (one.addr, self.me, *said.reachable):
                     pair = (one.addr, other.addr)
                     apart[pair] = self._apart.get(pair, now)
         self._apart = apart
--- a/brackengate/control/view.py
+++ b/brackengate/control/view.py
@@ -23,16 +23,16 @@
     Accept,
     Accepted,
     Ballot,
-    Line,
+    BallotRejected,
     Member,
+    Message,
     NewView,
-    Outvoted,
     Ping,
     Pong,
     Prepare,
     Promise,
     View,
-    WantView,
+    ViewRequest,
 )
 
 __all__ = ["APART", "NEVER", "NOBODY", "Agreement", "LogStatus"]
@@ -85,7 +85,7 @@
             self.peers[addr].refused = self.peers[addr].ever
         return self._reconfigure(now, log)
 
-    def heard(self, addr: str, word: Line, now: int, log: LogStatus) -> list[Action]:
+    def heard(self, addr: str, word: Message, now: int, log: LogStatus) -> list[Action]:
         match word:
             case Prepare():
                 return self._on_prepare(addr, word, now, log)
@@ -95,7 +95,7 @@
                 return self._on_accept(addr, word, now)
             case Accepted():
                 return self._on_accepted(addr, word, now)
-            case Outvoted():
+            case BallotRejected():
                 self._high = max(self._high, word.ballot[0])
                 return []
         self.meet(addr, now)
@@ -107,7 +107,7 @@
                 return self._on_ping(addr, peer, word, now, log) + self._reconfigure(now, log)
             case Pong():
                 return self._on_pong(peer, word, now, log)
-            case WantView():
+            case ViewRequest():
                 return [Tell(addr, NewView(self.view))] if self.view.epoch else []
             case NewView(view):
                 return self._adopt(view, now)
@@ -141,7 +141,7 @@
         if member.addr == self.me:
             return self.leaves
         said = self.peers[member.addr].said if member.addr in self.peers else None
-        return said is not None and said.leaves
+        return said is not None and said.leaving
 
     def coordinator(self, now: int) -> str:
         """Whose turn it is first to change the view, by what is known here; empty where nobody can."""
@@ -157,8 +157,8 @@
         needed = max(0, log.commit_index - ADMISSION_LAG)
         others = [self._fresh(member.addr, now) for member in alive if member.addr != self.me]
         for addr, said in self._learners(now):
-            heard_by_all = all(one is not None and addr in one.hears for one in others)
-            if heard_by_all and said.copied >= needed:
+            heard_by_all = all(one is not None and addr in one.reachable for one in others)
+            if heard_by_all and said.copied_index >= needed:
                 return Member(addr, said.incarnation, self.view.epoch + 1)
         return None
 
@@ -291,7 +291,7 @@
         return [Store(meta=self._acceptor.meta(), tells=[Tell(addr, Accepted(word.epoch, word.ballot))])]
 
     def _outvoted(self, addr: str, epoch: int) -> list[Action]:
-        return [Tell(addr, Outvoted(epoch, self._acceptor.promised))] if addr != self.me else []
+        return [Tell(addr, BallotRejected(epoch, self._acceptor.promised))] if addr != self.me else []
 
     def _adopt(self, view: View, now: int) -> list[Action]:
         if view.epoch <= self.view.epoch:
--- a/brackengate/emulator/mesh/world.py
+++ b/brackengate/emulator/mesh/world.py
@@ -10,7 +10,7 @@
 from collections.abc import Callable, Iterable
 from functools import partial
 
-from brackengate.control.role import Lighthouse
+from brackengate.control.role import ControlReplica
 from brackengate.emulator.loop import MS, Loop, S
 from brackengate.emulator.mesh.disk import EmulatedDisk, EmulatedDrive
 from brackengate.emulator.mesh.ground import RoleProcess, Ways, ground_of
@@ -19,7 +19,7 @@
 from brackengate.emulator.mesh.upstream import Upstream
 from brackengate.net.sockets import Address
 from brackengate.protocol.settings import Settings, parse
-from brackengate.proxy.role import Pilot
+from brackengate.proxy.role import Proxy
 
 STARTS = 250 * MS  # from a process to its first step
 BACK = 300 * MS  # from a process's end to the next one
@@ -44,7 +44,7 @@
         self.gone_at = -1  # when it went last
         self.powered = True
         self.upstream: Upstream | None = None
-        self.role: Pilot | Lighthouse | None = None
+        self.role: Proxy | ControlReplica | None = None
         self.rng = random.Random(f"{world.seed}/{name}")
         self.process = RoleProcess(world.loop, world.net, ip, name, self.rng)
         self.process.alive = False
@@ -78,14 +78,14 @@
         world = self.world
         ground = ground_of(process, world.loop, world.net, random.Random(self.rng.getrandbits(64)), self.off)
         if self.core:
-            light = Lighthouse(settings, ground, EmulatedDrive(self.disk, process))
+            light = ControlReplica(settings, ground, EmulatedDrive(self.disk, process))
             self.role = light
             task = process.create_task(light.run())
             task.add_done_callback(lambda _: world.loop.after(0, partial(self._left, process)))
         else:
-            pilot = Pilot(settings, lambda: parse(world.settings(self, False)), ground)
+            pilot = Proxy(settings, lambda: parse(world.settings(self, False)), ground)
             self.role = pilot
-            pilot.left.add_done_callback(lambda _: world.loop.after(0, partial(self._left, process)))
+            pilot.exited.add_done_callback(lambda _: world.loop.after(0, partial(self._left, process)))
             pilot.start()
 
     def _left(self, process: RoleProcess) -> None:
@@ -234,7 +234,7 @@
             machine.role.replica.agreement.view
             for machine in self.core
             if machine.process.alive
-            and isinstance(machine.role, Lighthouse)
+            and isinstance(machine.role, ControlReplica)
             and hasattr(machine.role, "replica")
         ]
         names = {machine.ip: machine.name for machine in self.core}
--- a/brackengate/meshctl/archive.py
+++ b/brackengate/meshctl/archive.py
@@ -8,8 +8,8 @@
 import msgspec
 
 from brackengate.meshctl.changes import items_of
-from brackengate.protocol.config_items import layout
-from brackengate.protocol.messages import HeldItem, Items
+from brackengate.protocol.config_items import config_document
+from brackengate.protocol.messages import ItemList, StoredItem
 
 FORMAT_VERSION = 1
 
@@ -27,7 +27,7 @@
     place: int
     epoch: int
     taken: str
-    items: tuple[HeldItem, ...]  # with removed ones, whose versions count too
+    items: tuple[StoredItem, ...]  # with removed ones, whose versions count too
 
 
 class _File(msgspec.Struct):
@@ -43,7 +43,7 @@
     return "sha256:" + hashlib.sha256(msgspec.json.encode(content, order="sorted")).hexdigest()
 
 
-def pack(held: Items, taken: str) -> bytes:
+def pack(held: ItemList, taken: str) -> bytes:
     """The bytes of a backup file of these items."""
     content = msgspec.to_builtins(Content(held.commit_index, held.epoch, taken, held.items))
     file = {"form": FORMAT_VERSION, "checksum": _checksum(content), "content": content}
@@ -76,4 +76,4 @@
         if item.body is None:
             removed[kind].append({"Name": name, "Revision": f"r{item.version}"})
     remove = {"Routes": removed["route"], "Plants": removed["plant"]}
-    return msgspec.json.encode({"Apply": layout(items.items()), "Remove": remove})
+    return msgspec.json.encode({"Apply": config_document(items.items()), "Remove": remove})
--- a/brackengate/meshctl/ask.py
+++ b/brackengate/meshctl/ask.py
@@ -7,25 +7,25 @@
 from typing import Any
 
 from brackengate.net.sockets import Address, parse_address
-from brackengate.protocol.json_connection import Lines
+from brackengate.protocol.json_connection import JsonConnection
 from brackengate.protocol.messages import (
     Amend,
     CommandResult,
     Configuration,
     Explain,
     Followers,
-    Follows,
+    FollowerStatus,
     Held,
-    Inquire,
+    Inquiry,
     InquiryResult,
-    Items,
+    ItemList,
     Leave,
-    Line,
+    Message,
     Read,
     Rejoin,
+    ReplicaStatus,
     Result,
     Stand,
-    Standing,
 )
 
 CONNECT_TIMEOUT_S = 1.0
@@ -50,15 +50,15 @@
     answer: asyncio.Future[QueryResult] = loop.create_future()
     name = type(what).__name__.lower()
 
-    def on_line(lines: Lines, word: Line) -> None:
+    def on_line(lines: JsonConnection, word: Message) -> None:
         if isinstance(word, Result) and not answer.done():
             answer.set_result(word.result)
 
-    def on_lost(lines: Lines) -> None:
+    def on_lost(lines: JsonConnection) -> None:
         if not answer.done():
             answer.set_exception(Unanswered(name, address, "it ended the connection; an older program?"))
 
-    connection = Lines(on_line, lambda lines: lines.send(Inquire(1, what)), on_lost)
+    connection = JsonConnection(on_line, lambda lines: lines.send(Inquiry(1, what)), on_lost)
     try:
         async with asyncio.timeout(CONNECT_TIMEOUT_S):
             await loop.create_connection(lambda: connection, *address)
@@ -108,9 +108,9 @@
             failed.append(Unanswered(type(what).__name__.lower(), address, why))
         raise ExceptionGroup("no lighthouse answered", failed)
 
-    async def statuses(self) -> tuple[list[Standing], list[Unanswered]]:
+    async def statuses(self) -> tuple[list[ReplicaStatus], list[Unanswered]]:
         """The status of every replica that can be found.  Raises a group of Unanswered if none answers."""
-        found: dict[Address, Standing] = {}
+        found: dict[Address, ReplicaStatus] = {}
         failed: dict[Address, Unanswered] = {}
         pending = self._addresses
         for _ in range(DISCOVERY_ROUNDS):
@@ -121,14 +121,14 @@
                 elif isinstance(answer, BaseException):
                     raise answer
                 else:
-                    assert isinstance(answer, Standing)
+                    assert isinstance(answer, ReplicaStatus)
                     found[address] = answer
             known = {
                 self.address(addr)
                 for one in found.values()
                 for addr in (
                     *(member.addr for member in one.members),
-                    *(near.addr for near in one.neighbours if near.heard),
+                    *(near.addr for near in one.peers if near.reachable),
                 )
             }
             pending = sorted(known - found.keys() - failed.keys())
@@ -139,15 +139,15 @@
         by_name = {one.addr: one for one in found.values()}
         return [by_name[addr] for addr in sorted(by_name)], list(failed.values())
 
-    async def items(self) -> Items:
+    async def items(self) -> ItemList:
         """The configuration items, from a replica that is connected to the others."""
 
         def reject(answer: QueryResult) -> str:
-            serves = isinstance(answer, Items) and answer.serves
+            serves = isinstance(answer, ItemList) and answer.serving
             return "" if serves else "it is out of touch with the others"
 
         found = await self.first(Held(), reject=reject)
-        assert isinstance(found, Items)
+        assert isinstance(found, ItemList)
         return found
 
     async def of_members(self, what: Query, members: Sequence[str]) -> list[QueryResult]:
@@ -166,11 +166,11 @@
         assert isinstance(found, Configuration)
         return found.content
 
-    async def explain(self, attempt: str, members: Sequence[str]) -> list[Follows]:
+    async def explain(self, attempt: str, members: Sequence[str]) -> list[FollowerStatus]:
         """What the followers of these members recorded of one request."""
         answers = await self.of_members(Explain(attempt), members)
         answered = [answer for answer in answers if isinstance(answer, Followers)]
-        return [one for answer in answered for one in answer.pilots]
+        return [one for answer in answered for one in answer.proxies]
 
 
 def _not_committed(answer: QueryResult) -> str:
--- a/brackengate/meshctl/changes.py
+++ b/brackengate/meshctl/changes.py
@@ -12,10 +12,10 @@
 
 import msgspec
 
+from brackengate.control.config_changes import History, decide
 from brackengate.control.item_index import ItemIndex
-from brackengate.control.orders import History, decide
-from brackengate.protocol.config_items import Invalid, Item, Name, Order, read_call
-from brackengate.protocol.messages import CommandDone, HeldItem
+from brackengate.protocol.config_items import ConfigChange, InvalidConfig, Item, ItemName, parse_change
+from brackengate.protocol.messages import CommandDone, StoredItem
 
 SET, DROPPED, NO_EFFECT, INVALID = "set", "dropped", "no effect", "invalid"
 
@@ -49,16 +49,16 @@
     return data
 
 
-def items_of(held: Iterable[HeldItem]) -> dict[Name, Item]:
+def items_of(held: Iterable[StoredItem]) -> dict[ItemName, Item]:
     """Stored items by kind and name."""
     return {(one.kind, one.name): Item(one.version, one.host, one.body) for one in held}
 
 
-def compare(call: bytes, held: Mapping[Name, Item]) -> list[Change]:
+def compare(call: bytes, held: Mapping[ItemName, Item]) -> list[Change]:
     """The effect of every item of the change, in its order; faults of the whole change come last."""
     try:
-        read = read_call(call)
-    except Invalid as error:
+        read = parse_change(call)
+    except InvalidConfig as error:
         faults = list(_faults(call))
         reported = any(one.why == str(error) for one in faults)
         return faults if reported else [*faults, Change("call", "", INVALID, why=str(error))]
@@ -84,8 +84,8 @@
     return found + conflicts
 
 
-def _highest(order: Order) -> dict[Name, int]:
-    found: dict[Name, int] = {}
+def _highest(order: ConfigChange) -> dict[ItemName, int]:
+    found: dict[ItemName, int] = {}
     for name, item in order:
         found[name] = max(item.version, found.get(name, 0))
     return found
@@ -110,8 +110,8 @@
         return  # not even the structure of a change
     for kind, raw, alone in singles:
         try:
-            read_call(msgspec.json.encode({"Apply": alone}))
-        except Invalid as why:
+            parse_change(msgspec.json.encode({"Apply": alone}))
+        except InvalidConfig as why:
             name = raw.get("Name") if isinstance(raw, dict) else None
             yield Change(kind, str(name or "?"), INVALID, why=str(why))
 
--- a/brackengate/meshctl/commands.py
+++ b/brackengate/meshctl/commands.py
@@ -22,7 +22,7 @@
 if TYPE_CHECKING:
     from brackengate.meshctl.ask import MeshClient
     from brackengate.meshctl.changes import Change
-    from brackengate.protocol.messages import Standing
+    from brackengate.protocol.messages import ReplicaStatus
 
 UNANSWERED, INVALID, REFUSED, INCOMPLETE = 1, 2, 3, 4
 POLL_INTERVAL_S = 0.1
@@ -228,7 +228,7 @@
 
 async def _wait_for_proxies(client: MeshClient, changes: Sequence[Change], wait: float, as_json: bool) -> int:
     from brackengate.meshctl import figures
-    from brackengate.protocol.messages import Held, Items
+    from brackengate.protocol.messages import Held, ItemList
 
     names = [((one.kind, one.name), one.version) for one in changes]
     until, late, place = time.monotonic() + wait, ["nobody could be asked"], None
@@ -237,10 +237,10 @@
             statuses, _ = await client.statuses()
             if place is None:
                 answers = await client.of_members(Held(), [one.addr for one in statuses])
-                place = figures.index_of(names, [one for one in answers if isinstance(one, Items)])
+                place = figures.index_of(names, [one for one in answers if isinstance(one, ItemList)])
             if place is not None:
                 late = figures.lagging_proxies(statuses, place)
-                count = sum(len(one.pilots) for one in statuses)
+                count = sum(len(one.proxies) for one in statuses)
                 if not late:
                     unseen = figures.machines_without_follower(statuses)
                     if as_json:
@@ -279,7 +279,7 @@
 # --- membership of the control plane
 
 
-def _member(statuses: Sequence[Standing], name: str) -> Standing:
+def _member(statuses: Sequence[ReplicaStatus], name: str) -> ReplicaStatus:
     found = [one for one in statuses if name in (one.addr, one.addr.rpartition(":")[0])]
     if not found:
         fail(f"no lighthouse {name} answered; there are {' '.join(one.addr for one in statuses)}", REFUSED)
@@ -292,7 +292,7 @@
     """Command a member to leave or to rejoin, and wait for the view with that change."""
     from brackengate.meshctl import figures
     from brackengate.meshctl.ask import Unanswered, ask
-    from brackengate.protocol.messages import SeatAnswer
+    from brackengate.protocol.messages import MembershipAnswer
 
     statuses, _ = await client.statuses()
     member = _member(statuses, name)
@@ -300,7 +300,7 @@
         answer = await ask(client.address(member.addr), what)
     except Unanswered as error:
         raise ExceptionGroup("a member did not answer", [error]) from None
-    assert isinstance(answer, SeatAnswer)
+    assert isinstance(answer, MembershipAnswer)
     if answer.refused:
         click.echo(f"brackengate: step {type(what).__name__.lower()}: {answer.refused}", err=True)
         return REFUSED
--- a/brackengate/meshctl/figures.py
+++ b/brackengate/meshctl/figures.py
@@ -6,38 +6,38 @@
 from collections.abc import Iterable, Sequence
 from typing import Any
 
-from brackengate.protocol.config_items import Name
-from brackengate.protocol.messages import Items, Standing
+from brackengate.protocol.config_items import ItemName
+from brackengate.protocol.messages import ItemList, ReplicaStatus
 
 STATES = ("ready", "draining", "away", "gone")
 
 
-def newest(statuses: Iterable[Standing]) -> Standing:
+def newest(statuses: Iterable[ReplicaStatus]) -> ReplicaStatus:
     """The status whose view and upstream list are valid: of the highest epoch, then commit index."""
     return max(statuses, key=lambda one: (one.epoch, one.is_member, one.commit_index))
 
 
-def state(one: Standing, view: Standing) -> str:
+def state(one: ReplicaStatus, view: ReplicaStatus) -> str:
     """The state of a replica in words for operators; `view` is the newest status."""
     phrases = []
     if one.epoch != view.epoch:
         phrases.append(f"still in view {one.epoch}")
     if not one.disk_healthy:
         phrases.append("disk unfit")
-    if one.leaves:
+    if one.leaving:
         phrases.append("leaving" if one.is_member else "left")
     elif not one.is_member:
         phrases.append("waits for a seat")
     elif not one.has_snapshot:
         phrases.append("taking its seat")
-    elif not one.serves:
+    elif not one.serving:
         phrases.append("out of touch")
     if one.epoch_closed:
         phrases.append("view being changed")
     return ", ".join(phrases) or "serves"
 
 
-def members(statuses: Sequence[Standing], lost: Iterable[tuple[str, str]] = ()) -> list[dict[str, Any]]:
+def members(statuses: Sequence[ReplicaStatus], lost: Iterable[tuple[str, str]] = ()) -> list[dict[str, Any]]:
     """Rows of the members in chain order, then of other replicas.  `lost`: who did not answer, and why."""
     view = newest(statuses)
     agreed = max(one.commit_index for one in statuses)
@@ -62,46 +62,50 @@
         )
         one = status_of.get(addr)
         if one is None:
-            reports = [it for other in statuses for it in other.neighbours if it.addr == addr]
+            reports = [it for other in statuses for it in other.peers if it.addr == addr]
             zone = next((it.zone for it in reports if it.zone), None)
             lost_row = {"member": addr, "zone": zone, "chain": place, "state": reasons.get(addr, "unreached")}
-            rows.append({**lost_row, "heard_by": sum(it.heard for it in reports)})
+            rows.append({**lost_row, "heard_by": sum(it.reachable for it in reports)})
             continue
         row = {"member": addr, "zone": one.zone, "view": one.epoch, "chain": place}
-        row |= {"stored": one.stored, "agreed": one.commit_index, "lag": max(0, agreed - one.stored)}
-        row |= {"pilots": len(one.pilots), "keys": one.keys, "routes": one.routes, "services": one.plants}
+        row |= {
+            "stored": one.stored_index,
+            "agreed": one.commit_index,
+            "lag": max(0, agreed - one.stored_index),
+        }
+        row |= {"pilots": len(one.proxies), "keys": one.keys, "routes": one.routes, "services": one.services}
         row |= {"duties": list(one.duties), "state": state(one, view)}
         rows.append(row)
     return rows
 
 
-def pilots(statuses: Sequence[Standing]) -> list[dict[str, Any]]:
+def pilots(statuses: Sequence[ReplicaStatus]) -> list[dict[str, Any]]:
     """Rows of the proxies.  `behind`: log indexes up to the last one for proxies; None: not reported."""
-    public = max(one.public for one in statuses)
+    public = max(one.public_index for one in statuses)
     rows = []
     for one in statuses:
-        for it in one.pilots:
+        for it in one.proxies:
             behind = None if it.index is None else max(0, public - it.index)
             rows.append({"pilot": it.addr, "follows": one.addr, "place": it.index, "behind": behind})
     return sorted(rows, key=lambda row: str(row["pilot"]))
 
 
-def machines_without_follower(statuses: Sequence[Standing]) -> list[str]:
+def machines_without_follower(statuses: Sequence[ReplicaStatus]) -> list[str]:
     """Listed machines whose proxy follows none of the replicas that answered."""
-    following = {it.addr for one in statuses for it in one.pilots}
+    following = {it.addr for one in statuses for it in one.proxies}
     listed = (machine for machine, it in newest(statuses).upstreams if it.state != "gone")
     return [machine for machine in listed if machine not in following]
 
 
-def services(statuses: Sequence[Standing]) -> list[dict[str, Any]]:
+def services(statuses: Sequence[ReplicaStatus]) -> list[dict[str, Any]]:
     """Rows of the services, with the number of their instances in each state."""
     counts: dict[str, Counter[str]] = {}
     for _, instance in newest(statuses).upstreams:
-        counts.setdefault(instance.plant, Counter())[instance.state] += 1
+        counts.setdefault(instance.service, Counter())[instance.state] += 1
     return [{"service": name, **{s: count[s] for s in STATES}} for name, count in sorted(counts.items())]
 
 
-def index_of(names: Iterable[tuple[Name, int]], item_lists: Sequence[Items]) -> int | None:
+def index_of(names: Iterable[tuple[ItemName, int]], item_lists: Sequence[ItemList]) -> int | None:
     """The log index from which a follower has these items at these versions or higher; None: not yet all.
 
     A replica that caught up may have taken several entries as one and then reports a later index than the
@@ -121,14 +125,14 @@
     return latest
 
 
-def lagging_proxies(statuses: Sequence[Standing], log_index: int) -> list[str]:
+def lagging_proxies(statuses: Sequence[ReplicaStatus], log_index: int) -> list[str]:
     """Following proxies that have not reported this log index."""
     return sorted(
-        it.addr for one in statuses for it in one.pilots if it.index is None or it.index < log_index
+        it.addr for one in statuses for it in one.proxies if it.index is None or it.index < log_index
     )
 
 
-def spare_members(statuses: Sequence[Standing]) -> int:
+def spare_members(statuses: Sequence[ReplicaStatus]) -> int:
     """How many more members may fail before reconfiguration lacks a majority or writes lack enough disks.
 
     Only members that answered and have a healthy disk count as present.  Below 0: the number that is missing.
@@ -139,13 +143,13 @@
     return min(present - (len(view.members) // 2 + 1), present - view.min_replicas)
 
 
-def all_members_serve(statuses: Sequence[Standing]) -> bool:
+def all_members_serve(statuses: Sequence[ReplicaStatus]) -> bool:
     """Whether every member of the view answered and serves in that same view."""
     view = newest(statuses)
     status_of = {one.addr: one for one in statuses}
     return all(
         member.addr in status_of
-        and status_of[member.addr].serves
+        and status_of[member.addr].serving
         and status_of[member.addr].epoch == view.epoch
         for member in view.members
     )
--- a/brackengate/meshctl/hops.py
+++ b/brackengate/meshctl/hops.py
@@ -6,14 +6,14 @@
 from collections.abc import Iterable
 from typing import Any
 
-from brackengate.protocol.messages import Follows
+from brackengate.protocol.messages import FollowerStatus
 
 Hop = dict[str, Any]
 
 
-def in_order(proxies: Iterable[Follows]) -> list[tuple[str, Hop]]:
+def in_order(proxies: Iterable[FollowerStatus]) -> list[tuple[str, Hop]]:
     """All records by the clocks of the proxies, which may differ; egress before ingress."""
-    found = [(one.addr, hop) for one in proxies for hop in one.wake]
+    found = [(one.addr, hop) for one in proxies for hop in one.decisions]
     return sorted(found, key=lambda one: (one[1]["at"], one[1]["hop"] == "gate"))
 
 
--- a/tests/control/test_membership.py
+++ b/tests/control/test_membership.py
@@ -13,7 +13,7 @@
 from brackengate.control.membership import MembershipFacts, next_members
 from brackengate.control.replica import FIRST, Replica, StoredState
 from brackengate.control.view import ADMISSION_LAG, Agreement
-from brackengate.protocol.messages import Accept, Line, Member, Ping, Pong, Prepare, Promise, View
+from brackengate.protocol.messages import Accept, Member, Message, Ping, Pong, Prepare, Promise, View
 
 A, B, C, D, E = (Member(name, "i", 1) for name in "ABCDE")
 NEW = Member("N", "n", 2)
@@ -127,7 +127,7 @@
         self.log = LogStatus(100, True, 1, 100)
         self.now = 0
 
-    def hear(self, addr: str, word: Line) -> list[Action]:
+    def hear(self, addr: str, word: Message) -> list[Action]:
         return self.agreement.heard(addr, word, self.now, self.log)
 
     def round(self, *others: str, copied: int = -1, learner: str = "", answers: bool = True) -> list[Action]:
@@ -141,7 +141,13 @@
         for addr in others:
             inc = "n" if addr == learner else "i"
             said = Ping(
-                inc, 1, 100, 1, addr == learner, hears=hears, copied=copied if addr == learner else -1
+                inc,
+                1,
+                100,
+                1,
+                addr == learner,
+                reachable=hears,
+                copied_index=copied if addr == learner else -1,
             )
             out += self.hear(addr, said)
             if addr in pings and answers:
@@ -257,7 +263,7 @@
         for action in [one for one in actions if isinstance(one, Tell) and one.addr == "B"]:
             if isinstance(action.word, Ping):
                 replica.heard("B", Pong(1, action.word.sent, False, FIRST), now)
-        replica.heard("B", Ping(FIRST, 1, caught_up_epoch=1, hears=("A", "C"), sent=now), now)
+        replica.heard("B", Ping(FIRST, 1, caught_up_epoch=1, reachable=("A", "C"), sent=now), now)
         stores = [one for one in actions if isinstance(one, Store)]
         if begun is None and any(isinstance(one.word, Prepare) for store in stores for one in store.tells):
             begun = now
--- a/tests/meshctl/test_meshctl_pure.py
+++ b/tests/meshctl/test_meshctl_pure.py
@@ -9,24 +9,24 @@
 from testtools import ExpectedException, TestCase
 from testtools.matchers import Equals, MatchesRegex
 
+from brackengate.control.config_changes import History, decide
 from brackengate.control.item_index import ItemIndex
-from brackengate.control.orders import History, decide
 from brackengate.interface import Outcome, Request
 from brackengate.meshctl import archive, figures, hops
 from brackengate.meshctl.changes import as_call, compare, is_valid, items_of
-from brackengate.protocol.config_items import read_call
+from brackengate.protocol.config_items import parse_change
 from brackengate.protocol.messages import (
     CommandDone,
-    Follows,
-    HeldItem,
-    Instance,
-    Items,
+    FollowerStatus,
+    ItemList,
     Member,
-    Neighbour,
-    Standing,
+    PeerStatus,
+    ReplicaStatus,
+    StoredItem,
+    UpstreamReport,
 )
-from brackengate.proxy.hop_headers import Said
-from brackengate.proxy.request_log import MOST_OPEN, Wake
+from brackengate.proxy.hop_headers import HopOutcome
+from brackengate.proxy.request_log import MAX_OPEN, RequestLog
 
 
 def route(name: str, version: int, prefix: str = "", plant: str = "p") -> dict[str, Any]:
@@ -40,11 +40,11 @@
 
 
 HELD = (
-    HeldItem("plant", "p", 1, 3, body={"Name": "p", "Revision": "r3"}),
-    HeldItem("route", "a", 2, 3, "h", route("a", 3)),
-    HeldItem("route", "b", 4, 9),
+    StoredItem("plant", "p", 1, 3, body={"Name": "p", "Revision": "r3"}),
+    StoredItem("route", "a", 2, 3, "h", route("a", 3)),
+    StoredItem("route", "b", 4, 9),
 )
-ITEMS = Items(True, 7, 2, HELD)
+ITEMS = ItemList(True, 7, 2, HELD)
 
 
 class Changes(TestCase):
@@ -95,10 +95,10 @@
 class Backups(TestCase):
     def test_a_restore_sets_all_items_of_an_empty_mesh_and_no_newer_ones(self) -> None:
         body = archive.restoring_call(archive.unpack(archive.pack(ITEMS, "now")))
-        first = decide(read_call(body), ItemIndex(), lambda _: History())
+        first = decide(parse_change(body), ItemIndex(), lambda _: History())
         self.assertThat((first.result, first.items), Equals((CommandDone(), items_of(HELD))))
-        newer = items_of([*HELD[:1], HeldItem("route", "a", 9, 8), *HELD[2:]])
-        second = decide(read_call(body), ItemIndex.of(newer.items()), lambda _: History())
+        newer = items_of([*HELD[:1], StoredItem("route", "a", 9, 8), *HELD[2:]])
+        second = decide(parse_change(body), ItemIndex.of(newer.items()), lambda _: History())
         self.assertThat((second.result, second.items), Equals((CommandDone(), {})))
 
     def test_a_damaged_or_newer_file_is_rejected(self) -> None:
@@ -112,16 +112,16 @@
         self.assertThat(archive.unpack(complete).place, Equals(7))
 
 
-def standing(addr: str, commit_index: int, seats: str = "ABC", **more: Any) -> Standing:
+def standing(addr: str, commit_index: int, seats: str = "ABC", **more: Any) -> ReplicaStatus:
     view = tuple(Member(one, "first", 1) for one in seats)
     epoch = more.pop("epoch", 4)
     given: dict[str, Any] = {
         "is_member": addr in seats,
         "has_snapshot": True,
-        "serves": True,
-        "public": commit_index,
+        "serving": True,
+        "public_index": commit_index,
     }
-    return Standing(
+    return ReplicaStatus(
         addr,
         "first",
         f"z{addr}",
@@ -138,9 +138,9 @@
 class Figures(TestCase):
     def test_members_are_in_chain_order_with_those_that_did_not_answer(self) -> None:
         statuses = [
-            standing("A", 9, "BAC", neighbours=(Neighbour("C", "zC", True),)),
+            standing("A", 9, "BAC", peers=(PeerStatus("C", "zC", True),)),
             standing("B", 12, "BAC", duties=("mend",)),
-            standing("D", 3, "BAC", epoch=3, serves=False, leaves=True),
+            standing("D", 3, "BAC", epoch=3, serving=False, leaving=True),
         ]
         rows = figures.members(statuses, [("C", "no answer")])
         self.assertThat(
@@ -168,9 +168,12 @@
 
     def test_a_proxy_that_does_not_report_its_index_counts_as_lagging(self) -> None:
         statuses = [
-            standing("A", 9, pilots=(Follows("p1", 9, 9), Follows("p2", 9))),
+            standing("A", 9, proxies=(FollowerStatus("p1", 9, 9), FollowerStatus("p2", 9))),
             standing(
-                "B", 9, pilots=(Follows("p3", 9, 6),), upstreams=(("p4", Instance("i", "s", "z", "ready")),)
+                "B",
+                9,
+                proxies=(FollowerStatus("p3", 9, 6),),
+                upstreams=(("p4", UpstreamReport("i", "s", "z", "ready")),),
             ),
         ]
         self.assertThat(figures.lagging_proxies(statuses, 7), Equals(["p2", "p3"]))
@@ -178,7 +181,7 @@
         self.assertThat(figures.machines_without_follower(statuses[1:]), Equals(["p4"]))
 
     def test_the_earliest_index_of_an_item_counts(self) -> None:
-        late = Items(True, 9, 2, tuple(msgspec.structs.replace(one, index=9) for one in HELD))
+        late = ItemList(True, 9, 2, tuple(msgspec.structs.replace(one, index=9) for one in HELD))
         names = [(("plant", "p"), 3), (("route", "a"), 3)]
         self.assertThat(figures.index_of(names, [late, ITEMS]), Equals(2))
         self.assertThat(figures.index_of([*names, (("route", "b"), 10)], [late, ITEMS]), Equals(None))
@@ -188,16 +191,16 @@
     """The proxies' records of their requests."""
 
     def test_a_request_is_shown_hop_by_hop(self) -> None:
-        wake, request = Wake(), Request("7", "r", 0)
-        wake.begins("7", b"id-1", 1_000_000, "r", "s", 500_000)
-        wake.attempt_began(request, 0, "i-1", 1_000_300)
-        wake.attempt_ended(request, 0, "i-1", Outcome.NOT_SENT, 2_000)
-        wake.attempt_began(request, 1, "i-2", 1_002_400)
-        wake.attempt_ended(request, 1, "i-2", Outcome.OK, 9_000)
-        wake.ended(request, 200, 1_000_000, 1_011_400)
-        wake.visited(b"id-1", 1_000_900, 400, "r", "i-1", b"", Said.AWAY, "draining")
-        wake.turned_away(b"id-2", 5_000_000, 404, "no route")
-        found = hops.in_order([Follows("10.0.0.9", 1, 1, wake.about("id-1"))])
+        request_log, request = RequestLog(), Request("7", "r", 0)
+        request_log.record_request("7", b"id-1", 1_000_000, "r", "s", 500_000)
+        request_log.attempt_began(request, 0, "i-1", 1_000_300)
+        request_log.attempt_ended(request, 0, "i-1", Outcome.NOT_SENT, 2_000)
+        request_log.attempt_began(request, 1, "i-2", 1_002_400)
+        request_log.attempt_ended(request, 1, "i-2", Outcome.OK, 9_000)
+        request_log.ended(request, 200, 1_000_000, 1_011_400)
+        request_log.record_ingress(b"id-1", 1_000_900, 400, "r", "i-1", b"", HopOutcome.AWAY, "draining")
+        request_log.record_rejection(b"id-2", 5_000_000, 404, "no route")
+        found = hops.in_order([FollowerStatus("10.0.0.9", 1, 1, request_log.records_of("id-1"))])
         self.assertThat(
             "\n".join(hops.text(*one) for one in found),
             Equals(
@@ -209,17 +212,18 @@
             ),
         )
         self.assertThat(
-            hops.text("p", wake.about("id-2")[0]), MatchesRegex(r".* out  p  answered 404: no route")
+            hops.text("p", request_log.records_of("id-2")[0]),
+            MatchesRegex(r".* out  p  answered 404: no route"),
         )
 
     def test_unusual_requests_are_kept_longer_and_all_records_are_bounded(self) -> None:
-        wake = Wake(most=3, odd=2)
-        for n in range(MOST_OPEN + 50):
+        request_log = RequestLog(max_requests=3, max_unusual=2)
+        for n in range(MAX_OPEN + 50):
             name, request = b"id-%d" % n, Request(str(n), "r", 0)
-            wake.begins(request.request, name, n, "r", "s", 0)
-            wake.attempt_began(request, 0, "i-1", n)
+            request_log.record_request(request.request, name, n, "r", "s", 0)
+            request_log.attempt_began(request, 0, "i-1", n)
             if n < 20:
-                wake.ended(request, 503 if n in (4, 6, 8) else 200, n, n + 1)
-        known = [n for n in range(MOST_OPEN + 50) if wake.about(f"id-{n}")]
-        self.assertThat(known, Equals([6, 8, *range(MOST_OPEN + 47, MOST_OPEN + 50)]))
-        self.assertThat(len(wake._open), Equals(MOST_OPEN))
+                request_log.ended(request, 503 if n in (4, 6, 8) else 200, n, n + 1)
+        known = [n for n in range(MAX_OPEN + 50) if request_log.records_of(f"id-{n}")]
+        self.assertThat(known, Equals([6, 8, *range(MAX_OPEN + 47, MAX_OPEN + 50)]))
+        self.assertThat(len(request_log._open), Equals(MAX_OPEN))
--- a/tests/protocol/test_settings.py
+++ b/tests/protocol/test_settings.py
@@ -8,7 +8,7 @@
 from click.testing import CliRunner
 
 from brackengate.mesh import main
-from brackengate.protocol.settings import BadSettings, parse
+from brackengate.protocol.settings import InvalidSettings, parse
 
 GOOD = """
 Node = "sidecar-1"
@@ -40,7 +40,7 @@
         6_000_000,
         2_000_000,
     )
-    assert (settings.listen.outbound, settings.lighthouse_port, settings.min_replicas) == (
+    assert (settings.listen.outbound, settings.control_plane_port, settings.min_replicas) == (
         ("10.1.0.8", 8304),
         7620,
         2,
@@ -59,7 +59,7 @@
     ],
 )
 def test_a_wrong_field_is_one_line_with_file_and_key(line: str, bad: str, words: str) -> None:
-    with pytest.raises(BadSettings) as caught:
+    with pytest.raises(InvalidSettings) as caught:
         parse(GOOD.replace(line, bad, 1), "brackengate.toml")
     assert words in str(caught.value) and "\n" not in str(caught.value)
     assert str(caught.value).startswith("brackengate.toml: ")
