--- a/tests/proxy/test_ingress.py
+++ b/tests/proxy/test_ingress.py
@@ -18,7 +18,7 @@
 from brackengate.interface import Outcome
 from brackengate.net.node import Reply
 from brackengate.net.upstream import Result
-from brackengate.protocol.messages import Claim, CommandDone, HeldBy, InvalidOrder, Unclaim
+from brackengate.protocol.messages import Claim, CommandDone, HeldBy, InvalidChange, Unclaim
 from brackengate.proxy.admission import Admission, Heartbeat, OperationState, OperationStore
 from brackengate.proxy.answer_classification import classify_upstream_answer
 from brackengate.proxy.hop_headers import HOP, HopInfo, HopOutcome, forwarded_answer
@@ -232,7 +232,7 @@
     def test_any_other_word_on_a_claim_is_no_grant(self) -> None:
         world = World()
         first = world.arrive("k")
-        world.answer_command(InvalidOrder("what is asked is not known here"))
+        world.answer_command(InvalidChange("what is asked is not known here"))
         self.assertThat([first.hop_outcome, world.upstream_pool.jobs], Equals(["unclaimed", []]))
 
     def test_a_claim_that_is_granted_late_runs_nothing_by_itself(self) -> None:
