--- a/tests/proxy/test_ingress.py
+++ b/tests/proxy/test_ingress.py
@@ -224,7 +224,7 @@
         world.arrive("k", attempt="t2")
         self.assertThat(world.upstream_pool.jobs, Equals([]))
         after = world.commands[0][0]
-        self.assertThat([type(after), after.instead], Equals([Claim, before.attempt]))
+        self.assertThat([type(after), after.replaces], Equals([Claim, before.attempt]))
         self.assertThat(after.attempt == before.attempt, Equals(False))
         world.answer_command(HeldBy("other", "x"))
         self.assertThat([world.upstream_pool.jobs, len(world.peer_pool.jobs)], Equals([[], 1]))
@@ -290,7 +290,7 @@
         )
         world.arrive("k", attempt="t3")
         again = world.answer_command(OK)
-        self.assertThat([type(again), again.instead], Equals([Claim, lifted.attempt]))  # a late sending of it
+        self.assertThat([type(again), again.replaces], Equals([Claim, lifted.attempt]))  # a late sending of it
         self.assertThat(len(world.upstream_pool.jobs), Equals(1))
 
     def test_what_is_kept_of_an_operation_ends_with_its_claim_also_behind_one_that_runs(self) -> None:
