--- a/tests/proxy/test_ingress.py
+++ b/tests/proxy/test_ingress.py
@@ -290,7 +290,7 @@
         )
         world.arrive("k", attempt="t3")
         again = world.answer_command(OK)
-        self.assertThat([type(again), again.replaces], Equals([Claim, lifted.attempt]))  # a late sending of it
+        self.assertThat([type(again), again.replaces], Equals([Claim, lifted.attempt]))  # sent late
         self.assertThat(len(world.upstream_pool.jobs), Equals(1))
 
     def test_what_is_kept_of_an_operation_ends_with_its_claim_also_behind_one_that_runs(self) -> None:
