--- a/tests/proxy/test_ingress.py
+++ b/tests/proxy/test_ingress.py
@@ -18,7 +18,7 @@
 from brackengate.interface import Outcome
 from brackengate.net.node import Reply
 from brackengate.net.upstream import Result
-from brackengate.protocol.messages import Claim, CommandDone, HeldBy, InvalidOrder, Unclaim
+from brackengate.protocol.messages import Claim, CommandDone, HeldBy, InvalidChange, Unclaim
 from brackengate.proxy.admission import Admission, Heartbeat, OperationState, OperationStore
 from brackengate.proxy.answer_classification import classify_upstream_answer
 from brackengate.proxy.hop_headers import HOP, HopInfo, HopOutcome, forwarded_answer
@@ -224,7 +224,7 @@
         world.arrive("k", attempt="t2")
         self.assertThat(world.upstream_pool.jobs, Equals([]))
         after = world.commands[0][0]
-        self.assertThat([type(after), after.instead], Equals([Claim, before.attempt]))
+        self.assertThat([type(after), after.replaces], Equals([Claim, before.attempt]))
         self.assertThat(after.attempt == before.attempt, Equals(False))
         world.answer_command(HeldBy("other", "x"))
         self.assertThat([world.upstream_pool.jobs, len(world.peer_pool.jobs)], Equals([[], 1]))
@@ -232,7 +232,7 @@
     def test_error_answer_to_a_claim_is_no_grant(self) -> None:
         world = World()
         first = world.arrive("k")
-        world.answer_command(InvalidOrder("what is asked is not known here"))
+        world.answer_command(InvalidChange("what is asked is not known here"))
         self.assertThat([first.hop_outcome, world.upstream_pool.jobs], Equals(["unclaimed", []]))
 
     def test_late_grant_runs_nothing_until_the_next_request(self) -> None:
@@ -290,7 +290,7 @@
         )
         world.arrive("k", attempt="t3")
         again = world.answer_command(OK)
-        self.assertThat([type(again), again.instead], Equals([Claim, released.attempt]))  # sent late
+        self.assertThat([type(again), again.replaces], Equals([Claim, released.attempt]))  # sent late
         self.assertThat(len(world.upstream_pool.jobs), Equals(1))
 
     def test_stored_answer_expires_with_its_claim_even_behind_a_running_operation(self) -> None:
