--- a/brackengate/control/admin_commands.py
+++ b/brackengate/control/admin_commands.py
@@ -84,11 +84,11 @@
                 answer(item_list(replica, self._now()))
             case Leave(replaced):
                 refusal = replica.leave(replaced, self._now())
-                log.info("admin: operator's command to leave the view: %s", refusal or "accepted")
+                log.info("watchroom: operator's command to leave the view: %s", refusal or "accepted")
                 answer(MembershipAnswer(refusal))
             case Rejoin():
                 replica.rejoin()
-                log.info("admin: operator's command to rejoin")
+                log.info("watchroom: operator's command to rejoin")
                 answer(MembershipAnswer())
             case Amend() | Read():
                 self._submit(inquiry.what, answer)
--- a/brackengate/control/follower_connections.py
+++ b/brackengate/control/follower_connections.py
@@ -132,7 +132,7 @@
             nonlocal ended
             ended = True
             follower.commands.pop(message.id, None)
-            log.debug("command of a follower: %s: %s", message.what, result)
+            log.debug("ask: %s: %s", message.what, result)
             follower.connection.send(Result(message.id, result))
 
         number = self._submit(message.what, done, FOLLOWER_TIMEOUT_US)
--- a/brackengate/control/role.py
+++ b/brackengate/control/role.py
@@ -155,7 +155,7 @@
             try:
                 return opening.result()
             except (OSError, sqlite3.Error, DamagedFile) as error:
-                log.error("store: step open, folder %s: %s; retrying", self.settings.data_dir, error)
+                log.error("store: step open, folder %s: %s; tried again", self.settings.data_dir, error)
                 await asyncio.sleep(DISK_RETRY_S)
 
     def _tick(self) -> None:
@@ -251,7 +251,7 @@
             return
         if error is not None:
             if not self._failed:
-                log.error("store: step write: %s; not a member until a write succeeds", error)
+                log.error("store: step write: %s; no member until it succeeds", error)
             self._failed = True
             self._queue = batch + self._queue
             self._loop.call_later(DISK_RETRY_S, self._write)
--- a/brackengate/control/store.py
+++ b/brackengate/control/store.py
@@ -201,7 +201,7 @@
         self._commits, expected_checksum = self._get("tally", tuple[int, int]) or (0, 0)
         lost = self._last_tally(incarnation) - self._commits
         if lost > 0:
-            raise DamagedFile(f"the last {lost} commits that were on disk are missing")
+            raise DamagedFile(f"commits that were on the disk are gone from its end: {lost}")
         rows = self._read_rows()
         entries = self._read_log() if self._format > 2 else []
         if self._format > 1 and expected_checksum != self._checksum:
--- a/brackengate/net/upstream.py
+++ b/brackengate/net/upstream.py
@@ -374,7 +374,7 @@
             elif isinstance(event, machine.InvalidResponse):
                 self._end_with_invalid_response(event.reason)
             else:
-                log.warning("upstream %s sent bytes without a request", self.name)
+                log.warning("upstream %s sent bytes that nobody asked for", self.name)
                 self.drop()
 
     def _start_streaming(self, job: Job, started: machine.ResponseStarted) -> bool:
@@ -453,7 +453,7 @@
         The request may have been executed.  Any upstream sends an invalid response now and then: counted as
         resets, these would demote half of a fleet for seconds.
         """
-        log.info("upstream %s sent an invalid response: %s", self.name, reason)
+        log.info("upstream %s sent what is no answer: %s", self.name, reason)
         job, written = self._job, self.written
         self.drop()
         if job is not None:
@@ -697,7 +697,7 @@
         self._sweep_timer = self._loop.call_later(SWEEP_INTERVAL_S, self._sweep)
         now = self.now()
         for connection in [one for one in self._open if one.stalled(now)]:
-            log.info("upstream %s stalled in the middle of a body", connection.name)
+            log.info("upstream %s stands still in the middle of a body", connection.name)
             connection.reset()
         sweep_us, trusted_us = int(SWEEP_INTERVAL_S * SECOND_US), self._trusted_idle_at(now)
         for connection in list(self._idle_by_age):
--- a/brackengate/platform/program.py
+++ b/brackengate/platform/program.py
@@ -112,7 +112,7 @@
                 return inherited_listener(config.listen_fd)
             except OSError as error:
                 log.error(
-                    "RELAY_LISTEN_FD: descriptor %d: %s; binding the address instead",
+                    "RELAY_LISTEN_FD: descriptor %d: %s; the address is bound instead",
                     config.listen_fd,
                     error,
                 )
--- a/brackengate/proxy/control_client.py
+++ b/brackengate/proxy/control_client.py
@@ -246,7 +246,7 @@
             self._nearer_link = None
         elif link is self._link:
             if link.established:  # the others first: a replica that has just gone silent would cost a timeout
-                log.info("control client: disconnected from %s: %s", link.addr, reason)
+                log.info("follow: disconnected from %s: %s", link.addr, reason)
                 others = rank_replicas(self.me, self.zone, self._replicas.items())
                 self._candidates = [*(addr for addr in others if addr != link.addr), link.addr]
             self._link = None
@@ -308,7 +308,7 @@
         try:
             complete = self.snapshot.receive(requested_after, piece)
         except CopyMismatch as reason:
-            log.error("control client: step copy, from %s: checksum differs: %s", link.addr, reason)
+            log.error("follow: step copy, from %s: checksum differs: %s", link.addr, reason)
             self.drop_link(link, "its copy differs")
             return
         if complete:
@@ -323,7 +323,7 @@
             for reference in changes.staged:
                 rows += self.staged_changes.take_rows(reference)
         except StagedChangeMissing as reason:
-            log.error("control client: step staged, from %s: %s is missing", link.addr, reason)
+            log.error("follow: step staged, from %s: %s is missing", link.addr, reason)
             self.drop_link(link, "it refers to what is not here")
             return
         self._apply_queue.add(changes.index, (*rows, *changes.rows))
@@ -344,6 +344,6 @@
             if old is not None:
                 old.close()
         self._candidates = []
-        log.info("control client: following %s, from index %d", link.addr, self.table.index)
+        log.info("follow: following %s, from index %d", link.addr, self.table.index)
         for number, pending in self._pending.items():
             link.send(FollowerCommand(number, pending.command))
--- a/brackengate/proxy/heartbeats.py
+++ b/brackengate/proxy/heartbeats.py
@@ -53,7 +53,7 @@
             decoded: _HeartbeatBody = msgspec.json.decode(body, type=_HeartbeatBody)
             warmup = int(duration(decoded.warmup_left))
         except (msgspec.DecodeError, ValueError) as error:
-            log.warning("heartbeats: invalid heartbeat from %s: %s", of, error)
+            log.warning("beats: invalid heartbeat from %s: %s", of, error)
             raise RequestError(400, "not a beat") from None
         self._on_heartbeat(
             Heartbeat(
--- a/brackengate/proxy/ingress.py
+++ b/brackengate/proxy/ingress.py
@@ -137,7 +137,7 @@
         assert heartbeat is not None
         if log.isEnabledFor(logging.DEBUG):
             fields, key = request.arrival.fields, request.operation.key if request.operation else ""
-            log.debug("ingress: %s runs at %s, key %r", fields.get(ATTEMPT_ID.lower()), heartbeat.id, key)
+            log.debug("gate: %s runs at %s, key %r", fields.get(ATTEMPT_ID.lower()), heartbeat.id, key)
         remaining = max(1, (request.deadline - self._clock.now()) // 1000)
         head = forwarded_head(request.arrival, drop=(HOP, DEADLINE, TARGET_INSTANCE))
         head += b"%s: %s\r\n%s: %d\r\n\r\n" % (TARGET_INSTANCE, heartbeat.id.encode(), DEADLINE, remaining)
@@ -298,7 +298,7 @@
         """Answer for this proxy itself, with an outcome in the hop header; 409 for BUSY, else 503."""
         if not request.finished:
             status = 409 if outcome is HopOutcome.BUSY else 503
-            log.debug("ingress: %s: %s %s", request.hop.instance, outcome.name, reason)
+            log.debug("gate: %s: %s %s", request.hop.instance, outcome.name, reason)
             self.answer(request, rejection_reply(request.arrival, status, outcome), outcome, reason)
 
     def _arm_deadline(self, request: IngressRequest) -> None:
--- a/brackengate/proxy/keys.py
+++ b/brackengate/proxy/keys.py
@@ -109,7 +109,7 @@
             self._handler.answer_outcome(request, HopOutcome.UNCLAIMED)
 
     def _on_claim_result(self, operation: Operation, result: Any) -> None:
-        log.debug("ingress: claim of %r, attempt %s: %s", operation.key, operation.attempt, result)
+        log.debug("gate: claim of %r, attempt %s: %s", operation.key, operation.attempt, result)
         match result:
             case CommandDone():
                 operation.state = OperationState.CLAIMED
@@ -139,7 +139,7 @@
 
     def _resolve(self, request: IngressRequest, operation: Operation) -> None:
         """Answer, run, relay or queue a request, according to the state of its operation."""
-        log.debug("ingress: repeat of %r: %s", operation.key, operation.state.name)
+        log.debug("gate: repeat of %r: %s", operation.key, operation.state.name)
         state, now = operation.state, self._clock.now()
         if state is OperationState.DONE and isinstance(operation.answer, Reply):
             reply = _answer_for_repeat(operation.answer, request.arrival)
--- a/brackengate/proxy/liveness_monitor.py
+++ b/brackengate/proxy/liveness_monitor.py
@@ -104,7 +104,7 @@
         suspects = self.detector.suspects
         if suspects != self._reported and not self._reporting:
             if suspects or self._reported:
-                log.info("liveness: suspected now: %s", ", ".join(suspects) or "none")
+                log.info("watch: suspected now: %s", ", ".join(suspects) or "none")
             self._reporting = True
             self._send_command(
                 Suspect(self._me[0], suspects), partial(self._on_reported, suspects), REPORT_TIMEOUT_S
@@ -117,11 +117,11 @@
         before, self._silent = self._silent, silent
         for machine in silent ^ before:
             up = machine not in silent
-            log.info("liveness: %s %s", machine, "answers again" if up else "is silent")
+            log.info("watch: %s %s", machine, "answers again" if up else "is silent")
             self._on_health_changed(machine, up)
         newly_gone, self._gone = gone - self._gone, gone
         for machine in newly_gone:
-            log.info("liveness: %s has been silent for long", machine)
+            log.info("watch: %s has been silent for long", machine)
             self._on_gone(machine)
 
     def _on_reported(self, suspects: tuple[str, ...], result: object) -> None:
--- a/brackengate/proxy/reachability.py
+++ b/brackengate/proxy/reachability.py
@@ -52,7 +52,7 @@
     async def _check_until_unreachable(self, machine: str) -> None:
         while await self._is_reachable(machine):
             await asyncio.sleep(RECHECK_INTERVAL_S)
-        log.info("liveness: %s answers on no connection: its requests in flight end", machine)
+        log.info("watch: %s answers on no connection: its requests in flight end", machine)
         self._checks.pop(machine, None)
         self._on_unreachable(machine)
 
--- a/brackengate/proxy/role.py
+++ b/brackengate/proxy/role.py
@@ -194,7 +194,7 @@
         try:
             self.settings = self._read()
         except InvalidSettings as error:
-            log.warning("proxy: invalid settings file, keeping the old settings: %s", error)
+            log.warning("pilot: invalid settings file, keeping the old settings: %s", error)
         return [f"{host}:{port}" for host, port in self.settings.seeds]
 
     # --- start and shutdown
@@ -206,7 +206,7 @@
         for server in (self._egress_server, self._ingress_server, *self._other_servers):
             server.start()
         self._report_periodically()
-        log.info("proxy: %s started beside %s", self.settings.ip, self.settings.plant or "no upstream")
+        log.info("pilot: %s started beside %s", self.settings.ip, self.settings.plant or "no upstream")
 
     def _on_monitor_started(self, started: asyncio.Task[None]) -> None:
         """Exit with the error if the monitor has no port: other proxies would take this one for silent."""
@@ -219,7 +219,7 @@
             return
         self._shutting_down = True
         log.info(
-            "proxy: shutting down with %d pending requests",
+            "pilot: shutting down with %d pending requests",
             self.egress.pending_count() + self.ingress.pending_count(),
         )
         self._egress_server.set_draining(True)
@@ -255,7 +255,7 @@
         if pending and self.clock.now() < plan.exit_deadline:
             self._loop.call_later(SHUTDOWN_CHECK_S, self._exit_when_idle, plan)
             return
-        log.info("proxy: exiting with %d pending requests", pending)
+        log.info("pilot: exiting with %d pending requests", pending)
         self.control_client.close()
         self.liveness_monitor.close()
         self.reachability.close()
