--- a/tests/xds/test_resources.py
+++ b/tests/xds/test_resources.py
@@ -315,3 +315,10 @@
     page = (Path(__file__).parent.parent.parent / "docs" / "xds.md").read_text()
     for row in TABLE:
         assert f"| {' | '.join(row)} |" in page
+
+
+def test_mutated_route_name_is_rejected_or_has_the_form_of_the_installation_file():
+    """Found by the test above: a route name with a byte outside of printable ASCII is accepted."""
+    test_mutated_bytes_never_crash_and_give_faults_or_a_sound_value.hypothesis.inner_test(
+        "rds", [(193, 177)], 1
+    )
