--- a/tests/proxy/mistakes.py
+++ b/tests/proxy/mistakes.py
@@ -182,7 +182,7 @@
     ),
     "sealed-502": Mistake(
         "a proxy's own failure answer has an upstream's seal",
-        lambda: patch.object(egress.EgressReplies, "unserved", _sealed_502),
+        lambda: patch.object(egress.EgressReplies, "failure", _sealed_502),
     ),
     "sent-again": Mistake(
         "a request that must run once is retried after its connection broke",
@@ -198,7 +198,7 @@
     ),
     "same-connection": Mistake(
         "a request is retried on the connection that rejected it",
-        lambda: patch.object(upstream, "NOT_RUN", ()),
+        lambda: patch.object(upstream, "NOT_EXECUTED", ()),
     ),
     "cut-short": Mistake(
         "an incomplete answer is taken for a complete one",
@@ -206,15 +206,15 @@
     ),
     "broken-is-unrun": Mistake(
         "a connection that breaks after a request was sent counts as proof that it has not run",
-        lambda: patch.object(upstream.Job, "broken", _broken),
+        lambda: patch.object(upstream.Job, "connection_broken", _broken),
     ),
     "free-resets": Mistake(
         "an attempt whose connection was reset doesn't count toward MaxAttempts",
-        lambda: patch.object(retries.Retries, "_retry", _spend_retry),
+        lambda: patch.object(retries.Retries, "_spend_retry", _spend_retry),
     ),
     "resumed": Mistake(
         "a proxy that was paused sends requests of callers that have left",
-        lambda: patch.object(CallerConnection, "abandoned", lambda self: False),
+        lambda: patch.object(CallerConnection, "closed_by_caller", lambda self: False),
     ),
     "late-dial": Mistake(
         "a request that waited for a connection is sent after its deadline",
