--- a/brackengate/cli_lab.py
+++ b/brackengate/cli_lab.py
@@ -691,20 +691,20 @@
     \b
     Example: brackengate lab check-calls --histories 5000 --seed 100000
     """
-    from brackengate.emulator.calls.history import drawn, smallest
-    from brackengate.emulator.calls.promises import broken
+    from brackengate.emulator.calls.history import minimise_history, random_history
+    from brackengate.emulator.calls.promises import broken_promises
     from brackengate.emulator.calls.simulation import play
 
-    found = next((n for n in range(seed, seed + histories) if broken(play(drawn(n)))), None)
+    found = next((n for n in range(seed, seed + histories) if broken_promises(play(random_history(n)))), None)
     figures: dict[str, Any] = {"histories": histories if found is None else found - seed + 1, "seed": found}
     if found is not None:
-        least = smallest(drawn(found), lambda one: bool(broken(play(one))))
-        figures |= {"broken": broken(play(least)), "history": asdict(least)}
+        smallest = minimise_history(random_history(found), lambda one: bool(broken_promises(play(one))))
+        figures |= {"broken": broken_promises(play(smallest)), "history": asdict(smallest)}
     if as_json:
         click.echo(json.dumps(figures))
     elif found is None:
         click.echo(f"{histories} histories: no promise is broken")
     else:
-        click.echo(f"history {found}, as short as it gets: {least}")
+        click.echo(f"history {found}, as short as it gets: {smallest}")
         click.echo("\n".join(figures["broken"]))
     raise SystemExit(0 if found is None else BROKEN)
--- a/brackengate/emulator/calls/__init__.py
+++ b/brackengate/emulator/calls/__init__.py
@@ -1,1 +1,1 @@
-"""Calls over both proxies in simulated time, with scripted upstreams and faults in between."""
+"""Requests over both proxies in simulated time, with scripted upstreams and injected faults."""
--- a/brackengate/emulator/calls/history.py
+++ b/brackengate/emulator/calls/history.py
@@ -1,6 +1,7 @@
-"""Histories of calls: who asks what, what upstreams do with it, and what breaks meanwhile.  Pure.
+"""Histories of requests: what clients send, what upstreams do with it, and which faults occur meanwhile.
 
-Machine 0: most clients are there; 1 to 3: service p; 4: service s, with the only upstream that it has.
+Pure functions and data.  A simulated mesh has five machines.  Machine 0: most clients are there, and no
+upstream; 1 to 3: service p; 4: service s, with its only upstream.
 """
 
 from __future__ import annotations
@@ -13,24 +14,32 @@
 from brackengate.emulator.loop import S
 from brackengate.emulator.mesh.talk import Heard
 
-INBOUND, APPLICATION, OUTBOUND = 8300, 8301, 8304
-SERVICES = ("front", "p", "p", "p", "s")  # beside each proxy
-CUTOFF, ATTEMPTS, WINDOW = 600, 2, 60 * S  # ms; of every route
-KINDS = {"read": "idempotent", "buy": "effectful", "bid": "keyed"}
-TRIES = (10.0, 500.0)  # ratio and slack of further tries: enough for them to be made
+INBOUND_PORT, APPLICATION_PORT, OUTBOUND_PORT = 8300, 8301, 8304
+SERVICES = ("front", "p", "p", "p", "s")  # the service beside each machine's proxy, by machine number
+CUTOFF_MS, MAX_ATTEMPTS, CLAIM_WINDOW_US = 600, 2, 60 * S  # the first two of every route
+SIGNAL_KINDS = {"read": "idempotent", "buy": "effectful", "bid": "keyed"}  # by the prefix of a route's name
+RETRY_BUDGET = (10.0, 500.0)  # share of the requests and burst: enough for every retry to be made
 
-RUNS = tuple(
+# Names of behaviours, see `ScriptedUpstream`.  A name that is listed more often is drawn more often.
+EXECUTED_BEHAVIOURS = tuple(
     "served failed overdue bare-503 bare-429 reset closed half half-closed garbage other other-refusal"
     " other-failure no-id no-seal twice-now twice-soon twice-later twice-next silent slow pieces long"
     " long-broken last brief".split()
 )
-FAULTS = tuple("freeze freeze freeze reset cut refuse stray stray term kill restart restart replace".split())
-NOT_RUN = ("full", "full-twice", "reset-unread", "closed-unread", "misdirected")
+FAULT_KINDS = tuple(
+    "freeze freeze freeze reset cut refuse stray stray term kill restart restart replace".split()
+)
+UNEXECUTED_BEHAVIOURS = ("full", "full-twice", "reset-unread", "closed-unread", "misdirected")
 
 
 @dataclass(frozen=True)
 class Attempt:
-    """One try of a client.  Times in ms; `leaves`: when it gives up; `half`: it never sends the rest."""
+    """One attempt of a client.
+
+    Times in ms.  `at`: when it is sent; `proxy`: the number of the client's machine; `leaves`: how long the
+    client waits before it closes the connection; `size`: bytes of the body; `half`: the client never sends
+    the last third of the message.
+    """
 
     at: int
     route: str  # a kind and a service, as in "buy-p"
@@ -44,7 +53,7 @@
 
 @dataclass(frozen=True)
 class Behaviour:
-    """What an upstream does with one request; `after` ms."""
+    """What an upstream does with one request, and `after` how many ms."""
 
     what: str = "served"
     after: int = 10
@@ -52,7 +61,11 @@
 
 @dataclass(frozen=True)
 class Fault:
-    """What befalls a machine, from `at` on; ms."""
+    """A fault of one machine.
+
+    Times in ms.  `at`: when it begins; `proxy`: the machine's number; `lasts`: until it ends; `other`: the
+    machine at the other side of a cut.
+    """
 
     what: str  # freeze, reset, cut, refuse, stray, term, kill, restart, replace
     at: int
@@ -63,20 +76,20 @@
 
 @dataclass(frozen=True)
 class History:
-    """All that happens, but for what the proxies make of it."""
+    """The complete input of a simulation: requests, behaviours of upstreams, faults and the random seed."""
 
     seed: int
     attempts: tuple[Attempt, ...]
     behaviours: tuple[
         tuple[int, tuple[Behaviour, ...]], ...
-    ] = ()  # by proxy, in the order of the requests there
+    ] = ()  # by machine number, in the order of the requests there
     faults: tuple[Fault, ...] = ()
-    core: float = 0.0  # share of words to and from the core that are late or lost
+    core: float = 0.0  # share of the messages to and from the control replicas that are late or lost
 
 
 @dataclass(frozen=True)
-class Run:
-    """A request that an upstream has begun to work on; microseconds."""
+class Execution:
+    """A request that an upstream has begun to execute; `at` in microseconds."""
 
     at: int
     upstream: str
@@ -85,8 +98,8 @@
 
 
 @dataclass(frozen=True)
-class Answer:
-    """An upstream's whole answer, by its seal."""
+class SealedAnswer:
+    """An upstream's complete answer, as it was sent with a seal."""
 
     attempt: str
     status: int
@@ -94,76 +107,79 @@
 
 
 @dataclass
-class Ended:
-    """How an attempt ended for its client; microseconds."""
+class AttemptResult:
+    """How an attempt ended for its client, and when (microseconds): an answer, or why there is none."""
 
     at: int
-    heard: Heard | None
-    why: str
+    answer: Heard | None
+    reason: str
 
     @property
     def status(self) -> int:
-        return self.heard.status if self.heard is not None else 0
+        """The answer's status; 0: there is no answer."""
+        return self.answer.status if self.answer is not None else 0
 
 
 @dataclass
 class Observations:
-    """What clients and upstreams saw."""
+    """What clients and upstreams observed in a simulation."""
 
     history: History
-    ran: list[Run] = field(default_factory=list)
-    done: dict[str, Answer] = field(default_factory=dict)
-    ended: dict[str, Ended] = field(default_factory=dict)
-    errors: list[str] = field(default_factory=list)
-    connections: int = 0  # to upstreams
-    held: int = 0  # by proxies that stand, when all is over
+    executions: list[Execution] = field(default_factory=list)
+    sealed_answers: dict[str, SealedAnswer] = field(default_factory=dict)  # by seal
+    results: dict[str, AttemptResult] = field(default_factory=dict)  # by attempt id
+    errors: list[str] = field(default_factory=list)  # uncaught exceptions
+    connections: int = 0  # that upstreams accepted
+    pending_requests: int = 0  # at proxies that are alive at the end of the simulation
 
-    def asked(self, attempt: str) -> Attempt:
-        return self.history.attempts[int(attempt[1:])]
+    def attempt_of(self, attempt_id: str) -> Attempt:
+        """The attempt with an id, which is "t" and its position in the history."""
+        return self.history.attempts[int(attempt_id[1:])]
 
 
-def ip_of(number: int) -> str:
+def machine_ip(number: int) -> str:
+    """The address of a machine."""
     return f"10.0.0.{number + 1}"
 
 
-def rows() -> list[tuple[str, str, Any]]:
-    """Routes of each kind to each service, and the upstreams."""
-    found: list[tuple[str, str, Any]] = []
+def routing_rows() -> list[tuple[str, str, Any]]:
+    """Rows of the routing table: a route of each kind to each service, and the upstreams."""
+    rows: list[tuple[str, str, Any]] = []
     for service in ("p", "s"):
-        for name, kind in KINDS.items():
+        for name, kind in SIGNAL_KINDS.items():
             route = {
                 "Name": f"{name}-{service}",
                 "PathPrefix": f"/{name}-{service}/",
                 "SignalKind": kind,
-                "Cutoff": f"{CUTOFF}ms",
+                "Cutoff": f"{CUTOFF_MS}ms",
                 "Setpoint": "300ms",
                 "Plant": service,
-                "MaxAttempts": ATTEMPTS,
+                "MaxAttempts": MAX_ATTEMPTS,
                 "Revision": "r1",
             }
-            found.append(("route", f"{name}-{service}", [1, "h", route]))
-    for number, plant in enumerate(SERVICES):
-        if plant != "front":
-            row = {"id": f"i-{number}", "plant": plant, "zone": "z", "state": "ready", "capacity": 50}
-            found.append(("inst", ip_of(number), row))
-    return found
+            rows.append(("route", f"{name}-{service}", [1, "h", route]))
+    for number, local_service in enumerate(SERVICES):
+        if local_service != "front":
+            row = {"id": f"i-{number}", "plant": local_service, "zone": "z", "state": "ready", "capacity": 50}
+            rows.append(("inst", machine_ip(number), row))
+    return rows
 
 
-# --- by lot
+# --- random histories
 
 
-def drawn(seed: int) -> History:
-    """A history by lot: some calls, what becomes of each at its upstream, and what breaks meanwhile."""
+def random_history(seed: int) -> History:
+    """A history of a few attempts, of behaviours and of faults, all drawn from the seed."""
     rng = random.Random(seed)
     services = rng.choice((("p",), ("s",), ("p", "s")))
     keys = [f"k{n}" for n in range(rng.randint(1, 2))]
-    attempts = tuple(_drawn_ask(rng, services, keys) for _ in range(rng.randint(2, 9)))
-    behaviours = tuple((n, tuple(_drawn_act(rng) for _ in range(6))) for n in range(1, len(SERVICES)))
-    faults = tuple(_drawn_fault(rng) for _ in range(rng.choice((0, 0, 1, 2, 4))))
+    attempts = tuple(_random_attempt(rng, services, keys) for _ in range(rng.randint(2, 9)))
+    behaviours = tuple((n, tuple(_random_behaviour(rng) for _ in range(6))) for n in range(1, len(SERVICES)))
+    faults = tuple(_random_fault(rng) for _ in range(rng.choice((0, 0, 1, 2, 4))))
     return History(seed, attempts, behaviours, faults, rng.choice((0.0, 0.0, 0.3)))
 
 
-def _drawn_ask(rng: random.Random, services: tuple[str, ...], keys: list[str]) -> Attempt:
+def _random_attempt(rng: random.Random, services: tuple[str, ...], keys: list[str]) -> Attempt:
     kind, deadline = rng.choice(("read", "buy", "buy", "bid", "bid")), rng.choice((60, 300, 500, 2000))
     return Attempt(
         rng.choice((0, 0, 5, 100, rng.randrange(2500))),
@@ -177,31 +193,34 @@
     )
 
 
-def _drawn_act(rng: random.Random) -> Behaviour:
-    """Half of them in order."""
+def _random_behaviour(rng: random.Random) -> Behaviour:
+    """About half of the requests are served without a fault."""
     if rng.random() < 0.4:
         return Behaviour("served", rng.choice((0, 10, 40)))
-    return Behaviour(rng.choice(RUNS + 2 * NOT_RUN[:-1]), rng.choice((0, 1, 10, 100, 250, 700)))
+    return Behaviour(
+        rng.choice(EXECUTED_BEHAVIOURS + 2 * UNEXECUTED_BEHAVIOURS[:-1]),
+        rng.choice((0, 1, 10, 100, 250, 700)),
+    )
 
 
-def _drawn_fault(rng: random.Random) -> Fault:
-    what = rng.choice(FAULTS)
-    one, other = rng.sample(range(len(SERVICES)), 2)
+def _random_fault(rng: random.Random) -> Fault:
+    kind = rng.choice(FAULT_KINDS)
+    machine, other = rng.sample(range(len(SERVICES)), 2)
     at = rng.choice((1, 3, 8, 50, rng.randrange(2500)))
-    return Fault(what, at, one, rng.choice((100, 400, 700, 1500, 3000)), other)
+    return Fault(kind, at, machine, rng.choice((100, 400, 700, 1500, 3000)), other)
 
 
-def smallest(history: History, fails: Callable[[History], bool]) -> History:
-    """With all left out that it fails without."""
+def minimise_history(history: History, fails: Callable[[History], bool]) -> History:
+    """Remove parts from a history that fails, as long as it still fails without them."""
     while True:
-        found = next((one for one in _without_one(history) if one.attempts and fails(one)), None)
-        if found is None:
+        smaller = next((one for one in _with_one_removed(history) if one.attempts and fails(one)), None)
+        if smaller is None:
             return history
-        history = found
+        history = smaller
 
 
-def _without_one(history: History) -> Iterator[History]:
-    """Each history with one thing left out."""
+def _with_one_removed(history: History) -> Iterator[History]:
+    """Each history that lacks one fault, one attempt or one machine's behaviours."""
     for at in range(len(history.faults)):
         yield replace(history, faults=history.faults[:at] + history.faults[at + 1 :])
     for at in range(len(history.attempts)):
--- a/brackengate/emulator/calls/simulation.py
+++ b/brackengate/emulator/calls/simulation.py
@@ -1,9 +1,9 @@
-"""A history played: clients, machines and faults in simulated time.
+"""Runs a history: clients, machines and faults in simulated time.
 
-client --> way out (egress proxy) --> gate (ingress proxy) --> upstream
+client --> egress proxy --> ingress proxy --> upstream
 
-The proxies' code is as it is: `Egress`, `Ingress`, their pools and listeners, each machine's in a process of
-its own that can be frozen, killed and started again.
+The proxies run their production code: `Egress`, `Ingress`, their pools and listeners.  Each machine's proxy
+is a process of its own that can be paused, killed and restarted.
 """
 
 from __future__ import annotations
@@ -13,15 +13,15 @@
 from functools import partial
 
 from brackengate.emulator.calls.history import (
-    OUTBOUND,
+    OUTBOUND_PORT,
     SERVICES,
     Attempt,
+    AttemptResult,
     Behaviour,
-    Ended,
     Fault,
     History,
     Observations,
-    ip_of,
+    machine_ip,
 )
 from brackengate.emulator.calls.machine import ClaimStore, Machine
 from brackengate.emulator.loop import MS, Loop, S
@@ -29,80 +29,93 @@
 from brackengate.emulator.mesh.talk import Call, Heard, message
 from brackengate.emulator.process import Process
 
-AFTERWARDS = 6 * S  # until whatever was late has come
+SETTLE_TIME_US = 6 * S  # after the last event of a history, so that everything delayed has arrived
 
 
 class Simulation:
+    """The network, machines and clients of one history."""
+
     def __init__(self, history: History) -> None:
-        self.loop, self.seen = Loop(), Observations(history)
-        self.net = Ways(self.loop, random.Random(f"{history.seed}/net"), 700, 700, 0.3)
-        self.core = ClaimStore(self, history.core)
-        acts = defaultdict[int, tuple[Behaviour, ...]](tuple, dict(history.behaviours))
-        self.proxies = [Machine(self, number, acts[number]) for number in range(len(SERVICES))]
-        self.clients = [Process(self.loop, self.net, one.ip, "client") for one in self.proxies]
+        self.loop, self.observations = Loop(), Observations(history)
+        self.network = Ways(self.loop, random.Random(f"{history.seed}/net"), 700, 700, 0.3)
+        self.claim_store = ClaimStore(self, history.core)
+        behaviours = defaultdict[int, tuple[Behaviour, ...]](tuple, dict(history.behaviours))
+        self.machines = [Machine(self, number, behaviours[number]) for number in range(len(SERVICES))]
+        self.clients = [Process(self.loop, self.network, one.ip, "client") for one in self.machines]
 
     def play(self) -> Observations:
-        history, last = self.seen.history, 0
-        for number, asks in enumerate(history.attempts):
-            self.loop.after(asks.at * MS, partial(self._ask, f"t{number}", asks))
-            last = max(last, asks.at + asks.leaves)
+        """Run the history to its end and return what clients and upstreams observed."""
+        history, last_ms = self.observations.history, 0
+        for number, attempt in enumerate(history.attempts):
+            self.loop.after(attempt.at * MS, partial(self._send_attempt, f"t{number}", attempt))
+            last_ms = max(last_ms, attempt.at + attempt.leaves)
         for fault in history.faults:
-            self.loop.after(fault.at * MS, partial(self._begin, fault))
-            last = max(last, fault.at + fault.lasts)
-        self.loop.run(last * MS + AFTERWARDS)
-        self.seen.errors = self.loop.errors
-        standing = [one for one in self.proxies if one.process.alive]
-        self.seen.held = sum(one.egress.pending_count() + one.ingress.pending_count() for one in standing)
-        for one in self.proxies:
+            self.loop.after(fault.at * MS, partial(self._inject, fault))
+            last_ms = max(last_ms, fault.at + fault.lasts)
+        self.loop.run(last_ms * MS + SETTLE_TIME_US)
+        self.observations.errors = self.loop.errors
+        alive = [one for one in self.machines if one.process.alive]
+        self.observations.pending_requests = sum(
+            one.egress.pending_count() + one.ingress.pending_count() for one in alive
+        )
+        for one in self.machines:
             one.process.die()
-        return self.seen
+        return self.observations
 
-    def _ask(self, attempt: str, asks: Attempt) -> None:
-        kind = asks.route.partition("-")[0]
+    def _send_attempt(self, attempt_id: str, attempt: Attempt) -> None:
+        kind = attempt.route.partition("-")[0]
         fields = {
             "Host": "h",
-            "X-Brackengate-Attempt-Id": attempt,
-            "X-Brackengate-Deadline-Ms": str(asks.deadline),
+            "X-Brackengate-Attempt-Id": attempt_id,
+            "X-Brackengate-Deadline-Ms": str(attempt.deadline),
         }
-        if asks.key:
-            fields["X-Brackengate-Operation-Key"] = asks.key
-        method = "GET" if kind == "read" and not asks.size else "POST"
-        data = message(f"{method} /{asks.route}/x HTTP/1.1", fields, b"b" * asks.size)
-        if asks.half:
+        if attempt.key:
+            fields["X-Brackengate-Operation-Key"] = attempt.key
+        method = "GET" if kind == "read" and not attempt.size else "POST"
+        data = message(f"{method} /{attempt.route}/x HTTP/1.1", fields, b"b" * attempt.size)
+        if attempt.half:
             data = data[: len(data) * 2 // 3]
-        address = (ip_of(asks.proxy), OUTBOUND)
-        Call(self.clients[asks.proxy], address, data, partial(self._ended, attempt), asks.leaves * MS)
+        address = (machine_ip(attempt.proxy), OUTBOUND_PORT)
+        Call(
+            self.clients[attempt.proxy],
+            address,
+            data,
+            partial(self._record_result, attempt_id),
+            attempt.leaves * MS,
+        )
 
-    def _ended(self, attempt: str, heard: Heard | None, why: str) -> None:
-        self.seen.ended[attempt] = Ended(self.loop.now, heard, why)
+    def _record_result(self, attempt_id: str, answer: Heard | None, reason: str) -> None:
+        self.observations.results[attempt_id] = AttemptResult(self.loop.now, answer, reason)
 
-    def _begin(self, fault: Fault) -> None:
-        proxy, over = self.proxies[fault.proxy], partial(self.loop.after, fault.lasts * MS)
+    def _inject(self, fault: Fault) -> None:
+        """Begin a fault, and schedule its end if it has one."""
+        machine, at_end = self.machines[fault.proxy], partial(self.loop.after, fault.lasts * MS)
         match fault.what:
             case "freeze":
-                proxy.process.freeze()
-                over(proxy.process.thaw)
+                machine.process.freeze()
+                at_end(machine.process.thaw)
             case "reset":
-                proxy.process.reset()
+                machine.process.reset()
             case "cut":
-                pair = proxy.ip, ip_of(fault.other)
-                self.net.set_cut(*pair, True)
-                over(partial(self.net.set_cut, *pair, False))
-            case "refuse" if proxy.upstream is not None:
-                proxy.upstream.refuse()
-                over(proxy.upstream.listen)
+                pair = machine.ip, machine_ip(fault.other)
+                self.network.set_cut(*pair, True)
+                at_end(partial(self.network.set_cut, *pair, False))
+            case "refuse" if machine.upstream is not None:
+                machine.upstream.refuse()
+                at_end(machine.upstream.listen)
             case "stray":
-                proxy.stray()
+                machine.repeat_last_writes()
             case "term":
-                proxy.process.enter(proxy.term)
+                machine.process.enter(machine.start_draining)
             case "kill":
-                proxy.process.die()
+                machine.process.die()
             case "restart":
-                proxy.process.die()
-                over(proxy.start)
+                machine.process.die()
+                at_end(machine.start)
             case "replace":
-                proxy.new_upstream()
+                machine.replace_upstream()
 
 
 def play(history: History) -> Observations:
+    """Run a history in a simulation of its own."""
     return Simulation(history).play()
--- a/brackengate/emulator/calls/upstream.py
+++ b/brackengate/emulator/calls/upstream.py
@@ -1,4 +1,4 @@
-"""An application upstream that does what a history says with each request, and notes what it ran."""
+"""An application upstream that follows a history's behaviours and records the requests that it executes."""
 
 from __future__ import annotations
 
@@ -6,7 +6,14 @@
 from functools import partial
 from typing import TYPE_CHECKING
 
-from brackengate.emulator.calls.history import APPLICATION, RUNS, Answer, Behaviour, Run, ip_of
+from brackengate.emulator.calls.history import (
+    APPLICATION_PORT,
+    EXECUTED_BEHAVIOURS,
+    Behaviour,
+    Execution,
+    SealedAnswer,
+    machine_ip,
+)
 from brackengate.emulator.loop import MS
 from brackengate.emulator.mesh.talk import Heard, Reader, message
 from brackengate.emulator.network import End
@@ -17,49 +24,58 @@
 
 
 class ScriptedUpstream:
-    """One life beside a proxy, which runs what the history says."""
-
-    def __init__(self, simulation: Simulation, number: int, id_: str, acts: tuple[Behaviour, ...]) -> None:
-        self._simulation, self.ip, self.id = simulation, ip_of(number), id_
-        self._acts, self._seals = deque(acts), 0
-        self.process = Process(simulation.loop, simulation.net, self.ip, self.id)
+    """One incarnation of the upstream beside a proxy; each request takes the next behaviour of its list."""
+
+    def __init__(
+        self, simulation: Simulation, number: int, id_: str, behaviours: tuple[Behaviour, ...]
+    ) -> None:
+        self._simulation, self.ip, self.id = simulation, machine_ip(number), id_
+        self._behaviours, self._seal_count = deque(behaviours), 0
+        self.process = Process(simulation.loop, simulation.network, self.ip, self.id)
         self.listen()
 
     def listen(self) -> None:
+        """Accept connections, unless this incarnation has been replaced."""
         if not self.process.alive:
-            return  # replaced meanwhile
-        self._listener = self.process.listener((self.ip, APPLICATION))
-        self._listener.taken = self._taken
+            return
+        self._listener = self.process.listener((self.ip, APPLICATION_PORT))
+        self._listener.taken = self._on_connection
 
     def refuse(self) -> None:
+        """Refuse new connections until `listen` is called."""
         self._listener.close()
 
-    def _taken(self, end: End) -> None:
-        self._simulation.seen.connections += 1
+    def _on_connection(self, end: End) -> None:
+        self._simulation.observations.connections += 1
         self.process.holds(end)
-        reader, owed = Reader(), list[bytes]()
+        reader, repeats = Reader(), list[bytes]()
 
-        def hears(data: bytes) -> None:
-            for heard in reader.take(data):
-                if owed:
-                    end.write(owed.pop())  # in the place of the next answer
-                self._asked(end, heard, owed)
+        def on_data(data: bytes) -> None:
+            for request in reader.take(data):
+                if repeats:
+                    end.write(repeats.pop())  # arrives in place of the answer to this request
+                self._on_request(end, request, repeats)
 
-        end.listen(hears, lambda broken: None)
+        end.listen(on_data, lambda broken: None)
 
-    def _asked(self, end: End, heard: Heard, owed: list[bytes]) -> None:
-        fields = heard.fields
-        attempt = fields["x-brackengate-attempt-id"]
-        act = self._acts.popleft() if self._acts else Behaviour()
+    def _on_request(self, end: End, request: Heard, repeats: list[bytes]) -> None:
+        fields = request.fields
+        attempt_id = fields["x-brackengate-attempt-id"]
+        behaviour = self._behaviours.popleft() if self._behaviours else Behaviour()
         if fields["x-brackengate-target-instance"] != self.id:
-            act = Behaviour("misdirected")
-        if act.what in RUNS:
+            behaviour = Behaviour("misdirected")
+        if behaviour.what in EXECUTED_BEHAVIOURS:
             key = fields.get("x-brackengate-operation-key", "")
-            self._simulation.seen.ran.append(Run(self._simulation.loop.now, self.id, attempt, key))
-        self._simulation.loop.after(act.after * MS, partial(self._does, act.what, end, attempt, owed))
-
-    def _does(self, what: str, end: End, attempt: str, owed: list[bytes]) -> None:
-        says, unrun = self._says, {"X-Brackengate-Not-Executed": "1"}
+            self._simulation.observations.executions.append(
+                Execution(self._simulation.loop.now, self.id, attempt_id, key)
+            )
+        self._simulation.loop.after(
+            behaviour.after * MS, partial(self._perform, behaviour.what, end, attempt_id, repeats)
+        )
+
+    def _perform(self, what: str, end: End, attempt_id: str, repeats: list[bytes]) -> None:
+        """Answer as a behaviour says; `repeats`: answers to send again before that to the next request."""
+        sealed_answer, not_executed = self._sealed_answer, {"X-Brackengate-Not-Executed": "1"}
         match what:
             case "reset" | "reset-unread":
                 end.reset()
@@ -71,66 +87,66 @@
                 end.write(b"\x00what\r\n\r\n")
             case "failed" | "overdue" | "bare-503" | "bare-429":
                 status = {"failed": 500, "overdue": 504, "bare-503": 503, "bare-429": 429}[what]
-                end.write(says(attempt, status))
+                end.write(sealed_answer(attempt_id, status))
             case "full" | "misdirected":
-                end.write(self._bare(attempt, 503 if what == "full" else 421, unrun))
+                end.write(self._unsealed_answer(attempt_id, 503 if what == "full" else 421, not_executed))
             case "full-twice":
-                owed.append(self._bare(attempt, 503, unrun))
-                end.write(owed[-1])
+                repeats.append(self._unsealed_answer(attempt_id, 503, not_executed))
+                end.write(repeats[-1])
             case "other-refusal":
-                end.write(self._bare("t999", 503, unrun))
+                end.write(self._unsealed_answer("t999", 503, not_executed))
             case "other" | "other-failure":
-                end.write(says("t999", 200 if what == "other" else 500))
+                end.write(sealed_answer("t999", 200 if what == "other" else 500))
             case "no-id":
-                end.write(says(attempt, 200, name=False))
+                end.write(sealed_answer(attempt_id, 200, with_attempt_id=False))
             case "no-seal":
-                end.write(self._bare(attempt, 200, {}))
+                end.write(self._unsealed_answer(attempt_id, 200, {}))
             case "half" | "half-closed" | "long-broken":
-                data = says(attempt, 200, size=200_000 if what == "long-broken" else 90)
+                data = sealed_answer(attempt_id, 200, size=200_000 if what == "long-broken" else 90)
                 end.write(data[: len(data) * 2 // 3])
                 self._simulation.loop.after(5 * MS, end.close if what == "half-closed" else end.reset)
             case "pieces":
-                data = says(attempt, 200)
+                data = sealed_answer(attempt_id, 200)
                 end.write(data[: len(data) // 2])
                 self._simulation.loop.after(20 * MS, partial(end.write, data[len(data) // 2 :]))
             case "last":
-                end.write(says(attempt, 200, close=True))
+                end.write(sealed_answer(attempt_id, 200, close=True))
                 end.close()
             case "twice-now":
-                end.write(says(attempt, 200) + says(attempt, 200))
+                end.write(sealed_answer(attempt_id, 200) + sealed_answer(attempt_id, 200))
             case "twice-soon" | "twice-later" | "twice-next":
-                data = says(attempt, 200)
+                data = sealed_answer(attempt_id, 200)
                 end.write(data)
                 if what == "twice-next":
-                    owed.append(data)
+                    repeats.append(data)
                 else:
-                    wait = 2 if what == "twice-soon" else 60
-                    self._simulation.loop.after(wait * MS, partial(end.write, data))
+                    wait_ms = 2 if what == "twice-soon" else 60
+                    self._simulation.loop.after(wait_ms * MS, partial(end.write, data))
             case "brief":
-                end.write(says(attempt, 200, idle=1))
-            case _:  # served, slow
-                end.write(says(attempt, 200, size=100_000 if what == "long" else 40))
+                end.write(sealed_answer(attempt_id, 200, idle_timeout_s=1))
+            case _:  # served, slow, long
+                end.write(sealed_answer(attempt_id, 200, size=100_000 if what == "long" else 40))
 
-    def _says(
+    def _sealed_answer(
         self,
-        attempt: str,
+        attempt_id: str,
         status: int,
         size: int = 40,
-        name: bool = True,
+        with_attempt_id: bool = True,
         close: bool = False,
-        idle: int = 10,
+        idle_timeout_s: int = 10,
     ) -> bytes:
-        """An answer of its own, under a seal that it notes."""
-        self._seals += 1
-        seal = f"{self.id}.{self._seals}"
-        body = f"{attempt}|{seal}|".encode().ljust(size, b"x")
-        self._simulation.seen.done[seal] = Answer(attempt, status, body)
-        fields = {"X-Brackengate-Server-Seal": seal, "Keep-Alive": f"timeout={idle}"}
-        if name:
-            fields["X-Brackengate-Attempt-Id"] = attempt
+        """An answer with a new seal, which is recorded; `size`: bytes of its body."""
+        self._seal_count += 1
+        seal = f"{self.id}.{self._seal_count}"
+        body = f"{attempt_id}|{seal}|".encode().ljust(size, b"x")
+        self._simulation.observations.sealed_answers[seal] = SealedAnswer(attempt_id, status, body)
+        fields = {"X-Brackengate-Server-Seal": seal, "Keep-Alive": f"timeout={idle_timeout_s}"}
+        if with_attempt_id:
+            fields["X-Brackengate-Attempt-Id"] = attempt_id
         if close:
             fields["Connection"] = "close"
         return message(f"HTTP/1.1 {status} Said", fields, body)
 
-    def _bare(self, attempt: str, status: int, fields: dict[str, str]) -> bytes:
-        return message(f"HTTP/1.1 {status} Said", {"X-Brackengate-Attempt-Id": attempt, **fields})
+    def _unsealed_answer(self, attempt_id: str, status: int, fields: dict[str, str]) -> bytes:
+        return message(f"HTTP/1.1 {status} Said", {"X-Brackengate-Attempt-Id": attempt_id, **fields})
--- a/tests/proxy/mistakes.py
+++ b/tests/proxy/mistakes.py
@@ -20,7 +20,7 @@
 from brackengate.proxy.admission import OperationState
 from brackengate.proxy.hop_headers import SERVER_SEAL, HopOutcome, forwarded_answer
 
-Judge = Callable[[bytes, UpstreamResponse], Result]
+Classify = Callable[[bytes, UpstreamResponse], Result]
 Patch = Callable[[], AbstractContextManager[Any]]
 
 
@@ -32,28 +32,29 @@
     apply: Patch
 
 
-def _no_id(judge: Judge) -> Judge:
+def _ignore_attempt_id(classify: Classify) -> Classify:
     """Ignores the attempt id of answers."""
 
-    def judged(payload: bytes, answer: UpstreamResponse) -> Result:
+    def classify_changed(payload: bytes, answer: UpstreamResponse) -> Result:
         attempt_id = answer_classification.attempt_id_of(payload)
         fields = {**answer.fields, answer_classification._ATTEMPT_ID: attempt_id or b""}
-        return judge(
+        return classify(
             payload, UpstreamResponse(answer.status, fields, answer.body, answer.reuse, answer.headers)
         )
 
-    return judged
+    return classify_changed
 
 
-def _bare_refusal(payload: bytes, answer: UpstreamResponse) -> Result:
+def _forward_unproven_rejection(payload: bytes, answer: UpstreamResponse) -> Result:
     """Forwards a 429 or 503 without the header that says that nothing has run."""
-    result = _own_judge(payload, answer)
+    result = _classify_upstream_answer(payload, answer)
     bare = answer.status in answer_classification.NOT_EXECUTED_STATUSES and result.outcome is Outcome.ERROR
     return Result(Outcome.OK, response=answer) if bare else result
 
 
-def _bare_refusal_back(payload: bytes, answer: UpstreamResponse) -> Result:
-    result = _judge(payload, answer)
+def _forward_unproven_rejection_of_proxy(payload: bytes, answer: UpstreamResponse) -> Result:
+    """The same at the client's proxy, of what the other proxy forwarded."""
+    result = _classify_proxy_answer(payload, answer)
     if (
         answer.status in answer_classification.NOT_EXECUTED_STATUSES
         and result.mismatched
@@ -63,23 +64,23 @@
     return result
 
 
-def _no_seal(judge: Judge) -> Judge:
+def _accept_without_seal(classify: Classify) -> Classify:
     """Accepts a success without a seal."""
 
-    def judged(payload: bytes, answer: UpstreamResponse) -> Result:
+    def classify_changed(payload: bytes, answer: UpstreamResponse) -> Result:
         fields = {answer_classification._SERVER_SEAL: b"", **answer.fields}
-        return judge(
+        return classify(
             payload, UpstreamResponse(answer.status, fields, answer.body, answer.reuse, answer.headers)
         )
 
-    return judged
+    return classify_changed
 
 
-def _sealed_502(
+def _failure_with_seal(
     self: egress.EgressReplies, status: int, retry_after: int, last: Result | None, ran: Any
 ) -> Reply:
     """Adds the headers of the upstream's answer to the proxy's own failure answer."""
-    reply = _unserved(self, status, retry_after, last, ran)
+    reply = _true_failure(self, status, retry_after, last, ran)
     answer = last.response if last is not None else None
     if answer is not None and SERVER_SEAL.lower() in answer.fields and status == STATUS_BAD_GATEWAY:
         return Reply(STATUS_BAD_GATEWAY, extra_headers=forwarded_answer(answer).extra_headers)
@@ -105,7 +106,7 @@
     """Releases the claim of an operation that may have run."""
     if request.operation is not None and result.outcome is Outcome.RESET:
         result = Result(Outcome.CONNECT_FAILED)
-    _true_ran(self, request, result)
+    _true_on_upstream_done(self, request, result)
 
 
 def _unclaim(self: ingress.Ingress, request: Any, operation: Any, outcome: HopOutcome) -> None:
@@ -115,7 +116,7 @@
     self._say(request, outcome)
 
 
-def _ended(self: UpstreamMachine, clean: bool) -> list[Any]:
+def _accept_incomplete_answer(self: UpstreamMachine, clean: bool) -> list[Any]:
     """Takes an incomplete answer for a complete one if its connection was closed cleanly."""
     if clean and self.written and self._status and not self._message_complete:
         answer = UpstreamResponse(self._status, self._fields, b"".join(self._body), False, self._headers)
@@ -130,17 +131,17 @@
     return _true_spend_retry(self, request, ended)
 
 
-def _broken(self: upstream.Job, stale: bool = False) -> None:
+def _count_as_not_run(self: upstream.Job, stale: bool = False) -> None:
     """Takes a request whose connection broke for one that has not run."""
     self.finish(Result(Outcome.CONNECT_FAILED, stale=stale))
 
 
-_own_judge, _judge, _unserved = (
+_classify_upstream_answer, _classify_proxy_answer, _true_failure = (
     answer_classification.classify_upstream_answer,
     answer_classification.classify_proxy_answer,
     egress.EgressReplies.failure,
 )
-_true_class_of, _true_ran, _true_ended = (
+_true_class_of, _true_on_upstream_done, _true_ended = (
     egress._request_class_of,
     ingress.Ingress._on_upstream_done,
     UpstreamMachine.ended,
@@ -151,14 +152,16 @@
 _always_wanted = property(lambda self: upstream.always_true, lambda self, wanted: None)
 
 
-def _both(own: Judge, back: Judge) -> Patch:
+def _patch_both(upstream_classify: Classify, proxy_classify: Classify) -> Patch:
     """Patches both hops, as either hop alone would detect the fault of the other."""
 
     def apply() -> AbstractContextManager[Any]:
         stack = ExitStack()
-        stack.enter_context(patch.object(answer_classification, "classify_upstream_answer", own))
-        stack.enter_context(patch.object(answer_classification, "classify_proxy_answer", back))
-        stack.enter_context(patch.object(egress, "classify_proxy_answer", back))
+        stack.enter_context(
+            patch.object(answer_classification, "classify_upstream_answer", upstream_classify)
+        )
+        stack.enter_context(patch.object(answer_classification, "classify_proxy_answer", proxy_classify))
+        stack.enter_context(patch.object(egress, "classify_proxy_answer", proxy_classify))
         return stack
 
     return apply
@@ -167,22 +170,27 @@
 MISTAKES = {
     "id-at-ingress": Mistake(
         "the proxy beside the upstream doesn't check the attempt id of answers",
-        lambda: patch.object(answer_classification, "classify_upstream_answer", _no_id(_own_judge)),
+        lambda: patch.object(
+            answer_classification, "classify_upstream_answer", _ignore_attempt_id(_classify_upstream_answer)
+        ),
     ),
     "id-at-egress": Mistake(
         "the proxy beside the client doesn't check the attempt id of answers",
-        _both(_own_judge, _no_id(_judge)),
+        _patch_both(_classify_upstream_answer, _ignore_attempt_id(_classify_proxy_answer)),
     ),
     "bare-refusal": Mistake(
         "a 503 without proof that nothing ran is forwarded as a promise",
-        _both(_bare_refusal, _bare_refusal_back),
+        _patch_both(_forward_unproven_rejection, _forward_unproven_rejection_of_proxy),
     ),
     "no-seal": Mistake(
-        "a success without a seal is forwarded", _both(_no_seal(_own_judge), _no_seal(_judge))
+        "a success without a seal is forwarded",
+        _patch_both(
+            _accept_without_seal(_classify_upstream_answer), _accept_without_seal(_classify_proxy_answer)
+        ),
     ),
     "sealed-502": Mistake(
         "a proxy's own failure answer has an upstream's seal",
-        lambda: patch.object(egress.EgressReplies, "failure", _sealed_502),
+        lambda: patch.object(egress.EgressReplies, "failure", _failure_with_seal),
     ),
     "sent-again": Mistake(
         "a request that must run once is retried after its connection broke",
@@ -202,11 +210,11 @@
     ),
     "cut-short": Mistake(
         "an incomplete answer is taken for a complete one",
-        lambda: patch.object(UpstreamMachine, "ended", _ended),
+        lambda: patch.object(UpstreamMachine, "ended", _accept_incomplete_answer),
     ),
     "broken-is-unrun": Mistake(
         "a connection that breaks after a request was sent counts as proof that it has not run",
-        lambda: patch.object(upstream.Job, "connection_broken", _broken),
+        lambda: patch.object(upstream.Job, "connection_broken", _count_as_not_run),
     ),
     "free-resets": Mistake(
         "an attempt whose connection was reset doesn't count toward MaxAttempts",
--- a/tests/proxy/test_calls.py
+++ b/tests/proxy/test_calls.py
@@ -13,33 +13,44 @@
 from mistakes import MISTAKES
 
 from brackengate.cli import main
-from brackengate.emulator.calls.history import CUTOFF, Attempt, Behaviour, Fault, History, drawn, smallest
-from brackengate.emulator.calls.promises import broken
+from brackengate.emulator.calls.history import (
+    CUTOFF_MS,
+    Attempt,
+    Behaviour,
+    Fault,
+    History,
+    minimise_history,
+    random_history,
+)
+from brackengate.emulator.calls.promises import broken_promises
 from brackengate.emulator.calls.simulation import play
 from brackengate.emulator.loop import MS
 
-CHUNKS, EACH = 4, 40  # random histories, in parts that can run in parallel
+CHUNKS, HISTORIES_PER_CHUNK = 4, 40  # of random histories; chunks can run in parallel
 
 
 def script(
-    *asks: Attempt,
+    *attempts: Attempt,
     s: tuple[Behaviour, ...] = (),
     p: tuple[Behaviour, ...] = (),
     faults: tuple[Fault, ...] = (),
 ) -> History:
-    """`s`, `p`: the behaviour of the upstreams of each service; the three of p behave the same."""
-    return History(1, asks, ((4, s), *((number, p) for number in (1, 2, 3))), faults)
+    """`s`, `p`: the behaviours of the upstreams of each service; the three of p behave the same."""
+    return History(1, attempts, ((4, s), *((number, p) for number in (1, 2, 3))), faults)
 
 
 def buy(at: int = 0, **more: object) -> Attempt:
+    """An attempt of an effectful route; `more`: fields of `Attempt`."""
     return Attempt(at, "buy-s", **more)  # type: ignore[arg-type]
 
 
 def bid(at: int = 0, **more: object) -> Attempt:
+    """An attempt of a keyed route, always with the same key."""
     return Attempt(at, "bid-s", key="k", **more)  # type: ignore[arg-type]
 
 
 def read(at: int = 0, **more: object) -> Attempt:
+    """An attempt of an idempotent route."""
     return Attempt(at, "read-s", **more)  # type: ignore[arg-type]
 
 
@@ -68,21 +79,21 @@
 }
 
 
-@pytest.mark.parametrize("part", range(CHUNKS))
-def test_no_random_history_breaks_a_promise(part: int) -> None:
+@pytest.mark.parametrize("chunk", range(CHUNKS))
+def test_no_random_history_breaks_a_promise(chunk: int) -> None:
     """A failure prints the history, minimised to the steps that it needs."""
-    for seed in range(part * EACH, (part + 1) * EACH):
-        if broken(play(drawn(seed))):
-            least = smallest(drawn(seed), lambda one: bool(broken(play(one))))
-            raise AssertionError(f"{seed}: {broken(play(least))}\n{least}")
+    for seed in range(chunk * HISTORIES_PER_CHUNK, (chunk + 1) * HISTORIES_PER_CHUNK):
+        if broken_promises(play(random_history(seed))):
+            smallest = minimise_history(random_history(seed), lambda one: bool(broken_promises(play(one))))
+            raise AssertionError(f"{seed}: {broken_promises(play(smallest))}\n{smallest}")
 
 
 @pytest.mark.parametrize("name", FOUND_BY)
 def test_each_mistake_is_detected(name: str) -> None:
     history = FOUND_BY[name]
-    assert broken(play(history)) == []
+    assert broken_promises(play(history)) == []
     with MISTAKES[name].apply():
-        assert broken(play(history)) != [], MISTAKES[name].description
+        assert broken_promises(play(history)) != [], MISTAKES[name].description
 
 
 def test_command_plays_histories_and_prints_the_shortest_that_breaks_a_promise() -> None:
@@ -108,37 +119,37 @@
     """
     history = script(read(), buy(60), faults=(Fault("freeze", 50, 4, 1500),))
     seen = play(history)
-    assert ([one.attempt for one in seen.ran], seen.ended["t1"].status) == (["t0"], 502)
+    assert ([execution.attempt for execution in seen.executions], seen.results["t1"].status) == (["t0"], 502)
     with MISTAKES["resumed"].apply():
-        assert [one.attempt for one in play(history).ran] == ["t0", "t1"]
+        assert [execution.attempt for execution in play(history).executions] == ["t0", "t1"]
 
 
 def test_request_that_waits_for_a_connection_while_its_proxy_is_paused_is_not_sent() -> None:
     """Paused while it connects, past the request's 60 ms; the client still waits."""
     history = script(buy(deadline=60, leaves=2500), faults=(Fault("freeze", 1, 0, 150),))
-    assert play(history).ran == []
+    assert play(history).executions == []
     with MISTAKES["late-dial"].apply():
-        assert [one.attempt for one in play(history).ran] == ["t0"]
+        assert [execution.attempt for execution in play(history).executions] == ["t0"]
 
 
 def test_upstreams_limit_on_idle_connections_takes_precedence() -> None:
     """It keeps them for a second: one that was idle for most of that is not reused."""
-    for act, wait, connections in (("brief", 700, 1), ("brief", 950, 2), ("served", 950, 1)):
-        seen = play(script(read(), buy(wait), s=(Behaviour(act),)))
-        assert (seen.connections, seen.ended["t1"].status) == (connections, 200)
+    for behaviour, wait, connections in (("brief", 700, 1), ("brief", 950, 2), ("served", 950, 1)):
+        seen = play(script(read(), buy(wait), s=(Behaviour(behaviour),)))
+        assert (seen.connections, seen.results["t1"].status) == (connections, 200)
 
 
-@pytest.mark.parametrize(("act", "connections"), [("other", 2), ("other-failure", 2), ("no-id", 2),
+@pytest.mark.parametrize(("behaviour", "connections"), [("other", 2), ("other-failure", 2), ("no-id", 2),
                                                   ("no-seal", 2), ("failed", 1)])  # fmt: skip
-def test_connection_that_is_out_of_step_is_not_reused(act: str, connections: int) -> None:
-    assert play(script(buy(), buy(100), s=(Behaviour(act),))).connections == connections
+def test_connection_that_is_out_of_step_is_not_reused(behaviour: str, connections: int) -> None:
+    assert play(script(buy(), buy(100), s=(Behaviour(behaviour),))).connections == connections
 
 
 # --- failures, limits of attempts and deadlines
 
 
 @pytest.mark.parametrize(
-    ("act", "status", "sealed"),
+    ("behaviour", "status", "sealed"),
     [
         ("failed", 500, True),
         ("overdue", 504, True),
@@ -149,38 +160,40 @@
     ],
 )
 @pytest.mark.parametrize("route", ["buy", "bid", "read"])
-def test_failure_has_a_seal_only_with_its_own_status(route: str, act: str, status: int, sealed: bool) -> None:
-    asks = Attempt(0, f"{route}-s", key="k" if route == "bid" else "")
-    seen = play(script(asks, s=(Behaviour(act),) * 8))
-    heard = seen.ended["t0"].heard
-    assert heard is not None
-    assert (heard.status, "x-brackengate-server-seal" in heard.fields) == (status, sealed)
-    assert broken(seen) == []
-
-
-@pytest.mark.parametrize("act", ["reset", "closed", "failed", "half", "garbage", "other"])
-def test_attempt_runs_on_no_more_upstreams_than_its_route_allows(act: str) -> None:
+def test_failure_has_a_seal_only_with_its_own_status(
+    route: str, behaviour: str, status: int, sealed: bool
+) -> None:
+    attempt = Attempt(0, f"{route}-s", key="k" if route == "bid" else "")
+    seen = play(script(attempt, s=(Behaviour(behaviour),) * 8))
+    answer = seen.results["t0"].answer
+    assert answer is not None
+    assert (answer.status, "x-brackengate-server-seal" in answer.fields) == (status, sealed)
+    assert broken_promises(seen) == []
+
+
+@pytest.mark.parametrize("behaviour", ["reset", "closed", "failed", "half", "garbage", "other"])
+def test_attempt_runs_on_no_more_upstreams_than_its_route_allows(behaviour: str) -> None:
     """Over both hops: three upstreams run every request, and each answer is lost or no success."""
-    seen = play(script(Attempt(0, "read-p", deadline=2000), p=(Behaviour(act),) * 8))
-    assert len(seen.ran) == 2 and broken(seen) == []
+    seen = play(script(Attempt(0, "read-p", deadline=2000), p=(Behaviour(behaviour),) * 8))
+    assert len(seen.executions) == 2 and broken_promises(seen) == []
 
 
 def test_upstreams_that_reject_an_attempt_do_not_count_as_run() -> None:
     seen = play(script(Attempt(0, "read-p", deadline=2000), p=(Behaviour("full"),) * 8))
-    assert (seen.ran, seen.ended["t0"].status) == ([], 503)
+    assert (seen.executions, seen.results["t0"].status) == ([], 503)
 
 
 @pytest.mark.parametrize("route", ["buy-s", "bid-s", "read-s", "read-p"])
-@pytest.mark.parametrize("act", ["silent", "slow", "reset", "full"])
-def test_nothing_is_held_past_its_routes_cutoff(route: str, act: str) -> None:
+@pytest.mark.parametrize("behaviour", ["silent", "slow", "reset", "full"])
+def test_nothing_is_held_past_its_routes_cutoff(route: str, behaviour: str) -> None:
     """The client would wait for 2 s, the route's Cutoff is 600 ms."""
-    asks = Attempt(0, route, key="k" if route == "bid-s" else "", deadline=2000, leaves=3000)
-    acts = (Behaviour(act, 900),) * 8
-    ended = play(script(asks, s=acts, p=acts)).ended["t0"]
-    assert ended.at <= (CUTOFF + 20) * MS and ended.status >= 502
+    attempt = Attempt(0, route, key="k" if route == "bid-s" else "", deadline=2000, leaves=3000)
+    behaviours = (Behaviour(behaviour, 900),) * 8
+    result = play(script(attempt, s=behaviours, p=behaviours)).results["t0"]
+    assert result.at <= (CUTOFF_MS + 20) * MS and result.status >= 502
 
 
 def test_rejected_key_is_free_for_the_next_attempt() -> None:
     """A rejection promises that nothing ran: the upstream is full at first, and then is not."""
     seen = play(script(bid(), bid(700), s=(Behaviour("full"),) * 2))
-    assert [seen.ended[f"t{n}"].status for n in (0, 1)] == [503, 200] and len(seen.ran) == 1
+    assert [seen.results[f"t{n}"].status for n in (0, 1)] == [503, 200] and len(seen.executions) == 1
