--- a/brackengate/cli_versions.py
+++ b/brackengate/cli_versions.py
@@ -30,7 +30,7 @@
             return disk.unpack(Path(saved).read_bytes(), told.installation.name).snapshot
         except OSError as error:
             fail(f"{saved}: cannot be read: {error.strerror}", BAD)
-        except disk.Unusable as error:
+        except disk.UnusableFile as error:
             fail(f"{saved}: {error}", BAD)
     if told.versions.source != "file":
         fail(
--- a/brackengate/fleet/configured.py
+++ b/brackengate/fleet/configured.py
@@ -21,7 +21,7 @@
 from brackengate.routing.pools import CellTerms, Pools
 from brackengate.snapshot.model import Snapshot, builtins, make
 from brackengate.versions.carrier import Versions
-from brackengate.versions.rollout import Rollout, Terms
+from brackengate.versions.rollout import Rollout, RolloutSettings
 from brackengate.versions.store import State, Store, Version
 
 log = logging.getLogger("brackengate")
@@ -54,18 +54,18 @@
         ground = ground or Environment.for_this_machine()
         told, self._source = file.versions, file.versions.source
         name = f"{file.installation.name}-{file.fleet.first_number + slot}"
-        terms = Terms(
-            jitter=int(told.jitter),
-            canary=told.canary,
-            canary_time=int(told.canary_time),
-            least=told.canary_least,
-            more=told.canary_more,
+        rollout_settings = RolloutSettings(
+            jitter_us=int(told.jitter),
+            canary_share=told.canary,
+            canary_time_us=int(told.canary_time),
+            min_answers=told.canary_least,
+            max_failure_increase=told.canary_more,
         )
         self._terms = cells.terms(file)
         self._keeper: Maps | None = None
         store = Store(
             tuple(file.class_),
-            Rollout(terms, name),
+            Rollout(rollout_settings, name),
             told.history,
             told.backwards == "accept",
             lambda now, old, new: cells.change(now, old, new, self._terms),
@@ -83,7 +83,7 @@
             int(told.save_every),
             ground.loop,
         )
-        self.pools.on_answer = self.versions.answered
+        self.pools.on_answer = self.versions.record_answer
         self.route_of = routing.route_of(file, self.pools)
         self.feed = Feed(clock, self._listed)
         self._clock = clock
@@ -141,7 +141,7 @@
 
     def _verdict(self, version: Version, reasons: tuple[str, ...]) -> None:
         """What was taken is acknowledged already; that a version was left again is told late."""
-        if version.state is State.RETURNED and version.source.startswith("xds"):
+        if version.state is State.REVERTED and version.source.startswith("xds"):
             self._client.returned(reasons)
 
     async def close(self) -> None:
--- a/brackengate/versions/__init__.py
+++ b/brackengate/versions/__init__.py
@@ -1,1 +1,1 @@
-"""Versions of routes and pools: which is in use, which waits, which was turned down and why."""
+"""Versions of routes and pools: which is in use, which waits, which was rejected and why."""
--- a/tests/versions/test_disk_diff.py
+++ b/tests/versions/test_disk_diff.py
@@ -1,4 +1,4 @@
-"""The last good version on disk: torn, foreign and damaged files; and what a difference says."""
+"""The last good version on disk: incomplete, foreign and damaged files; and differences of snapshots."""
 
 from __future__ import annotations
 
@@ -14,62 +14,64 @@
 from brackengate.snapshot.model import Snapshot, make
 from brackengate.versions import disk
 
-ROW = Upstream(name="u1", address="127.0.0.1:1", zone="a")
-ONE = make({"p": Pool(upstream=(ROW,))}, [Route(name="r", header=(HeaderMatch(name="X-A"),), pool="p")])
+UPSTREAM = Upstream(name="u1", address="127.0.0.1:1", zone="a")
+SNAPSHOT = make(
+    {"p": Pool(upstream=(UPSTREAM,))}, [Route(name="r", header=(HeaderMatch(name="X-A"),), pool="p")]
+)
 
 
-def test_what_was_written_is_read():
-    data = disk.pack("here", "7", 5, ONE)
-    assert disk.unpack(data, "here") == disk.Saved("7", 5, ONE)
+def test_saved_version_round_trips():
+    data = disk.pack("here", "7", 5, SNAPSHOT)
+    assert disk.unpack(data, "here") == disk.SavedVersion("7", 5, SNAPSHOT)
 
 
-WHOLE = disk.pack("here", "7", 5, ONE)
+COMPLETE_FILE = disk.pack("here", "7", 5, SNAPSHOT)
 
 
-@given(st.integers(0, len(WHOLE) - 1))
-def test_a_torn_file_is_refused_wherever_it_is_torn(length):
-    with pytest.raises(disk.Unusable):
-        disk.unpack(WHOLE[:length], "here")
+@given(st.integers(0, len(COMPLETE_FILE) - 1))
+def test_truncated_file_is_rejected_at_every_length(length):
+    with pytest.raises(disk.UnusableFile):
+        disk.unpack(COMPLETE_FILE[:length], "here")
 
 
-def test_a_torn_file_is_called_so():
-    with pytest.raises(disk.Unusable, match="is torn"):
-        disk.unpack(WHOLE[:-1], "here")
-    with pytest.raises(disk.Unusable, match="is torn"):
-        disk.unpack(WHOLE.partition(b"\n")[0], "here")
+def test_truncated_file_is_reported_as_torn():
+    with pytest.raises(disk.UnusableFile, match="is torn"):
+        disk.unpack(COMPLETE_FILE[:-1], "here")
+    with pytest.raises(disk.UnusableFile, match="is torn"):
+        disk.unpack(COMPLETE_FILE.partition(b"\n")[0], "here")
 
 
-@given(st.integers(WHOLE.index(b"\n") + 1, len(WHOLE) - 1), st.integers(1, 255))
-def test_a_damaged_body_is_refused(place, change):
-    raw = bytearray(WHOLE)
+@given(st.integers(COMPLETE_FILE.index(b"\n") + 1, len(COMPLETE_FILE) - 1), st.integers(1, 255))
+def test_damaged_body_is_rejected(place, change):
+    raw = bytearray(COMPLETE_FILE)
     raw[place] ^= change
-    with pytest.raises(disk.Unusable, match="damaged"):
+    with pytest.raises(disk.UnusableFile, match="damaged"):
         disk.unpack(bytes(raw), "here")
 
 
-def test_a_foreign_file_is_refused_by_name():
-    with pytest.raises(disk.Unusable, match="'there'"):
-        disk.unpack(disk.pack("there", "7", 5, ONE), "here")
-    with pytest.raises(disk.Unusable, match="format"):
-        disk.unpack(WHOLE.replace(b"last-good/1", b"last-good/2", 1), "here")
-    with pytest.raises(disk.Unusable, match="can't be read"):
+def test_foreign_file_is_rejected_with_its_installation_or_format():
+    with pytest.raises(disk.UnusableFile, match="'there'"):
+        disk.unpack(disk.pack("there", "7", 5, SNAPSHOT), "here")
+    with pytest.raises(disk.UnusableFile, match="format"):
+        disk.unpack(COMPLETE_FILE.replace(b"last-good/1", b"last-good/2", 1), "here")
+    with pytest.raises(disk.UnusableFile, match="can't be read"):
         disk.unpack(b"\xff\xfe\n{}", "here")
 
 
-def test_its_own_file_comes_first_then_the_newest_of_others(tmp_path):
+def test_own_file_is_preferred_to_the_newest_of_other_slots(tmp_path):
     other = make({"p": Pool()}, [Route(name="other", pool="p")])
     files.replace(disk.path_of(str(tmp_path), 1), disk.pack("here", "old", 5, other))
     files.replace(disk.path_of(str(tmp_path), 2), disk.pack("here", "new", 9, other))
     saved, faults = disk.read(str(tmp_path), 0, "here")
     assert saved.label == "new" and faults == []
-    files.replace(disk.path_of(str(tmp_path), 0), disk.pack("here", "own", 1, ONE))
+    files.replace(disk.path_of(str(tmp_path), 0), disk.pack("here", "own", 1, SNAPSHOT))
     assert disk.read(str(tmp_path), 0, "here")[0].label == "own"
-    disk.path_of(str(tmp_path), 0).write_bytes(WHOLE[:40])
+    disk.path_of(str(tmp_path), 0).write_bytes(COMPLETE_FILE[:40])
     saved, faults = disk.read(str(tmp_path), 0, "here")
     assert saved.label == "new" and len(faults) == 1 and "last-good-0" in faults[0]
 
 
-def test_a_write_that_fails_leaves_the_old_file(tmp_path, monkeypatch):
+def test_failed_write_leaves_the_old_file(tmp_path, monkeypatch):
     path = disk.path_of(str(tmp_path), 0)
     files.replace(path, b"old")
 
@@ -82,7 +84,7 @@
     assert path.read_bytes() == b"old" and os.listdir(tmp_path) == [path.name]
 
 
-def test_a_difference_in_meaning_is_told_in_lines():
+def test_difference_is_described_in_lines():
     drained = Upstream(name="u1", address="127.0.0.1:1", zone="a", state="draining")
     new = make(
         {
@@ -91,23 +93,23 @@
         },
         [Route(name="r", pool="q"), Route(name="s", pool="p")],
     )
-    told = lines(ONE, new)
-    assert "+ pool q, 0 upstreams" in told
-    assert "~ pool p: max_requests 0 -> 5" in told
-    assert "~ upstream p/u1: state serving -> draining" in told
-    assert "+ upstream p/u2 127.0.0.1:2 serving" in told
-    assert "+ route s" in told
-    assert any(line.startswith("~ route r: header ") and "pool 'p' -> 'q'" in line for line in told)
-    assert "- route s" in lines(new, ONE) and "- pool q, 0 upstreams" in lines(new, ONE)
+    described = lines(SNAPSHOT, new)
+    assert "+ pool q, 0 upstreams" in described
+    assert "~ pool p: max_requests 0 -> 5" in described
+    assert "~ upstream p/u1: state serving -> draining" in described
+    assert "+ upstream p/u2 127.0.0.1:2 serving" in described
+    assert "+ route s" in described
+    assert any(line.startswith("~ route r: header ") and "pool 'p' -> 'q'" in line for line in described)
+    assert "- route s" in lines(new, SNAPSHOT) and "- pool q, 0 upstreams" in lines(new, SNAPSHOT)
     swapped = make(new.pools, new.routes[::-1])
     assert lines(new, swapped) == ["~ order of routes: s, r"]
     assert lines(new, new) == [] and not compare(new, new)
 
 
-def test_what_needs_a_new_module_is_told_from_what_does_not():
-    pool = Pool(upstream=(ROW,))
-    old = Snapshot(pools={"p": pool}, routes=ONE.routes)
-    caps = Snapshot(pools={"p": Pool(upstream=(ROW,), max_connections=3)}, routes=ONE.routes)
-    made = Snapshot(pools={"p": Pool(upstream=(ROW,), max_attempts=3)}, routes=ONE.routes)
+def test_changed_limits_are_distinguished_from_changes_that_need_a_new_balancer():
+    pool = Pool(upstream=(UPSTREAM,))
+    old = Snapshot(pools={"p": pool}, routes=SNAPSHOT.routes)
+    caps = Snapshot(pools={"p": Pool(upstream=(UPSTREAM,), max_connections=3)}, routes=SNAPSHOT.routes)
+    made = Snapshot(pools={"p": Pool(upstream=(UPSTREAM,), max_attempts=3)}, routes=SNAPSHOT.routes)
     assert compare(old, caps).caps == ("p",) and compare(old, caps).rebuilt == ()
     assert compare(old, made).rebuilt == ("p",) and compare(old, made).caps == ()
