--- a/benchmarks/big_orders.py
+++ b/benchmarks/big_orders.py
@@ -85,8 +85,8 @@
 def play(routes: int, proxies: int, content: str) -> Case:
     from brackengate.emulator.mesh import checks, faults
     from brackengate.emulator.mesh.ground import RoleProcess
-    from brackengate.emulator.mesh.play import Played, summarise
-    from brackengate.emulator.mesh.scenario import changed
+    from brackengate.emulator.mesh.play import MeshRun, summarise
+    from brackengate.emulator.mesh.scenario import parse_scenario
     from brackengate.emulator.mesh.world import CALM, World
     from brackengate.emulator.network import DATA, Network
 
@@ -95,7 +95,7 @@
     counts = {"a": third, "b": third, "c": max(1, proxies - 2 * third)}
     rate = REQUESTS * proxies
     text = SCENARIO.format(length=length, rate=rate, routes=routes, content=content, **counts)
-    told = changed(text, "big-orders.toml", ())
+    told = parse_scenario(text, "big-orders.toml", ())
     world = World(told, 1)
     core = {machine.ip for machine in world.core}
     sent = 0
@@ -138,12 +138,12 @@
     gc.disable()
     RoleProcess.enter, Network.carry = timed, counted  # type: ignore[method-assign]
     try:
-        records = world.run(faults.schedule(world), faults.over(told))
+        records = world.run(faults.schedule(world), faults.end_time(told))
     finally:
         RoleProcess.enter, Network.carry = enter, carry  # type: ignore[method-assign]
     names = {machine.ip: machine.name for machine in (*world.core, *world.pilots)}
-    seen = checks.Seen(records, told.limits, names, CALM + int(told.length))
-    made = Played(world, checks.verdict(seen), summarise(records, told))
+    seen = checks.History(records, told.limits, names, CALM + int(told.length))
+    made = MeshRun(world, checks.check_history(seen), summarise(records, told))
     begun = CALM + 2_000_000
     return Case(
         routes,
--- a/brackengate/cli_lab.py
+++ b/brackengate/cli_lab.py
@@ -262,9 +262,9 @@
         text = read_text(path)
         if MESH.search(text) is None:
             return scenario.changed(text, path, sets)
-        from brackengate.emulator.mesh.scenario import changed
+        from brackengate.emulator.mesh.scenario import parse_scenario
 
-        return changed(text, path, sets)
+        return parse_scenario(text, path, sets)
     except BadFile as error:
         fail(f"the scenario cannot be used:\n{error}", BAD)
 
--- a/brackengate/emulator/hunt.py
+++ b/brackengate/emulator/hunt.py
@@ -51,7 +51,7 @@
     from brackengate.emulator.mesh import hunt, scenario
     from brackengate.emulator.mesh.play import play as play_mesh
 
-    return Game(play_mesh, scenario.faults_of, hunt.mutated, hunt.features, hunt.smaller)
+    return Game(play_mesh, scenario.validation_errors, hunt.mutated, hunt.features, hunt.smaller)
 
 
 def judge(told: Any, seed: int) -> tuple[Score, Any]:
--- a/brackengate/emulator/mesh/checks.py
+++ b/brackengate/emulator/mesh/checks.py
@@ -131,7 +131,7 @@
 _EVENTS = frozenset("up down left term power frozen thawed cut joined sick well clock removed reset".split())
 
 
-class Seen:
+class History:
     """The records, sorted by what they are about."""
 
     def __init__(self, records: Sequence[Record], limits: Limits, names: dict[str, str], last: int) -> None:
@@ -220,7 +220,7 @@
 # --- the rules
 
 
-def mixed(seen: Seen) -> Broken:
+def mixed(seen: History) -> Broken:
     broken = Broken("MIXED")
     first: dict[str, str] = {}  # the seal of each key's run
     seals = {attempt: seal for seal, (_, attempt, _) in seen.done.items()}
@@ -246,7 +246,7 @@
     return broken
 
 
-def unasked(seen: Seen) -> Broken:
+def unasked(seen: History) -> Broken:
     broken = Broken("UNASKED")
     for when, upstream, _, attempt, key, caller, sent in seen.ran:
         asked = seen.asked.get(attempt)
@@ -259,7 +259,7 @@
     return broken
 
 
-def twice(seen: Seen) -> Broken:
+def twice(seen: History) -> Broken:
     broken = Broken("TWICE")
     ran: dict[str, str] = {}
     keys: dict[str, tuple[int, str, str]] = {}  # when its first try was sent, which, and where it ran
@@ -281,7 +281,7 @@
     return broken
 
 
-def refused(seen: Seen) -> Broken:
+def refused(seen: History) -> Broken:
     broken = Broken("REFUSED")
     ran = {attempt: (when, upstream) for when, upstream, _, attempt, _, _, _ in seen.ran}
     for when, attempt, how, _, _, _ in seen.ended:
@@ -291,7 +291,7 @@
     return broken
 
 
-def denied(seen: Seen) -> Broken:
+def denied(seen: History) -> Broken:
     broken = Broken("DENIED")
     words: list[tuple[int, str]] = []
     for when, attempt, how, _, _, _ in seen.ended:
@@ -307,7 +307,7 @@
     return broken
 
 
-def route(seen: Seen) -> Broken:
+def route(seen: History) -> Broken:
     broken = Broken("ROUTE")
     for when, upstream, plant, attempt, _, _, _ in seen.ran:
         asked = seen.asked.get(attempt)
@@ -316,7 +316,7 @@
     return broken
 
 
-def drain(seen: Seen) -> Broken:
+def drain(seen: History) -> Broken:
     broken = Broken("DRAIN")
     least = int(seen.limits.drain)
     for when, upstream, _, attempt in seen.arrived:
@@ -330,7 +330,7 @@
     return broken
 
 
-def config(seen: Seen) -> Broken:
+def config(seen: History) -> Broken:
     """Stale after `Apply_time`, or going back; an invalid one acknowledged."""
     broken = Broken("CONFIG")
     for call, items in seen.calls.items():
@@ -368,7 +368,7 @@
     return broken
 
 
-def read_back(seen: Seen) -> Broken:
+def read_back(seen: History) -> Broken:
     """What was acknowledged before it was asked, read back at the end.
 
     After a closing fault what is missing is LOST.
@@ -393,7 +393,7 @@
     return broken
 
 
-def lost(seen: Seen) -> Broken:
+def lost(seen: History) -> Broken:
     """Around a SIGTERM, a request that an upstream has got ends with no answer."""
     broken = Broken("LOST")
     reached = {attempt for _, _, _, attempt in seen.arrived}
@@ -410,7 +410,7 @@
     return broken
 
 
-def budget(seen: Seen) -> Broken:
+def budget(seen: History) -> Broken:
     broken = Broken("BUDGET")
     window, limits = int(seen.limits.retry_window), seen.limits
     begun: set[str] = set()
@@ -437,7 +437,7 @@
     return broken
 
 
-def recover(seen: Seen) -> Broken:
+def recover(seen: History) -> Broken:
     broken = Broken("RECOVER")
     if not seen.closing:
         return broken
@@ -455,7 +455,7 @@
     return broken
 
 
-def acks(seen: Seen) -> Broken:
+def acks(seen: History) -> Broken:
     """The gate's: a sound order without an acknowledgement, while the core was settled all along."""
     broken = Broken("ACKS")
     for call, items in seen.calls.items():
@@ -475,7 +475,7 @@
     return broken
 
 
-def no_crash(seen: Seen) -> Broken:
+def no_crash(seen: History) -> Broken:
     broken = Broken("no crash")
     for when, what, of in seen.records:
         if what == "crashed":
@@ -483,7 +483,7 @@
     return broken
 
 
-def verdict(seen: Seen) -> list[Broken]:
+def check_history(seen: History) -> list[Broken]:
     """Every rule, broken or not."""
     rules = (mixed, unasked, twice, refused, denied, route, drain, config, read_back, lost, budget)
     found: dict[str, Broken] = {}
--- a/brackengate/emulator/mesh/faults.py
+++ b/brackengate/emulator/mesh/faults.py
@@ -23,7 +23,7 @@
         yield partial(world.loop.at, CALM + int(fault.at), partial(_begins, world, fault))
 
 
-def over(told: MeshScenario) -> int:
+def end_time(told: MeshScenario) -> int:
     """When the last fault is over, and what comes of it."""
     ends = [0]
     for fault in told.fault:
--- a/brackengate/emulator/mesh/hunt.py
+++ b/brackengate/emulator/mesh/hunt.py
@@ -11,7 +11,7 @@
 from brackengate.emulator import report
 from brackengate.emulator.loop import MS, S
 from brackengate.emulator.mesh.faults import OVERLAP
-from brackengate.emulator.mesh.play import Played
+from brackengate.emulator.mesh.play import MeshRun
 from brackengate.emulator.mesh.scenario import (
     LASTING,
     ORDERS,
@@ -19,7 +19,7 @@
     Fault,
     MeshScenario,
     OrderKinds,
-    pilots,
+    proxy_count,
 )
 from brackengate.installation.units import Duration
 
@@ -32,7 +32,7 @@
 TAIL = 5 * S  # of a scenario, behind its last fault
 
 
-def features(told: MeshScenario, played: Played) -> frozenset[str]:
+def features(told: MeshScenario, played: MeshRun) -> frozenset[str]:
     """What a run did, coarsely: ends by route in powers of two, rules, and which faults came together."""
     seen = {f"broken {rule}" for rule in played.rules}
     for name, one in played.summary.classes.items():
@@ -47,7 +47,7 @@
     allowed = [kind for kind in KINDS if kind != "replace_core" or told.core.spare]
     replace, kind = msgspec.structs.replace, rng.choice(allowed)
     core = [f"l{n}" for n in range(told.core.count)] + ["head", "middle", "tail", *BY_LOT]
-    sides = [f"p{n}" for n in range(pilots(told))]
+    sides = [f"p{n}" for n in range(proxy_count(told))]
     places = (core if "l" in STRIKES[kind] else []) + (sides if "p" in STRIKES[kind] else [])
     on: tuple[str, ...] = (rng.choice(places),) if places else ()
     if kind in ("kill", "freeze", "power") and rng.random() < 0.2:
@@ -80,7 +80,7 @@
     return made
 
 
-def fair(told: MeshScenario) -> bool:
+def within_tolerance(told: MeshScenario) -> bool:
     """Whether every rule has to hold: no more of the core is lost with its disk than `tolerance` says.
 
     Guards against finds that are none.  Beside a lost disk, until it is back and has settled, others of the
@@ -125,7 +125,7 @@
             new = msgspec.structs.replace(found[place], at=new.at)
         found[place] = new
     made = msgspec.structs.replace(told, fault=tuple(sorted(found, key=lambda one: int(one.at))))
-    return made if fair(made) else told
+    return made if within_tolerance(made) else told
 
 
 def smaller(told: MeshScenario) -> Iterable[MeshScenario]:
--- a/brackengate/emulator/mesh/order_checks.py
+++ b/brackengate/emulator/mesh/order_checks.py
@@ -1,6 +1,6 @@
 """The rules about orders: each says CONFIG, as the operators' page does.
 
-They read what operators, callers and upstreams saw, as `checks.Seen` holds it, and nothing of the roles.
+They read what operators, callers and upstreams saw, as `checks.History` holds it, and nothing of the roles.
 """
 
 from __future__ import annotations
@@ -11,14 +11,14 @@
 from brackengate.emulator.checks import Broken
 
 if TYPE_CHECKING:
-    from brackengate.emulator.mesh.checks import Seen
+    from brackengate.emulator.mesh.checks import History
     from brackengate.emulator.mesh.versions import Version
 
 OK = 200
 REFUSALS = (400, 409, 412, 413, 422)  # answers on which the operator gives an order up
 
 
-def confirmed_twice(seen: Seen) -> Broken:
+def confirmed_twice(seen: History) -> Broken:
     """Two orders that set an item to different contents under one version are both confirmed."""
     broken = Broken("CONFIG")
     for route, versions in seen.versions.items():
@@ -37,12 +37,12 @@
     return broken
 
 
-def _with_calls(seen: Seen, versions: list[Version]) -> list[tuple[Version, int]]:
+def _with_calls(seen: History, versions: list[Version]) -> list[tuple[Version, int]]:
     call_of = {id(one): call for call, items in seen.calls.items() for one in items}
     return [(one, call_of[id(one)]) for one in versions]
 
 
-def refused_again(seen: Seen) -> Broken:
+def refused_again(seen: History) -> Broken:
     """An order that was acknowledged is refused when it is sent again; also where the first ack was lost."""
     broken = Broken("CONFIG")
     for call, replies in seen.replies.items():
@@ -53,7 +53,7 @@
     return broken
 
 
-def outdated_after_start(seen: Seen) -> Broken:
+def outdated_after_start(seen: History) -> Broken:
     """A proxy handles by an older configuration than was acknowledged before its process started.
 
     In touch or not: until it holds a configuration at least that new, it must not be ready.
--- a/brackengate/emulator/mesh/order_troubles.py
+++ b/brackengate/emulator/mesh/order_troubles.py
@@ -21,7 +21,7 @@
 RACED_ROUTES = ("x0", "x1", "x2")  # the routes that the operators add and drop
 
 
-class OrderTroubles:
+class ChangeFaults:
     """Sends them by the operators' own means, so that they are repeated and acknowledged like all others."""
 
     def __init__(self, operators: Operators, rng: random.Random) -> None:
@@ -79,16 +79,18 @@
         if content == "removed":
             names, self._many = self._many, []
             items = [(name, ()) for name in names]
-            self._operators.send(items, done=self._probe_later)
+            self._operators.send(items, done=self._schedule_probes)
             return
         begun = len(self._many)
         names = [f"z{number}" for number in range(begun, begun + routes)]
         self._many += names
         service = self._rng.choice(self._operators.services)
         digits = 200 if content == "random" else 0
-        self._operators.send([(name, (service,)) for name in names], done=self._probe_later, digits=digits)
+        self._operators.send(
+            [(name, (service,)) for name in names], done=self._schedule_probes, digits=digits
+        )
 
-    def _probe_later(self, change: Change) -> None:
+    def _schedule_probes(self, change: Change) -> None:
         names = [name for name, _, _ in change.items]
         for number in range(BIG_ORDER_PROBES):
             wait = self._operators.apply_time + PROBED_FOR * number // BIG_ORDER_PROBES
--- a/brackengate/emulator/mesh/people.py
+++ b/brackengate/emulator/mesh/people.py
@@ -11,7 +11,7 @@
 
 from brackengate.emulator.loop import MS, Loop, S
 from brackengate.emulator.mesh.ground import Ways
-from brackengate.emulator.mesh.order_troubles import OrderTroubles
+from brackengate.emulator.mesh.order_troubles import ChangeFaults
 from brackengate.emulator.mesh.scenario import MeshScenario, Route
 from brackengate.emulator.mesh.talk import Call, Heard, message
 from brackengate.emulator.process import Process
@@ -276,7 +276,7 @@
         self.lost_acks = LostAcks()
         self.history: list[Change] = []  # sound changes that were acknowledged, the oldest first
         self.answered_by: Address | None = None  # who answered an order last
-        self.troubles = OrderTroubles(self, random.Random(f"{seed}/order troubles"))
+        self.troubles = ChangeFaults(self, random.Random(f"{seed}/order troubles"))
         self._lots = random.Random(f"{seed}/lost acks")
         self.until = 0
 
--- a/brackengate/emulator/mesh/play.py
+++ b/brackengate/emulator/mesh/play.py
@@ -9,7 +9,7 @@
 from brackengate.emulator.mesh.world import CALM, World
 
 
-class Played:
+class MeshRun:
     def __init__(self, world: World, found: list[Broken], summary: report.Summary) -> None:
         self.world, self.found, self.summary = world, found, summary
 
@@ -38,12 +38,12 @@
         return sum(count > 1 for count in ran.values())
 
 
-def play(told: MeshScenario, seed: int) -> Played:
+def play(told: MeshScenario, seed: int) -> MeshRun:
     world = World(told, seed)
-    records = world.run(faults.schedule(world), faults.over(told))
+    records = world.run(faults.schedule(world), faults.end_time(told))
     names = {machine.ip: machine.name for machine in (*world.core, *world.pilots)}
-    seen = checks.Seen(records, told.limits, names, CALM + int(told.length))
-    return Played(world, checks.verdict(seen), summarise(records, told))
+    seen = checks.History(records, told.limits, names, CALM + int(told.length))
+    return MeshRun(world, checks.check_history(seen), summarise(records, told))
 
 
 def summarise(records: list[Record], told: MeshScenario) -> report.Summary:
--- a/brackengate/emulator/mesh/scenario.py
+++ b/brackengate/emulator/mesh/scenario.py
@@ -152,11 +152,11 @@
     found: Found = Found()
 
 
-def pilots(told: MeshScenario) -> int:
+def proxy_count(told: MeshScenario) -> int:
     return sum(one.pilots for one in told.service.values())
 
 
-def faults_of(told: MeshScenario) -> list[tuple[Key, str]]:
+def validation_errors(told: MeshScenario) -> list[tuple[Key, str]]:
     """What its form alone does not show."""
     found: list[tuple[Key, str]] = []
     if not told.zones:
@@ -184,7 +184,7 @@
 
 
 def _fault(told: MeshScenario, one: Fault) -> Iterable[tuple[Key, str]]:
-    cores, all_pilots = told.core.count + told.core.spare, pilots(told)
+    cores, all_pilots = told.core.count + told.core.spare, proxy_count(told)
     for where, names in (("on", one.on), ("to", one.to)):
         for name in names:
             if MACHINE.fullmatch(name) is None:
@@ -209,9 +209,9 @@
 
 def load(path: str | Path) -> MeshScenario:
     """Read a scenario; BadFile names every fault with its line and what is allowed."""
-    return read_as(MeshScenario, path, faults_of)
+    return read_as(MeshScenario, path, validation_errors)
 
 
-def changed(text: str, name: str, sets: Iterable[str]) -> MeshScenario:
+def parse_scenario(text: str, name: str, sets: Iterable[str]) -> MeshScenario:
     """A scenario from its text, with some of its keys laid over by `key=value`."""
-    return parse_as(MeshScenario, text, name, faults_of, sets)
+    return parse_as(MeshScenario, text, name, validation_errors, sets)
--- a/tests/emulator/test_mesh_big_orders.py
+++ b/tests/emulator/test_mesh_big_orders.py
@@ -15,10 +15,10 @@
 from brackengate.control.role import ControlReplica
 from brackengate.emulator.loop import MS, S
 from brackengate.emulator.mesh import checks, faults
-from brackengate.emulator.mesh.order_troubles import OrderTroubles
+from brackengate.emulator.mesh.order_troubles import ChangeFaults
 from brackengate.emulator.mesh.people import Change
-from brackengate.emulator.mesh.play import Played, summarise
-from brackengate.emulator.mesh.scenario import changed
+from brackengate.emulator.mesh.play import MeshRun, summarise
+from brackengate.emulator.mesh.scenario import parse_scenario
 from brackengate.emulator.mesh.world import CALM, Machine, World
 from brackengate.protocol import message_parts
 from brackengate.proxy.egress import Egress
@@ -57,7 +57,7 @@
 
 @dataclass
 class Outcome:
-    made: Played
+    made: MeshRun
     behind: list[str] = field(default_factory=list)  # proxies that lack it soon after its acknowledgement
     lag: int = 0  # from the acknowledgement until it is in force at the last proxy
 
@@ -66,9 +66,9 @@
     """One large order, two seconds after the first request."""
     text = (MESH / "big-order.toml").read_text().partition("[[fault]]")[0]
     text += f'[[fault]]\nat = "2s"\nkind = "big_order"\nroutes = {routes}\n{content}\n{more}'
-    told = changed(text, "big-order.toml", ("length=9s", *sets))
+    told = parse_scenario(text, "big-order.toml", ("length=9s", *sets))
     world = World(told, 1)
-    outcome = Outcome(Played(world, [], summarise([], told)))
+    outcome = Outcome(MeshRun(world, [], summarise([], told)))
 
     def look(since: int, name: str) -> None:
         lacking = [one.name for one in world.pilots if _runs(one) and not _holds(one, name)]
@@ -79,21 +79,21 @@
         else:
             outcome.lag = world.loop.now - since
 
-    probe = OrderTroubles._probe_later
+    probe = ChangeFaults._schedule_probes
 
-    def acknowledged(troubles: OrderTroubles, change: Change) -> None:
+    def acknowledged(troubles: ChangeFaults, change: Change) -> None:
         name = change.items[-1][0]
         world.loop.after(SOON, partial(look, world.loop.now, name))
         probe(troubles, change)
 
-    OrderTroubles._probe_later = acknowledged  # type: ignore[method-assign]
+    ChangeFaults._schedule_probes = acknowledged  # type: ignore[method-assign]
     try:
-        records = world.run(faults.schedule(world), faults.over(told))
+        records = world.run(faults.schedule(world), faults.end_time(told))
     finally:
-        OrderTroubles._probe_later = probe  # type: ignore[method-assign]
+        ChangeFaults._schedule_probes = probe  # type: ignore[method-assign]
     names = {machine.ip: machine.name for machine in (*world.core, *world.pilots)}
-    seen = checks.Seen(records, told.limits, names, CALM + int(told.length))
-    outcome.made = Played(world, checks.verdict(seen), summarise(records, told))
+    seen = checks.History(records, told.limits, names, CALM + int(told.length))
+    outcome.made = MeshRun(world, checks.check_history(seen), summarise(records, told))
     return outcome
 
 
--- a/tests/emulator/test_mesh_hard.py
+++ b/tests/emulator/test_mesh_hard.py
@@ -17,8 +17,8 @@
 from brackengate.control.role import ControlReplica
 from brackengate.control.view import Agreement
 from brackengate.emulator.mesh import world
-from brackengate.emulator.mesh.play import Played, play
-from brackengate.emulator.mesh.scenario import changed, load
+from brackengate.emulator.mesh.play import MeshRun, play
+from brackengate.emulator.mesh.scenario import load, parse_scenario
 from brackengate.installation.units import Duration
 from brackengate.protocol.messages import CommandDone, HeldBy
 from brackengate.proxy import keys
@@ -64,10 +64,10 @@
 }
 
 
-def first(name: str, faults: int, length: float, *sets: str) -> Played:
+def first(name: str, faults: int, length: float, *sets: str) -> MeshRun:
     """A case with its first faults alone, up to so many seconds."""
     path = MESH / f"{name}.toml"
-    told = changed(path.read_text(), str(path), sets)
+    told = parse_scenario(path.read_text(), str(path), sets)
     return play(replace(told, fault=told.fault[:faults], length=Duration(int(length * 1e6))), 1)
 
 
--- a/tests/emulator/test_mesh_lab.py
+++ b/tests/emulator/test_mesh_lab.py
@@ -17,9 +17,9 @@
 from brackengate.cli import main
 from brackengate.emulator import hunt
 from brackengate.emulator.mesh import checks
-from brackengate.emulator.mesh.hunt import fair, mutated
-from brackengate.emulator.mesh.play import Played, play
-from brackengate.emulator.mesh.scenario import Fault, Limits, MeshScenario, changed, faults_of
+from brackengate.emulator.mesh.hunt import mutated, within_tolerance
+from brackengate.emulator.mesh.play import MeshRun, play
+from brackengate.emulator.mesh.scenario import Fault, Limits, MeshScenario, parse_scenario, validation_errors
 from brackengate.installation.reading import BadFile
 from brackengate.installation.units import Duration
 from brackengate.protocol.messages import CommandDone, HeldBy
@@ -29,12 +29,12 @@
 MESH = ROOT / "examples" / "lab" / "mesh"
 
 
-def played(name: str, *sets: str, seed: int = 1) -> Played:
+def played(name: str, *sets: str, seed: int = 1) -> MeshRun:
     path = MESH / name
-    return play(changed(path.read_text(), str(path), sets), seed)
+    return play(parse_scenario(path.read_text(), str(path), sets), seed)
 
 
-def kept(made: Played) -> None:
+def kept(made: MeshRun) -> None:
     assert [f"{one.rule}: {word}" for one in made.found for word in one.words] == []
 
 
@@ -58,7 +58,7 @@
     assert there.stdout.strip() == here
 
 
-def digest(made: Played) -> str:
+def digest(made: MeshRun) -> str:
     return hashlib.sha256(repr(made.world.records).encode()).hexdigest()
 
 
@@ -71,7 +71,7 @@
 def test_a_scenario_that_cannot_be_played_is_told_by_key() -> None:
     text = (MESH / "calm.toml").read_text() + '\n[[fault]]\nat = "1s"\nkind = "wipe"\non = ["p9"]\n'
     with pytest.raises(BadFile) as told:
-        changed(text, "s.toml", ())
+        parse_scenario(text, "s.toml", ())
     assert "wipe does not strike p9" not in str(told.value)  # there is none: that is told first
     assert "there is no p9" in str(told.value) and "lasts" in str(told.value)
 
@@ -124,8 +124,8 @@
 
 
 def broken(*records: checks.Record, first: Iterable[checks.Record] = FIRST) -> set[str]:
-    seen = checks.Seen(sorted([*UP, *first, *records], key=lambda one: one[0]), Limits(), NAMES, 30 * S)
-    return {one.rule for one in checks.verdict(seen) if one.count}
+    seen = checks.History(sorted([*UP, *first, *records], key=lambda one: one[0]), Limits(), NAMES, 30 * S)
+    return {one.rule for one in checks.check_history(seen) if one.count}
 
 
 @pytest.mark.parametrize("rule", HISTORIES)
@@ -167,7 +167,7 @@
 def small(*faults: Fault, length: int = 5) -> MeshScenario:
     path = MESH / "calm.toml"
     sets = (f"length={length}s", "route.bid.rate=15.0", "route.bid.again=1.0")
-    return msgspec.structs.replace(changed(path.read_text(), str(path), sets), fault=faults)
+    return msgspec.structs.replace(parse_scenario(path.read_text(), str(path), sets), fault=faults)
 
 
 def test_a_search_finds_a_guard_that_is_gone_and_shrinks_the_schedule(
@@ -192,14 +192,14 @@
 
 
 def test_no_schedule_is_drawn_that_loses_more_than_may_be_lost() -> None:
-    assert fair(small(fault(1, "wipe", "l0"), fault(1.1, "kill", "core")))
-    assert fair(small(fault(1, "wipe", "l0"), fault(7, "wipe", "l1"), length=9))
-    assert not fair(small(fault(1, "wipe", "l0"), fault(2, "wipe", "l1")))
-    assert not fair(small(fault(1, "wipe", "l0"), fault(2, "freeze", "l1", lasts=3)))
-    assert not fair(small(fault(1, "wipe", "core")))
+    assert within_tolerance(small(fault(1, "wipe", "l0"), fault(1.1, "kill", "core")))
+    assert within_tolerance(small(fault(1, "wipe", "l0"), fault(7, "wipe", "l1"), length=9))
+    assert not within_tolerance(small(fault(1, "wipe", "l0"), fault(2, "wipe", "l1")))
+    assert not within_tolerance(small(fault(1, "wipe", "l0"), fault(2, "freeze", "l1", lasts=3)))
+    assert not within_tolerance(small(fault(1, "wipe", "core")))
     told, rng, kinds = small(length=20), random.Random(1), set()
     for _ in range(300):
         told = mutated(told, rng)
         kinds |= {one.kind for one in told.fault}
-        assert fair(told) and not faults_of(told)
+        assert within_tolerance(told) and not validation_errors(told)
     assert kinds >= {"wipe", "cut", "freeze", "seeds", "full", "reuse"}
--- a/tests/emulator/test_mesh_leases.py
+++ b/tests/emulator/test_mesh_leases.py
@@ -11,7 +11,7 @@
 from brackengate.control.failure_detector import LEASE_US
 from brackengate.control.follower_connections import Follower, FollowerConnections
 from brackengate.emulator.mesh import checks, faults
-from brackengate.emulator.mesh.scenario import changed
+from brackengate.emulator.mesh.scenario import parse_scenario
 from brackengate.emulator.mesh.world import CALM, World
 from brackengate.protocol.message_parts import EncodedMessage, decompress
 from brackengate.protocol.messages import ControlReplicas, Message, Redirect
@@ -28,7 +28,7 @@
     text += f'[[fault]]\nat = "2s"\nkind = "cut"\non = {on}\nto = {to}\nlasts = "20s"\n{ways}'
     text += '[[fault]]\nat = "8s"\nkind = "kill"\non = ["p0"]\nlasts = "500ms"\n'
     text += "".join(more)
-    world = World(changed(text, "cut.toml", ["length=30s"]), 1)
+    world = World(parse_scenario(text, "cut.toml", ["length=30s"]), 1)
     told: list[tuple[int, str, str, Message]] = []
     say, say_encoded = FollowerConnections._send, FollowerConnections._send_encoded
 
@@ -51,10 +51,10 @@
     monkeypatch.setattr(FollowerConnections, "_send_encoded", said_encoded)
     world.seeds = ["l0", "l1", "l2"]
     world.loop.at(CALM + 7 * S, lambda: setattr(world, "seeds", ["l0"]))
-    records = world.run(faults.schedule(world), faults.over(world.told))
+    records = world.run(faults.schedule(world), faults.end_time(world.told))
     names = {machine.ip: machine.name for machine in (*world.core, *world.pilots)}
-    seen = checks.Seen(records, world.told.limits, names, CALM + int(world.told.length))
-    assert [word for one in checks.verdict(seen) for word in one.words] == []
+    seen = checks.History(records, world.told.limits, names, CALM + int(world.told.length))
+    assert [word for one in checks.check_history(seen) for word in one.words] == []
     return world, told
 
 
--- a/tests/emulator/test_mesh_worst_days.py
+++ b/tests/emulator/test_mesh_worst_days.py
@@ -17,9 +17,9 @@
 from brackengate.control.replica import Replica
 from brackengate.control.role import ControlReplica
 from brackengate.emulator.mesh import checks
-from brackengate.emulator.mesh.hunt import fair, mutated
-from brackengate.emulator.mesh.play import Played, play
-from brackengate.emulator.mesh.scenario import faults_of, load
+from brackengate.emulator.mesh.hunt import mutated, within_tolerance
+from brackengate.emulator.mesh.play import MeshRun, play
+from brackengate.emulator.mesh.scenario import load, validation_errors
 from brackengate.installation.units import Duration
 
 CASES = {
@@ -47,7 +47,7 @@
 }
 
 
-def first_faults(name: str, faults: int, seconds: int, seed: int = 1) -> Played:
+def first_faults(name: str, faults: int, seconds: int, seed: int = 1) -> MeshRun:
     """A case with its first faults alone, up to so many seconds."""
     told = load(MESH / f"{name}.toml")
     length = Duration(seconds * S)
@@ -62,7 +62,7 @@
     assert struck == {one.kind for one in made.world.told.fault}
 
 
-def members(made: Played) -> set[str]:
+def members(made: MeshRun) -> set[str]:
     """The machines of the newest view at the end."""
     roles = [one.role for one in made.world.core if isinstance(one.role, ControlReplica)]
     view = max((role.replica.agreement.view for role in roles), key=lambda view: view.epoch)
@@ -196,6 +196,6 @@
         told = mutated(told, rng)
         kinds |= {one.kind for one in told.fault}
         fields |= {word for one in told.fault for word in (one.after, one.restart, *one.on)}
-        assert fair(told) and not faults_of(told)
+        assert within_tolerance(told) and not validation_errors(told)
     assert kinds >= {"replace_core", "ack_lost", "reset_conns", "bad_order", "config_race", "resend"}
     assert fields >= {"sent", "others", "both", "acker", "lot"}
--- a/tests/proxy/test_shutdown_plan.py
+++ b/tests/proxy/test_shutdown_plan.py
@@ -8,7 +8,7 @@
 
 from brackengate.emulator.mesh import faults
 from brackengate.emulator.mesh.play import play
-from brackengate.emulator.mesh.scenario import changed
+from brackengate.emulator.mesh.scenario import parse_scenario
 from brackengate.emulator.mesh.world import CALM, World
 from brackengate.proxy.shutdown_plan import ShutdownPlan
 
@@ -68,14 +68,14 @@
 def test_shutdown_of_all_proxies_of_a_zone_loses_no_request(seed: int) -> None:
     """Its clients send requests until the end, as fewer than half of the zone's proxies are ready."""
     path = MESH / "leaving-zone.toml"
-    made = play(changed(path.read_text(), str(path), ()), seed)
+    made = play(parse_scenario(path.read_text(), str(path), ()), seed)
     assert [f"{one.rule}: {word}" for one in made.found for word in one.words] == []
 
 
 def test_connections_of_other_proxies_are_drained_after_ingress_has_closed() -> None:
     """A close that crosses a request leaves its caller without knowing whether it ran."""
     path = MESH / "calm.toml"
-    scenario = changed(path.read_text(), str(path), ("length=8s", "route.read.deadline=3s"))
+    scenario = parse_scenario(path.read_text(), str(path), ("length=8s", "route.read.deadline=3s"))
     world = World(scenario, 1)
     seen: list[tuple[bool, bool, bool]] = []
 
@@ -87,7 +87,7 @@
     world.loop.after(begun, lambda: world.pilots[0].role.stop())
     for at in range(100 * MS, 3 * S, 100 * MS):
         world.loop.after(begun + at, look)
-    world.run(faults.schedule(world), faults.over(scenario))
+    world.run(faults.schedule(world), faults.end_time(scenario))
     assert (True, False, False) in seen and (True, True, True) in seen
     assert all(
         egress_draining and admission_closed is ingress_draining
