--- a/brackengate/emulator/mesh/faults.py
+++ b/brackengate/emulator/mesh/faults.py
@@ -1,4 +1,4 @@
-"""What goes wrong with a mesh, and when."""
+"""Fault injection of the mesh simulation: applies the faults of a scenario to the simulated machines."""
 
 from __future__ import annotations
 
@@ -8,69 +8,71 @@
 from brackengate.control.actions import Store
 from brackengate.emulator.loop import MS, S
 from brackengate.emulator.mesh.people import LostAcks
-from brackengate.emulator.mesh.scenario import ORDERS, Fault, MeshScenario
+from brackengate.emulator.mesh.scenario import CHANGE_FAULTS, Fault, MeshScenario
 from brackengate.emulator.mesh.world import BACK, CALM, Machine, World
 
-SOON_AFTER = (5 * MS, 400 * MS)  # a blow comes so long after an order was sent
-REPLACED = S  # from the loss of a core machine to the start of the next, or from that start to SIGTERM
-OVERLAP = 6 * S  # a machine of the core goes so long after the one that takes its place has come
-CRASHED = S  # from an upstream's crash to its next life
+# from sending a configuration change to the fault, where `wait` is 0: least and (exclusive) greatest delay
+DELAY_AFTER_SENT_US = (5 * MS, 400 * MS)
+# from the loss of a replica to the start of its replacement; planned: from that start to SIGTERM
+REPLACEMENT_DELAY_US = S
+REPLACEMENT_OVERLAP_US = 6 * S  # from the start of the replacement to the removal of the old replica
+UPSTREAM_RESTART_DELAY_US = S  # from an upstream's crash to its restart
 
 
 def schedule(world: World) -> Iterable[Callable[[], None]]:
-    """Times of faults are counted from the first request."""
+    """Functions that each schedule one fault of the scenario. Its time counts from the first request."""
     for fault in world.told.fault:
-        yield partial(world.loop.at, CALM + int(fault.at), partial(_begins, world, fault))
+        yield partial(world.loop.at, CALM + int(fault.at), partial(_start_fault, world, fault))
 
 
-def end_time(told: MeshScenario) -> int:
-    """When the last fault is over, and what comes of it."""
+def end_time(scenario: MeshScenario) -> int:
+    """Simulated time (us) at which the last fault and its direct consequences have ended."""
     ends = [0]
-    for fault in told.fault:
-        last = int(told.length) if fault.every or fault.after else int(fault.at)
-        ends.append(CALM + last + max(int(fault.lasts), _ends_after(fault)))
+    for fault in scenario.fault:
+        last = int(scenario.length) if fault.every or fault.after else int(fault.at)
+        ends.append(CALM + last + max(int(fault.lasts), _duration_after_start(fault)))
     return max(ends)
 
 
-def _ends_after(fault: Fault) -> int:
+def _duration_after_start(fault: Fault) -> int:
     if fault.kind == "replace_core":
-        return OVERLAP + (int(fault.lasts) or REPLACED)
-    return OVERLAP if fault.kind == "seeds" else fault.count * S
+        return REPLACEMENT_OVERLAP_US + (int(fault.lasts) or REPLACEMENT_DELAY_US)
+    return REPLACEMENT_OVERLAP_US if fault.kind == "seeds" else fault.count * S
 
 
-def _begins(world: World, fault: Fault) -> None:
+def _start_fault(world: World, fault: Fault) -> None:
     if fault.every and world.loop.now + int(fault.every) < CALM + int(world.told.length):
-        world.loop.after(int(fault.every), partial(_begins, world, fault))
+        world.loop.after(int(fault.every), partial(_start_fault, world, fault))
     if fault.kind == "close":
-        _close(world, fault)
+        _apply_closing_fault(world, fault)
     elif fault.kind == "loss":
-        _loss(world, fault)
-    elif fault.kind in ORDERS:
-        _orders(world, fault)
+        _apply_loss(world, fault)
+    elif fault.kind in CHANGE_FAULTS:
+        _apply_change_fault(world, fault)
     elif fault.after == "ack":
-        world.operators.acknowledged.append(partial(_strike, world, fault))
+        world.operators.acknowledged.append(partial(_apply_fault, world, fault))
         world.operators.change()
     elif fault.after == "sent":
         world.operators.change()
-        wait = int(fault.wait) or world.rng.randrange(*SOON_AFTER)
-        world.loop.after(wait, partial(_strike, world, fault))
+        wait = int(fault.wait) or world.rng.randrange(*DELAY_AFTER_SENT_US)
+        world.loop.after(wait, partial(_apply_fault, world, fault))
     elif fault.after == "sync":
-        for machine in _named(world, fault.on):
-            machine.disk.synced = partial(_synced, world, fault, machine)
+        for machine in _find_machines(world, fault.on):
+            machine.disk.synced = partial(_on_claim_synced, world, fault, machine)
     else:
-        _strike(world, fault)
+        _apply_fault(world, fault)
 
 
-def _named(world: World, names: Iterable[str]) -> list[Machine]:
+def _find_machines(world: World, names: Iterable[str]) -> list[Machine]:
     found: dict[Machine, None] = {}
     for name in names:
         if name in ("core", "pilots"):
             found |= dict.fromkeys(world.listed() if name == "core" else world.pilots)
         elif name in ("head", "middle", "tail"):
-            seats = world.seats()
-            if seats:
-                at = {"head": 0, "middle": len(seats) // 2, "tail": -1}[name]
-                found[world.machine(seats[at])] = None
+            members = world.seats()
+            if members:
+                at = {"head": 0, "middle": len(members) // 2, "tail": -1}[name]
+                found[world.machine(members[at])] = None
         elif name == "acker":
             address = world.operators.answered_by
             if address is not None:
@@ -82,46 +84,46 @@
     return list(found)
 
 
-def _orders(world: World, fault: Fault) -> None:
-    """What strikes the operators' orders."""
+def _apply_change_fault(world: World, fault: Fault) -> None:
+    """Apply a fault of the operators' configuration changes."""
     world.trace("fault", fault.kind, ())
     operators, troubles, count = world.operators, world.operators.troubles, fault.count
     match fault.kind:
         case "ack_lost":
             operators.lost_acks = LostAcks(world.loop.now + int(fault.lasts), float(fault.part))
         case "bad_order":
-            troubles.again_and_again(count, partial(troubles.bad_order, fault.order))
+            troubles.repeat(count, partial(troubles.send_bad_change, fault.order))
         case "config_race":
-            troubles.again_and_again(count, troubles.race)
+            troubles.repeat(count, troubles.send_race)
         case "resend":
-            troubles.again_and_again(count, troubles.resend)
+            troubles.repeat(count, troubles.resend_earlier)
         case "overtaken_order":
-            troubles.again_and_again(count, troubles.overtaken)
+            troubles.repeat(count, troubles.send_overtaken)
         case "big_order":
-            order = partial(troubles.big_order, int(fault.routes), fault.content)
-            troubles.again_and_again(count, order)
+            send = partial(troubles.send_big_change, int(fault.routes), fault.content)
+            troubles.repeat(count, send)
 
 
-def _synced(world: World, fault: Fault, machine: Machine, stores: list[Store]) -> None:
-    """A commit with a claim is on the disk, and its process has not heard of it yet."""
+def _on_claim_synced(world: World, fault: Fault, machine: Machine, stores: list[Store]) -> None:
+    """Apply the fault if the commit holds a claim: it is on disk, and the process is not notified yet."""
     if any(row[0] == "key" for store in stores for _, row in store.rows):
         machine.disk.synced = lambda stores: None
-        _strike(world, fault, _named(world, fault.to) or [machine])
+        _apply_fault(world, fault, _find_machines(world, fault.to) or [machine])
 
 
-def _strike(world: World, fault: Fault, machines: list[Machine] | None = None) -> None:
-    machines = _named(world, fault.on) if machines is None else machines
+def _apply_fault(world: World, fault: Fault, machines: list[Machine] | None = None) -> None:
+    machines = _find_machines(world, fault.on) if machines is None else machines
     machines = [machine for machine in machines if machine.used and not machine.gone]
     world.trace("fault", fault.kind, tuple(machine.name for machine in machines))
     if fault.kind == "cut":
-        _cut(world, fault, machines)
+        _apply_partition(world, fault, machines)
         return
-    all_gone = world.rng.random() < 0.5
+    drop_unsynced = world.rng.random() < 0.5
     for machine in machines:
-        _one(world, fault, machine, all_gone)
+        _apply_to_machine(world, fault, machine, drop_unsynced)
 
 
-def _one(world: World, fault: Fault, machine: Machine, all_gone: bool) -> None:
+def _apply_to_machine(world: World, fault: Fault, machine: Machine, drop_unsynced: bool) -> None:
     loop, lasts = world.loop, int(fault.lasts)
     match fault.kind:
         case "kill":
@@ -130,7 +132,7 @@
         case "term":
             machine.term()
         case "power" | "wipe":
-            machine.lose_power(wipe=fault.kind == "wipe", all_gone=all_gone)
+            machine.lose_power(wipe=fault.kind == "wipe", all_gone=drop_unsynced)
             loop.after(lasts, machine.get_power)
         case "freeze":
             process = machine.process
@@ -138,12 +140,12 @@
                 world.trace("frozen", machine.name)
                 process.freeze()
 
-                def wakes() -> None:
+                def resume() -> None:
                     if process.alive:
                         world.trace("thawed", machine.name)
                         process.thaw()
 
-                loop.after(lasts, wakes)
+                loop.after(lasts, resume)
         case "stall" | "full":
             until = loop.now + lasts
             if fault.kind == "stall":
@@ -159,62 +161,62 @@
             machine.off += -int(fault.by) if fault.back else int(fault.by)
             world.trace("clock", machine.name)
         case "reset_conns":
-            _reset_some(world, fault, machine, loop.now + lasts)
+            _reset_some_connections(world, fault, machine, loop.now + lasts)
         case "seeds":
-            _exchange(world, machine)
+            _swap_with_spare(world, machine)
         case "replace_core":
-            _replace(world, machine, fault.planned, lasts or REPLACED)
+            _replace_member(world, machine, fault.planned, lasts or REPLACEMENT_DELAY_US)
         case "crash":
             if machine.upstream is not None:
                 machine.upstream.die()
-                loop.after(max(CRASHED, lasts), machine.new_upstream)
+                loop.after(max(UPSTREAM_RESTART_DELAY_US, lasts), machine.new_upstream)
         case "replace" | "reuse":
-            _leaves(world, machine, fault.kind == "reuse")
+            _replace_upstream(world, machine, fault.kind == "reuse")
 
 
-def _loss(world: World, fault: Fault) -> None:
-    """On all links: what is lost comes later, as TCP sends it again."""
+def _apply_loss(world: World, fault: Fault) -> None:
+    """Packet loss on all links: lost data arrives late, as TCP retransmits it."""
     world.trace("fault", fault.kind, ())
     machines = [one.name for one in (*world.core, *world.pilots) if one.used]
-    for on in (True, False):
+    for enabled in (True, False):
 
-        def turn(on: bool = on) -> None:
-            world.net.loss = float(fault.part) if on else 0.0
+        def switch(enabled: bool = enabled) -> None:
+            world.net.loss = float(fault.part) if enabled else 0.0
             for name in machines:
-                world.trace("sick" if on else "well", name)
+                world.trace("sick" if enabled else "well", name)
 
-        world.loop.after(0 if on else int(fault.lasts), turn)
+        world.loop.after(0 if enabled else int(fault.lasts), switch)
 
 
-def _cut(world: World, fault: Fault, machines: list[Machine]) -> None:
-    others = _named(world, fault.to) or [*world.listed(), *world.pilots]
+def _apply_partition(world: World, fault: Fault, machines: list[Machine]) -> None:
+    others = _find_machines(world, fault.to) or [*world.listed(), *world.pilots]
     pairs = [(one, other) for one in machines for other in others if other not in machines]
-    ways = [(one, other) for one, other in pairs] + (
+    directions = [(one, other) for one, other in pairs] + (
         [] if fault.one_way else [(other, one) for one, other in pairs]
     )
-    for on in (True, False):
+    for enabled in (True, False):
 
-        def turn(on: bool = on) -> None:
-            for one, other in ways:
-                world.trace("cut" if on else "joined", one.name, other.name)
-                world.net.set_cut(one.ip, other.ip, on)
+        def switch(enabled: bool = enabled) -> None:
+            for one, other in directions:
+                world.trace("cut" if enabled else "joined", one.name, other.name)
+                world.net.set_cut(one.ip, other.ip, enabled)
 
-        world.loop.after(0 if on else int(fault.lasts), turn)
+        world.loop.after(0 if enabled else int(fault.lasts), switch)
     if fault.seeds_first:
         world.put_seeds_first([machine.name for machine in machines if machine.core])
-    _restarts(world, fault, machines)
+    _schedule_restarts(world, fault, machines)
 
 
-def _restarts(world: World, fault: Fault, cut_off: list[Machine]) -> None:
-    """Some machines are restarted during a cut, so that they read the seeds anew."""
+def _schedule_restarts(world: World, fault: Fault, partitioned: list[Machine]) -> None:
+    """Restart some machines during a partition, so that they read the seeds again."""
     lasts = int(fault.lasts)
     if fault.restart == "others":
-        rest = [one for one in world.pilots if one not in cut_off]
-        for machine in rest[: (len(rest) + 1) // 2]:
+        remaining = [one for one in world.pilots if one not in partitioned]
+        for machine in remaining[: (len(remaining) + 1) // 2]:
             world.loop.after(world.rng.randrange(lasts // 4, lasts // 2), partial(_restart, world, machine))
     elif fault.restart == "both":
-        others = [one for one in world.listed() if one not in cut_off]
-        for number, machine in enumerate([*cut_off, *others]):
+        others = [one for one in world.listed() if one not in partitioned]
+        for number, machine in enumerate([*partitioned, *others]):
             world.loop.after(lasts // 4 + number * S, partial(_restart, world, machine))
 
 
@@ -223,50 +225,53 @@
     world.loop.after(BACK, machine.begin)
 
 
-def _exchange(world: World, old: Machine) -> None:
-    """Another machine, with an empty disk, takes its place; it goes for good, or until it is a spare."""
-    spare = _spare(world, old)
+def _swap_with_spare(world: World, old: Machine) -> None:
+    """Replace a replica by a machine with an empty disk. The old one is removed; it may return as a spare."""
+    spare = _find_spare(world, old)
     if spare is None:
         return
-    _comes_new(spare)
+    _start_empty(spare)
 
-    def goes() -> None:
+    def swap() -> None:
         world.replace(old, spare)
-        _goes_for_good(world, old)
+        _remove_permanently(world, old)
 
-    world.loop.after(OVERLAP, goes)
+    world.loop.after(REPLACEMENT_OVERLAP_US, swap)
 
 
-def _replace(world: World, old: Machine, planned: bool, pause: int) -> None:
-    """One goes for good, an empty one comes at another address; planned: it comes first, and the old one
-    gets SIGTERM a pause later; else it comes a pause after the loss."""
-    spare = _spare(world, old)
+def _replace_member(world: World, old: Machine, planned: bool, pause: int) -> None:
+    """Remove a replica permanently and start an empty one at another address.
+
+    Planned: the new one starts first, and the old one gets SIGTERM `pause` later.  Otherwise the new one
+    starts `pause` after the loss of the old one.
+    """
+    spare = _find_spare(world, old)
     if spare is None:
         return
     if not planned:
-        _goes_for_good(world, old)
+        _remove_permanently(world, old)
 
-    def then() -> None:
+    def finish() -> None:
         world.replace(old, spare)
         if planned:
-            _stops_for_good(world, old)
+            _stop_permanently(world, old)
         else:
-            _comes_new(spare)
+            _start_empty(spare)
 
     if planned:
-        _comes_new(spare)
-    world.loop.after(pause, then)
+        _start_empty(spare)
+    world.loop.after(pause, finish)
 
 
-def _spare(world: World, old: Machine) -> Machine | None:
-    """An empty machine that may take the place of this one, if it still has one: the longest unused one."""
+def _find_spare(world: World, old: Machine) -> Machine | None:
+    """The machine that has been unused for longest, to replace this one if it is still listed; else None."""
     if old not in world.listed():
         return None
     free = [one for one in world.core if one not in world.listed() and not one.process.alive]
     return min(free, key=lambda one: one.gone_at) if free else None
 
 
-def _comes_new(spare: Machine) -> None:
+def _start_empty(spare: Machine) -> None:
     spare.gone = False
     spare.disk.wipe()
     if not spare.powered:
@@ -274,35 +279,38 @@
     spare.begin()
 
 
-def _goes_for_good(world: World, old: Machine) -> None:
+def _remove_permanently(world: World, old: Machine) -> None:
     old.lose_power(wipe=True)
     world.trace("removed", old.name)
     old.gone, old.gone_at = True, world.loop.now
 
 
-def _stops_for_good(world: World, old: Machine) -> None:
-    """SIGTERM, then its disk goes with it."""
+def _stop_permanently(world: World, old: Machine) -> None:
+    """Stop the process by SIGTERM, then remove the machine with its disk."""
     old.gone, old.gone_at = True, world.loop.now
     old.term()
     world.trace("removed", old.name)
 
-    def ends() -> None:
-        if old.gone:  # it was not started again meanwhile, as an empty machine
+    def remove_disk() -> None:
+        if old.gone:  # false if it was started again meanwhile, as an empty machine
             old.lose_power(wipe=True)
 
-    world.loop.after(int(world.told.limits.grace) + MS, ends)
+    world.loop.after(int(world.told.limits.grace) + MS, remove_disk)
 
 
-def _reset_some(world: World, fault: Fault, machine: Machine, until: int) -> None:
-    """A share of its connections, again every second."""
+def _reset_some_connections(world: World, fault: Fault, machine: Machine, until: int) -> None:
+    """Reset a share of the machine's connections, every second until `until`."""
     world.trace("reset", machine.name)
     machine.process.reset(lambda: world.rng.random() < float(fault.part))
     if world.loop.now + S < until:
-        world.loop.after(S, partial(_reset_some, world, fault, machine, until))
+        world.loop.after(S, partial(_reset_some_connections, world, fault, machine, until))
+
 
+def _replace_upstream(world: World, machine: Machine, reuse: bool) -> None:
+    """Drain and stop the upstream, then send SIGTERM to its proxy; new ones start at the same address.
 
-def _leaves(world: World, machine: Machine, reuse: bool) -> None:
-    """Its upstream drains and ends, then its pilot gets SIGTERM; new ones come to the same address."""
+    `reuse`: the new ones belong to another service.
+    """
     upstream = machine.upstream
     if upstream is None or not upstream.process.alive:
         return
@@ -313,23 +321,23 @@
             machine.next_plant = world.services[(at + 1) % len(world.services)]
         machine.term()
         delay = int(world.told.limits.reuse_delay)
-        world.loop.after(delay + 2 * BACK, partial(_comes, world, machine))
+        world.loop.after(delay + 2 * BACK, partial(_start_upstream, world, machine))
 
     upstream.leave(ended)
 
 
-def _comes(world: World, machine: Machine) -> None:
-    """Once the pilot that is to be beside it is the new one."""
+def _start_upstream(world: World, machine: Machine) -> None:
+    """Start the new upstream as soon as the proxy beside it is the new one."""
     if machine.next_plant != machine.plant and not machine.gone:
-        world.loop.after(200 * MS, partial(_comes, world, machine))
+        world.loop.after(200 * MS, partial(_start_upstream, world, machine))
     elif machine.upstream is None or not machine.upstream.process.alive:
         machine.new_upstream()
 
 
-def _close(world: World, fault: Fault) -> None:
-    """The closing fault, right after a configuration was acknowledged."""
+def _apply_closing_fault(world: World, fault: Fault) -> None:
+    """Apply the closing fault right after the next acknowledgement of a configuration change."""
 
-    def strikes() -> None:
+    def strike() -> None:
         world.trace("closing", fault.how)
         core = world.listed()
         lasts = int(fault.lasts) or 500 * MS
@@ -338,19 +346,19 @@
                 machine.kill()
                 world.loop.after(lasts, machine.begin)
             return
-        all_gone = world.rng.random() < 0.7
+        drop_unsynced = world.rng.random() < 0.7
         wiped = core[: world.told.core.tolerance] if fault.how == "wipe" else []
         for machine in (*core, *world.pilots):
             if fault.how == "power" or machine.core:
-                machine.lose_power(machine in wiped, all_gone)
+                machine.lose_power(machine in wiped, drop_unsynced)
                 world.loop.after(lasts, machine.get_power)
 
     def back() -> None:
         world.trace("back")
 
-    def then() -> None:
-        strikes()
+    def strike_and_recover() -> None:
+        strike()
         world.loop.after(int(fault.lasts) or 500 * MS, back)
 
-    world.operators.acknowledged.append(then)
+    world.operators.acknowledged.append(strike_and_recover)
     world.operators.change()
--- a/brackengate/emulator/mesh/hunt.py
+++ b/brackengate/emulator/mesh/hunt.py
@@ -1,4 +1,4 @@
-"""Schedules of faults for a mesh: drawn, changed and made smaller."""
+"""Search over fault schedules of the mesh: random faults, mutation of a schedule and shrinking."""
 
 from __future__ import annotations
 
@@ -10,61 +10,66 @@
 
 from brackengate.emulator import report
 from brackengate.emulator.loop import MS, S
-from brackengate.emulator.mesh.faults import OVERLAP
+from brackengate.emulator.mesh.faults import REPLACEMENT_OVERLAP_US
 from brackengate.emulator.mesh.play import MeshRun
 from brackengate.emulator.mesh.scenario import (
-    LASTING,
-    ORDERS,
-    STRIKES,
+    CHANGE_FAULTS,
+    NEED_DURATION,
+    TARGETS_BY_KIND,
+    BadChangeKinds,
     Fault,
     MeshScenario,
-    OrderKinds,
     proxy_count,
 )
 from brackengate.installation.units import Duration
 
-MOST_FAULTS = 6
-KINDS = tuple(kind for kind in STRIKES if kind != "close")
-ORDER_KINDS = get_args(OrderKinds)
-BY_LOT = ("acker", "lot")  # core machines that are known only when the fault strikes
-LONGEST = 8 * S
-SETTLING = 4 * S  # a machine that has returned counts as lost for so long
-TAIL = 5 * S  # of a scenario, behind its last fault
+MAX_FAULTS = 6
+KINDS = tuple(kind for kind in TARGETS_BY_KIND if kind != "close")
+BAD_CHANGE_KINDS = get_args(BadChangeKinds)
+LATE_BOUND_TARGETS = ("acker", "lot")  # control replicas that are chosen only when the fault starts
+MAX_FAULT_US = 8 * S
+RECOVERY_US = 4 * S  # a machine still counts as lost for this time after its return
+TAIL_US = 5 * S  # kept after the last fault when a scenario is shortened
 
 
-def features(told: MeshScenario, played: MeshRun) -> frozenset[str]:
-    """What a run did, coarsely: ends by route in powers of two, rules, and which faults came together."""
-    seen = {f"broken {rule}" for rule in played.rules}
-    for name, one in played.summary.classes.items():
+def features(scenario: MeshScenario, run: MeshRun) -> frozenset[str]:
+    """Coarse features of a run, to tell whether it did something new.
+
+    The outcomes of each route in powers of two, the broken rules, and which pairs of faults occurred.
+    """
+    seen = {f"broken {rule}" for rule in run.rules}
+    for name, one in run.summary.classes.items():
         seen |= {f"{name} {end} {one.ends[end].bit_length()}" for end in report.ENDS[1:] if one.ends[end]}
-    kinds = sorted({f"{one.kind}{one.after}" for one in told.fault})
-    seen |= {f"{one}+{other}" for place, one in enumerate(kinds) for other in kinds[place + 1 :]}
+    kinds = sorted({f"{one.kind}{one.after}" for one in scenario.fault})
+    seen |= {f"{one}+{other}" for index, one in enumerate(kinds) for other in kinds[index + 1 :]}
     return frozenset(seen)
 
 
-def drawn(told: MeshScenario, rng: random.Random) -> Fault:
-    """A fault that the scenario allows."""
-    allowed = [kind for kind in KINDS if kind != "replace_core" or told.core.spare]
+def random_fault(scenario: MeshScenario, rng: random.Random) -> Fault:
+    """A random fault that is valid in the scenario."""
+    allowed = [kind for kind in KINDS if kind != "replace_core" or scenario.core.spare]
     replace, kind = msgspec.structs.replace, rng.choice(allowed)
-    core = [f"l{n}" for n in range(told.core.count)] + ["head", "middle", "tail", *BY_LOT]
-    sides = [f"p{n}" for n in range(proxy_count(told))]
-    places = (core if "l" in STRIKES[kind] else []) + (sides if "p" in STRIKES[kind] else [])
-    on: tuple[str, ...] = (rng.choice(places),) if places else ()
+    core = [f"l{n}" for n in range(scenario.core.count)] + ["head", "middle", "tail", *LATE_BOUND_TARGETS]
+    proxies = [f"p{n}" for n in range(proxy_count(scenario))]
+    targets = (core if "l" in TARGETS_BY_KIND[kind] else []) + (
+        proxies if "p" in TARGETS_BY_KIND[kind] else []
+    )
+    on: tuple[str, ...] = (rng.choice(targets),) if targets else ()
     if kind in ("kill", "freeze", "power") and rng.random() < 0.2:
         on = (rng.choice(("core", "pilots")),)
-    length = max(1, int(told.length) - 2 * S)
+    length = max(1, int(scenario.length) - 2 * S)
     made = Fault(
         at=Duration(rng.randrange(0, length, 10 * MS)),
         kind=kind,  # type: ignore[arg-type]
         on=on,
-        lasts=Duration(rng.choice((300 * MS, rng.randrange(100 * MS, LONGEST, 10 * MS)))),
+        lasts=Duration(rng.choice((300 * MS, rng.randrange(100 * MS, MAX_FAULT_US, 10 * MS)))),
         by=Duration(rng.randrange(S, 60 * S, 100 * MS)),
         back=rng.random() < 0.5,
     )
     if kind == "loss":
         made = replace(made, part=round(rng.uniform(0.01, 0.3), 2))
     elif kind == "cut":
-        to = rng.choice([(), ("core",), ("pilots",), (rng.choice([one for one in core + sides]),)])
+        to = rng.choice([(), ("core",), ("pilots",), (rng.choice([one for one in core + proxies]),)])
         made = replace(made, to=to, one_way=rng.random() < 0.4)
         if on[0] in core:
             restart = rng.choice(("", "", "others", "both"))
@@ -73,91 +78,97 @@
         made = replace(made, part=round(rng.uniform(0.3, 0.9), 2))
     elif kind == "replace_core":
         made = replace(made, planned=rng.random() < 0.5, lasts=Duration(S))
-    elif kind in ORDERS:
-        made = replace(made, order=rng.choice(ORDER_KINDS), count=rng.randrange(1, 4))
+    elif kind in CHANGE_FAULTS:
+        made = replace(made, order=rng.choice(BAD_CHANGE_KINDS), count=rng.randrange(1, 4))
     elif kind in ("kill", "power", "wipe") and on[0] in core and rng.random() < 0.4:
         made = replace(made, after=rng.choice(("sync", "ack", "sent", "sent")))
     return made
 
 
-def within_tolerance(told: MeshScenario) -> bool:
-    """Whether every rule has to hold: no more of the core is lost with its disk than `tolerance` says.
+def within_tolerance(scenario: MeshScenario) -> bool:
+    """Whether the faults lose no more disks of the core than `tolerance` allows, so that all rules must hold.
 
-    Guards against finds that are none.  Beside a lost disk, until it is back and has settled, others of the
-    core may only be killed or lose their power for a second.
+    Prevents false findings.  While a disk is lost, and until its machine has returned and recovered, other
+    replicas may only be killed or lose their power for a second.
     """
-    spans: list[tuple[int, int, bool]] = []  # whether a disk goes
-    for one in told.fault:
-        at, lasts, disk = int(one.at), int(one.lasts), one.kind in ("wipe", "seeds", "replace_core")
+    spans: list[tuple[int, int, bool]] = []  # start, end, whether a disk is lost
+    for one in scenario.fault:
+        at, lasts, loses_disk = int(one.at), int(one.lasts), one.kind in ("wipe", "seeds", "replace_core")
         core = [name for name in (*one.on, *(one.to if one.kind == "cut" else ())) if name[0] != "p"]
-        brief = one.kind in ("kill", "power") and lasts <= S
-        if not core or brief or one.kind in ("clock", "term"):
+        short_outage = one.kind in ("kill", "power") and lasts <= S
+        if not core or short_outage or one.kind in ("clock", "term"):
             continue
         if one.kind in ("seeds", "replace_core"):
-            lasts = OVERLAP
+            lasts = REPLACEMENT_OVERLAP_US
         if one.after:
-            lasts += S  # it waits for its moment
-        disks = disk and core != ["core"]
-        spans += [(at, at + lasts + SETTLING, disk)] * (1 if disks or not disk else told.core.count)
-    for number, (since, until, disk) in enumerate(spans):
-        meet = [one for n, one in enumerate(spans) if n != number and one[0] < until and since < one[1]]
-        if disk and len(meet) >= max(1, told.core.tolerance):
+            lasts += S  # it waits for its trigger
+        loses_one_disk = loses_disk and core != ["core"]
+        spans += [(at, at + lasts + RECOVERY_US, loses_disk)] * (
+            1 if loses_one_disk or not loses_disk else scenario.core.count
+        )
+    for number, (since, until, loses_disk) in enumerate(spans):
+        overlapping = [
+            one for n, one in enumerate(spans) if n != number and one[0] < until and since < one[1]
+        ]
+        if loses_disk and len(overlapping) >= max(1, scenario.core.tolerance):
             return False
     return True
 
 
-def mutated(told: MeshScenario, rng: random.Random) -> MeshScenario:
-    """One fault more, one less, or one changed; as it is where that would be too much."""
-    found = list(told.fault)
-    what = rng.choice(("add", "add", "drop", "change")) if found else "add"
-    if what == "add" and len(found) < MOST_FAULTS:
-        near = drawn(told, rng)
-        if found and rng.random() < 0.5:  # close behind another one: what comes together hurts most
-            at = int(rng.choice(found).at) + rng.randrange(0, 2 * S, 10 * MS)
-            near = msgspec.structs.replace(near, at=Duration(min(at, int(told.length) - S)))
-        found.append(near)
-    elif what == "drop":
-        found.pop(rng.randrange(len(found)))
+def mutated(scenario: MeshScenario, rng: random.Random) -> MeshScenario:
+    """The scenario with a fault added, dropped or changed; unchanged where that exceeds the tolerance."""
+    faults = list(scenario.fault)
+    action = rng.choice(("add", "add", "drop", "change")) if faults else "add"
+    if action == "add" and len(faults) < MAX_FAULTS:
+        added = random_fault(scenario, rng)
+        if faults and rng.random() < 0.5:  # shortly after another fault: coinciding faults break most
+            at = int(rng.choice(faults).at) + rng.randrange(0, 2 * S, 10 * MS)
+            added = msgspec.structs.replace(added, at=Duration(min(at, int(scenario.length) - S)))
+        faults.append(added)
+    elif action == "drop":
+        faults.pop(rng.randrange(len(faults)))
     else:
-        place = rng.randrange(len(found))
-        new = drawn(told, rng)
-        if rng.random() < 0.5:  # the same at another time
-            new = msgspec.structs.replace(found[place], at=new.at)
-        found[place] = new
-    made = msgspec.structs.replace(told, fault=tuple(sorted(found, key=lambda one: int(one.at))))
-    return made if within_tolerance(made) else told
-
-
-def smaller(told: MeshScenario) -> Iterable[MeshScenario]:
-    """What is a little less of the same, the greatest steps first."""
-    replace, found = msgspec.structs.replace, told.fault
-    for place in range(len(found)):
-        yield replace(told, fault=found[:place] + found[place + 1 :])
-    last = max((int(one.at) + int(one.lasts) for one in found), default=0)
-    for length in (last + TAIL, int(told.length) * 3 // 4):
-        if S <= length < told.length:
-            yield replace(told, length=Duration(length))
-    used = {route.service for route in told.route.values()}
-    for name in told.route:
-        if len(told.route) > 1:
-            yield replace(told, route=_without(told.route, name))
-    for name in told.service:
-        if name not in used and len(told.service) > 1:
-            yield replace(told, service=_without(told.service, name))
-    for name, service in told.service.items():
+        index = rng.randrange(len(faults))
+        new = random_fault(scenario, rng)
+        if rng.random() < 0.5:  # the same fault at another time
+            new = msgspec.structs.replace(faults[index], at=new.at)
+        faults[index] = new
+    made = msgspec.structs.replace(scenario, fault=tuple(sorted(faults, key=lambda one: int(one.at))))
+    return made if within_tolerance(made) else scenario
+
+
+def smaller(scenario: MeshScenario) -> Iterable[MeshScenario]:
+    """Variants of the scenario that are smaller by one step, the greatest steps first."""
+    replace, faults = msgspec.structs.replace, scenario.fault
+    for index in range(len(faults)):
+        yield replace(scenario, fault=faults[:index] + faults[index + 1 :])
+    last = max((int(one.at) + int(one.lasts) for one in faults), default=0)
+    for length in (last + TAIL_US, int(scenario.length) * 3 // 4):
+        if S <= length < scenario.length:
+            yield replace(scenario, length=Duration(length))
+    used = {route.service for route in scenario.route.values()}
+    for name in scenario.route:
+        if len(scenario.route) > 1:
+            yield replace(scenario, route=_without_key(scenario.route, name))
+    for name in scenario.service:
+        if name not in used and len(scenario.service) > 1:
+            yield replace(scenario, service=_without_key(scenario.service, name))
+    for name, service in scenario.service.items():
         if service.pilots > 1:
-            less = replace(service, pilots=service.pilots - 1)
-            yield replace(told, service={**told.service, name: less})
-    for name, route in told.route.items():
+            smaller_service = replace(service, pilots=service.pilots - 1)
+            yield replace(scenario, service={**scenario.service, name: smaller_service})
+    for name, route in scenario.route.items():
         if route.rate > 1:
-            yield replace(told, route={**told.route, name: replace(route, rate=round(route.rate / 2, 3))})
-    if told.operators.every:
-        yield replace(told, operators=replace(told.operators, every=Duration(0)))
-    for place, one in enumerate(found):
-        if one.kind in LASTING and one.lasts > 200 * MS:
+            yield replace(
+                scenario, route={**scenario.route, name: replace(route, rate=round(route.rate / 2, 3))}
+            )
+    if scenario.operators.every:
+        yield replace(scenario, operators=replace(scenario.operators, every=Duration(0)))
+    for index, one in enumerate(faults):
+        if one.kind in NEED_DURATION and one.lasts > 200 * MS:
             shorter = replace(one, lasts=Duration(int(one.lasts) // 2 // MS * MS))
-            yield replace(told, fault=(*found[:place], shorter, *found[place + 1 :]))
+            yield replace(scenario, fault=(*faults[:index], shorter, *faults[index + 1 :]))
 
 
-def _without(table: dict[str, Any], name: str) -> dict[str, Any]:
-    return {one: held for one, held in table.items() if one != name}
+def _without_key(table: dict[str, Any], name: str) -> dict[str, Any]:
+    return {one: value for one, value in table.items() if one != name}
--- a/brackengate/emulator/mesh/order_checks.py
+++ b/brackengate/emulator/mesh/order_checks.py
@@ -1,6 +1,6 @@
-"""The rules about orders: each says CONFIG, as the operators' page does.
+"""Rules about configuration changes. All report under CONFIG, as in the operators' documentation.
 
-They read what operators, callers and upstreams saw, as `checks.History` holds it, and nothing of the roles.
+They use only what operators, callers and upstreams observed (`checks.History`), no internal state of a role.
 """
 
 from __future__ import annotations
@@ -15,64 +15,69 @@
     from brackengate.emulator.mesh.versions import Version
 
 OK = 200
-REFUSALS = (400, 409, 412, 413, 422)  # answers on which the operator gives an order up
+REFUSALS = (400, 409, 412, 413, 422)  # statuses after which the operator does not retry a change
 
 
-def confirmed_twice(seen: History) -> Broken:
-    """Two orders that set an item to different contents under one version are both confirmed."""
-    broken = Broken("CONFIG")
-    for route, versions in seen.versions.items():
+def confirmed_twice(history: History) -> Broken:
+    """Two changes that set a route to different contents under one version are both acknowledged."""
+    violations = Broken("CONFIG")
+    for route, versions in history.versions.items():
         confirmed: dict[int, tuple[int, Version]] = {}
-        for one, call in _with_calls(seen, versions):
-            when = next((at for at, status in seen.replies[call] if status == OK), None)
-            if when is None or not one.sound:
+        for one, call in _with_calls(history, versions):
+            when = next((at for at, status in history.replies[call] if status == OK), None)
+            if when is None or not one.valid:
                 continue
             first = confirmed.setdefault(one.number, (call, one))
             if set(first[1].services) != set(one.services):
-                broken.at(
+                violations.at(
                     when,
                     f"call {call} sets {route} to {one.services} under version {one.number}, and is"
                     f" confirmed; so is call {first[0]}, with {first[1].services}",
                 )
-    return broken
+    return violations
 
 
-def _with_calls(seen: History, versions: list[Version]) -> list[tuple[Version, int]]:
-    call_of = {id(one): call for call, items in seen.calls.items() for one in items}
+def _with_calls(history: History, versions: list[Version]) -> list[tuple[Version, int]]:
+    call_of = {id(one): call for call, items in history.changes.items() for one in items}
     return [(one, call_of[id(one)]) for one in versions]
 
 
-def refused_again(seen: History) -> Broken:
-    """An order that was acknowledged is refused when it is sent again; also where the first ack was lost."""
-    broken = Broken("CONFIG")
-    for call, replies in seen.replies.items():
-        taken = next((at for at, status in replies if status == OK), None)
+def refused_again(history: History) -> Broken:
+    """An acknowledged change is refused when sent again; also where the first acknowledgement was lost."""
+    violations = Broken("CONFIG")
+    for call, replies in history.replies.items():
+        acked_at = next((at for at, status in replies if status == OK), None)
         for when, status in replies:
-            if taken is not None and when > taken and status in REFUSALS:
-                broken.at(when, f"call {call} was acknowledged, and is answered {status} when it comes again")
-    return broken
+            if acked_at is not None and when > acked_at and status in REFUSALS:
+                violations.at(
+                    when, f"call {call} was acknowledged, and is answered {status} when it comes again"
+                )
+    return violations
 
 
-def outdated_after_start(seen: History) -> Broken:
-    """A proxy handles by an older configuration than was acknowledged before its process started.
+def outdated_after_start(history: History) -> Broken:
+    """A proxy uses an older configuration than was acknowledged before its process started.
 
-    In touch or not: until it holds a configuration at least that new, it must not be ready.
+    In contact or not: until it has a configuration at least that new, it must not be ready.
     """
-    broken = Broken("CONFIG")
-    for when, _, plant, attempt, _, _, _ in seen.ran:
-        asked = seen.asked.get(attempt)
-        if asked is None:
+    violations = Broken("CONFIG")
+    for when, _, service, attempt_id, _, _, _ in history.runs:
+        attempt = history.attempts.get(attempt_id)
+        if attempt is None:
             continue
-        lives = seen.lives[seen.names[asked.ip]]
-        life = bisect_right(lives, asked.at)
-        if not life:
+        starts = history.process_starts[history.names[attempt.ip]]
+        incarnation = bisect_right(starts, attempt.sent_at)
+        if not incarnation:
             continue
-        versions = seen.of_route(asked.route)
-        least, allows = versions.highest_acked(lives[life - 1]), versions.allowing(plant).until(when)
-        if allows is not None and allows[1] < least:
-            broken.at(
+        versions = history.route_versions(attempt.route)
+        lowest, version_range = (
+            versions.highest_acked(starts[incarnation - 1]),
+            versions.allowing(service).range_until(when),
+        )
+        if version_range is not None and version_range[1] < lowest:
+            violations.at(
                 when,
-                f"{attempt} on {asked.route} runs at {plant}, as only version {allows[1]} has it; version"
-                f" {least} was acknowledged before its proxy started",
+                f"{attempt_id} on {attempt.route} runs at {service}, as only version {version_range[1]}"
+                f" has it; version {lowest} was acknowledged before its proxy started",
             )
-    return broken
+    return violations
--- a/brackengate/emulator/mesh/order_troubles.py
+++ b/brackengate/emulator/mesh/order_troubles.py
@@ -1,4 +1,4 @@
-"""Troublesome orders of the operators: repeated, overtaken, outdated, or two under one version."""
+"""Faulty configuration changes: repeated, overtaken, outdated, or two under one version."""
 
 from __future__ import annotations
 
@@ -8,82 +8,86 @@
 from typing import TYPE_CHECKING
 
 from brackengate.emulator.loop import S
-from brackengate.emulator.mesh.scenario import OrderKinds
+from brackengate.emulator.mesh.scenario import BadChangeKinds
 
 if TYPE_CHECKING:
     from brackengate.emulator.mesh.people import Change, Operators
 
-PAUSE = S  # between two troublesome orders of one fault
-BRIEF_SERVICE = "brief"  # it is added, one route goes to it, the route moves on, and it is removed
-BRIEF_ROUTE = "y0"
-BIG_ORDER_PROBES = 60  # requests that ask for a large order's routes once it must be in force
-PROBED_FOR = 3 * S  # the time over which they come
-RACED_ROUTES = ("x0", "x1", "x2")  # the routes that the operators add and drop
+PAUSE_US = S  # between two faulty changes of one fault
+TEMPORARY_SERVICE = "brief"  # added with one route to it, and removed after the route has moved away
+TEMPORARY_ROUTE = "y0"
+BIG_CHANGE_PROBES = 60  # requests to routes of a large change once it must be in force
+PROBE_PERIOD_US = 3 * S  # the probes are spread over this time
+RACED_ROUTES = ("x0", "x1", "x2")  # the routes that the operators add and remove
 
 
 class ChangeFaults:
-    """Sends them by the operators' own means, so that they are repeated and acknowledged like all others."""
+    """Sends faulty changes through `Operators`, so that they are retried and acknowledged like all others."""
 
     def __init__(self, operators: Operators, rng: random.Random) -> None:
         self._operators, self._rng = operators, rng
-        self._many: list[str] = []  # routes of large orders
+        self._big_change_routes: list[str] = []
 
-    def again_and_again(self, count: int, do: Callable[[], None]) -> None:
+    def repeat(self, count: int, send: Callable[[], None]) -> None:
+        """Call `send` count times, PAUSE_US apart, starting now."""
         for number in range(count):
-            self._operators.loop.after(number * PAUSE, do)
+            self._operators.loop.after(number * PAUSE_US, send)
 
-    def bad_order(self, kind: OrderKinds) -> None:
-        """One that must not take effect, made from the last acknowledged change of a route."""
+    def send_bad_change(self, kind: BadChangeKinds) -> None:
+        """Send a change that must not take effect, made from the last acknowledged change of a route."""
         {
-            "same_version": self._same_version,
-            "old_version": self._old_version,
-            "unknown_service": self._unknown_service,
-            "stale_match": self._stale_removal,
+            "same_version": self._send_same_version,
+            "old_version": self._send_old_version,
+            "unknown_service": self._send_unknown_service,
+            "stale_match": self._send_stale_removal,
         }[kind]()
 
-    def race(self) -> None:
-        """Two operators set one route to different contents under one version, at two machines at once."""
+    def send_race(self) -> None:
+        """Set one route to two contents under one version, at two replicas at the same time."""
         name = self._rng.choice(RACED_ROUTES)
         one, other = self._two_contents()
         number = self._operators.next_version(name)
         first = self._operators.send([(name, one)], version=number)
         second = self._operators.send([(name, other)], version=number, avoid=first.address)
-        self._may_be_refused(first)
-        self._may_be_refused(second)
+        self._allow_refusal(first)
+        self._allow_refusal(second)
 
-    def resend(self) -> None:
-        """An order that was acknowledged earlier is sent again, whatever came after it."""
+    def resend_earlier(self) -> None:
+        """Send a random acknowledged change again, whatever came after it."""
         if self._operators.history:
             self._operators.resend(self._rng.choice(self._operators.history))
 
-    def overtaken(self) -> None:
-        """A service and its route are added, the route moves, the service goes; the first order is resent."""
+    def send_overtaken(self) -> None:
+        """Add a service and its route, move the route, remove the service; then resend the first change."""
         operators = self._operators
-        plant_version = operators.next_version(BRIEF_SERVICE)
-        plant: dict[str, object] = {"Name": BRIEF_SERVICE, "Revision": f"r{plant_version}"}
-        operators.note_version(BRIEF_SERVICE, plant_version)
+        service_version = operators.next_version(TEMPORARY_SERVICE)
+        service: dict[str, object] = {"Name": TEMPORARY_SERVICE, "Revision": f"r{service_version}"}
+        operators.note_version(TEMPORARY_SERVICE, service_version)
 
-        def moves(first: Change) -> None:
-            operators.send([(BRIEF_ROUTE, (operators.services[0],))], done=partial(is_removed, first))
+        def move_route(first: Change) -> None:
+            operators.send([(TEMPORARY_ROUTE, (operators.services[0],))], done=partial(remove_service, first))
 
-        def is_removed(first: Change, moved: Change) -> None:
-            version = operators.next_version(BRIEF_SERVICE)
-            operators.note_version(BRIEF_SERVICE, version)
-            removed = [(BRIEF_SERVICE, version)]
+        def remove_service(first: Change, moved: Change) -> None:
+            version = operators.next_version(TEMPORARY_SERVICE)
+            operators.note_version(TEMPORARY_SERVICE, version)
+            removed = [(TEMPORARY_SERVICE, version)]
             operators.send([], removed_plants=removed, done=lambda _: operators.resend(first))
 
-        operators.send([(BRIEF_ROUTE, (BRIEF_SERVICE,))], plants=[plant], done=moves)
+        operators.send([(TEMPORARY_ROUTE, (TEMPORARY_SERVICE,))], plants=[service], done=move_route)
 
-    def big_order(self, routes: int, content: str) -> None:
-        """An order of many routes; when it must be in force, some of them are asked for."""
+    def send_big_change(self, routes: int, content: str) -> None:
+        """Send a change of many routes; once it must be in force, send probes to some of them.
+
+        `content` as in `Fault.content`.
+        """
         if content == "removed":
-            names, self._many = self._many, []
+            names, self._big_change_routes = self._big_change_routes, []
             items = [(name, ()) for name in names]
             self._operators.send(items, done=self._schedule_probes)
             return
-        begun = len(self._many)
-        names = [f"z{number}" for number in range(begun, begun + routes)]
-        self._many += names
+        first = len(self._big_change_routes)
+        names = [f"z{number}" for number in range(first, first + routes)]
+        self._big_change_routes += names
         service = self._rng.choice(self._operators.services)
         digits = 200 if content == "random" else 0
         self._operators.send(
@@ -92,47 +96,47 @@
 
     def _schedule_probes(self, change: Change) -> None:
         names = [name for name, _, _ in change.items]
-        for number in range(BIG_ORDER_PROBES):
-            wait = self._operators.apply_time + PROBED_FOR * number // BIG_ORDER_PROBES
+        for number in range(BIG_CHANGE_PROBES):
+            wait = self._operators.apply_time + PROBE_PERIOD_US * number // BIG_CHANGE_PROBES
             self._operators.loop.after(wait, partial(self._operators.probe, self._rng.choice(names)))
 
-    # --- orders that must not take effect
+    # --- changes that must not take effect
 
-    def _same_version(self) -> None:
+    def _send_same_version(self) -> None:
         found = self._newest_route()
         if found is not None:
             name, number, services = found
-            contents = [one for one in self._contents() if set(one) != set(services)]
-            order = self._operators.send([(name, self._rng.choice(contents))], version=number)
-            self._may_be_refused(order)
+            contents = [one for one in self._possible_contents() if set(one) != set(services)]
+            change = self._operators.send([(name, self._rng.choice(contents))], version=number)
+            self._allow_refusal(change)
 
-    def _old_version(self) -> None:
-        self._outdated([one for one in self._contents() if one])
+    def _send_old_version(self) -> None:
+        self._send_outdated([one for one in self._possible_contents() if one])
 
-    def _unknown_service(self) -> None:
+    def _send_unknown_service(self) -> None:
         self._operators.send([(self._rng.choice(RACED_ROUTES), ("nobody",))], sound=False)
 
-    def _stale_removal(self) -> None:
-        """The removal of a route, by a version from before its newest one."""
-        self._outdated([()])
+    def _send_stale_removal(self) -> None:
+        """Send the removal of a route under a version older than its newest one."""
+        self._send_outdated([()])
 
-    def _outdated(self, contents: list[tuple[str, ...]]) -> None:
-        """Under a version below the newest one that no order has used: what it says is new, and too late."""
+    def _send_outdated(self, contents: list[tuple[str, ...]]) -> None:
+        """Send one of `contents` under an unused version below the newest one: unknown, but outdated."""
         found = self._newest_route()
         if found is None:
             return
         free = set(range(1, found[1])) - self._operators.used_versions(found[0])
         if free:
             number = self._rng.choice(sorted(free))
-            order = self._operators.send([(found[0], self._rng.choice(contents))], version=number)
-            self._may_be_refused(order)
+            change = self._operators.send([(found[0], self._rng.choice(contents))], version=number)
+            self._allow_refusal(change)
 
-    def _may_be_refused(self, order: Change) -> None:
-        """The gate does not ask for its acknowledgement."""
-        self._operators.trace("may be refused", order.number)
+    def _allow_refusal(self, change: Change) -> None:
+        """Record that the change may be refused, so that the ACKS check requires no acknowledgement of it."""
+        self._operators.trace("may be refused", change.number)
 
     def _newest_route(self) -> tuple[str, int, tuple[str, ...]] | None:
-        """A route whose newest version was acknowledged, with that version and its services."""
+        """A random route whose newest version was acknowledged, with that version and its services."""
         newest = [
             item
             for change in self._operators.history
@@ -141,10 +145,10 @@
         ]
         return self._rng.choice(newest) if newest else None
 
-    def _contents(self) -> list[tuple[str, ...]]:
+    def _possible_contents(self) -> list[tuple[str, ...]]:
         services = self._operators.services
         return [(), *((service,) for service in services)]
 
     def _two_contents(self) -> tuple[tuple[str, ...], tuple[str, ...]]:
-        one, other = self._rng.sample(self._contents(), 2)
+        one, other = self._rng.sample(self._possible_contents(), 2)
         return one, other
--- a/brackengate/emulator/mesh/versions.py
+++ b/brackengate/emulator/mesh/versions.py
@@ -1,4 +1,7 @@
-"""The versions of one route that operators sent, with answers in logarithmic time for days of changes."""
+"""Index of the versions of one route that operators sent.
+
+Look-ups take logarithmic time, for scenarios with days of changes.
+"""
 
 from __future__ import annotations
 
@@ -9,67 +12,70 @@
 
 @dataclass(slots=True)
 class Version:
+    """One version of a route, as a configuration change set it. Times are in microseconds."""
+
     number: int
-    services: tuple[str, ...]  # none: dropped
-    offered: int
-    sound: bool
-    acked: int | None = None
+    services: tuple[str, ...]  # empty: the route is removed
+    offered_at: int
+    valid: bool
+    acked_at: int | None = None
 
 
-NO_VERSION = Version(0, (), 0, True)  # before the first one
+NO_VERSION = Version(0, (), 0, True)  # the route does not exist yet
 
 
-class Allowing:
-    """The versions that allow one way to handle a request: by when they were offered."""
+class VersionsByTime:
+    """A set of versions, ordered by the time at which they were offered, that is, first sent."""
 
     def __init__(self, versions: list[Version]) -> None:
-        ordered = sorted(versions, key=lambda one: one.offered)
-        self._offered = [one.offered for one in ordered]
-        self._newest = list(accumulate((one.number for one in ordered), max))
-        self._least = list(accumulate((one.number for one in ordered), min))
+        ordered = sorted(versions, key=lambda one: one.offered_at)
+        self._offered_at = [one.offered_at for one in ordered]
+        self._highest = list(accumulate((one.number for one in ordered), max))
+        self._lowest = list(accumulate((one.number for one in ordered), min))
 
-    def until(self, when: int) -> tuple[int, int] | None:
-        """The lowest and the highest number among those offered by then; None: there is none."""
-        at = bisect_right(self._offered, when)
-        return (self._least[at - 1], self._newest[at - 1]) if at else None
+    def range_until(self, when: int) -> tuple[int, int] | None:
+        """The lowest and the highest number among the versions offered by `when`; None if there is none."""
+        at = bisect_right(self._offered_at, when)
+        return (self._lowest[at - 1], self._highest[at - 1]) if at else None
 
 
 class RouteVersions:
-    """All versions of one route, once all is recorded."""
+    """All valid versions of one route. Built once the recording is complete."""
 
     def __init__(self, versions: list[Version]) -> None:
-        sound = [one for one in versions if one.sound]
-        self._by_number = sorted(sound, key=lambda one: one.number)
+        valid = [one for one in versions if one.valid]
+        self._by_number = sorted(valid, key=lambda one: one.number)
         self._numbers = [one.number for one in self._by_number]
-        offered = [one.offered for one in reversed(self._by_number)]
-        self._first_offered = list(accumulate(offered, min))[::-1]  # from each number on
-        acked = sorted((one.acked, one.number) for one in sound if one.acked is not None)
+        offered = [one.offered_at for one in reversed(self._by_number)]
+        # for each number in order: the earliest offer of it or of a higher one
+        self._first_offered_from = list(accumulate(offered, min))[::-1]
+        acked = sorted((one.acked_at, one.number) for one in valid if one.acked_at is not None)
         self._acked_at = [when for when, _ in acked]
-        self._acked_highest = list(accumulate((number for _, number in acked), max))
-        self._sound = [*sound, NO_VERSION]
-        self._allowing: dict[str, Allowing] = {}
+        self._highest_acked_at = list(accumulate((number for _, number in acked), max))
+        self._valid = [*valid, NO_VERSION]
+        self._allowing: dict[str, VersionsByTime] = {}
 
     def highest_acked(self, until: int) -> int:
-        """Among those acknowledged by then; 0: none was."""
+        """The highest number acknowledged by `until`; 0 if none was."""
         at = bisect_right(self._acked_at, until)
-        return self._acked_highest[at - 1] if at else 0
+        return self._highest_acked_at[at - 1] if at else 0
 
-    def offered_from(self, least: int, until: int) -> list[Version]:
-        """Those from a number on that were offered by a time."""
+    def offered_from(self, lowest: int, until: int) -> list[Version]:
+        """The versions numbered `lowest` or higher that were offered by `until`."""
         found: list[Version] = []
-        for at in range(bisect_left(self._numbers, least), len(self._numbers)):
-            if self._first_offered[at] > until:
+        for at in range(bisect_left(self._numbers, lowest), len(self._numbers)):
+            if self._first_offered_from[at] > until:
                 break
-            if self._by_number[at].offered <= until:
+            if self._by_number[at].offered_at <= until:
                 found.append(self._by_number[at])
         return found
 
-    def allowing(self, service: str) -> Allowing:
-        """The versions that send a request to a service; to none, where it is empty."""
+    def allowing(self, service: str) -> VersionsByTime:
+        """The versions that route to a service; for an empty name, those without the route."""
         found = self._allowing.get(service)
         if found is None:
             allows = [
-                one for one in self._sound if (service in one.services if service else not one.services)
+                one for one in self._valid if (service in one.services if service else not one.services)
             ]
-            found = self._allowing[service] = Allowing(allows)
+            found = self._allowing[service] = VersionsByTime(allows)
         return found
