--- a/tests/emulator/test_mesh_big_orders.py
+++ b/tests/emulator/test_mesh_big_orders.py
@@ -9,7 +9,7 @@
 from functools import partial
 
 import pytest
-from test_mesh_lab import MESH, kept
+from test_mesh_lab import MESH, assert_no_violations
 
 from brackengate.control import staging
 from brackengate.control.role import ControlReplica
@@ -111,13 +111,13 @@
 @pytest.mark.parametrize("content", ["", RANDOM])
 def test_a_large_order_is_in_force_everywhere_when_it_is_acknowledged(content: str) -> None:
     outcome = played(content=content)
-    kept(outcome.made)
+    assert_no_violations(outcome.made)
     assert outcome.behind == [] and outcome.made.worth > 0.97
 
 
 def test_requests_and_small_orders_pass_one_that_takes_the_links_seconds() -> None:
     outcome = played(content=RANDOM, routes=4000, sets=("length=14s",))
-    kept(outcome.made)
+    assert_no_violations(outcome.made)
     assert outcome.behind == [] and outcome.made.worth > 0.9
 
 
@@ -127,7 +127,7 @@
     names = ", ".join(f'"{name}"' for name in on)
     more = f'[[fault]]\nat = "{at}"\nkind = "{kind}"\non = [{names}]\nlasts = "{lasts}"\n{after}'
     outcome = played(more, RANDOM)
-    kept(outcome.made)
+    assert_no_violations(outcome.made)
     assert any(what == "fault" and of[0] == kind for _, what, of in outcome.made.world.records)
     frozen = {"p2"} if kind == "freeze" else set()
     assert set(outcome.behind) <= frozen
@@ -135,7 +135,7 @@
 
 def test_over_a_small_link_between_the_members_of_the_core() -> None:
     outcome = played(content=RANDOM, sets=("core_link=20.0",))
-    kept(outcome.made)
+    assert_no_violations(outcome.made)
     assert outcome.behind == [] and views(outcome) == 1
 
 
--- a/tests/emulator/test_mesh_copies.py
+++ b/tests/emulator/test_mesh_copies.py
@@ -3,7 +3,7 @@
 from __future__ import annotations
 
 import pytest
-from test_mesh_lab import kept, played
+from test_mesh_lab import assert_no_violations, run_scenario
 
 from brackengate.control import log, transfer
 from brackengate.protocol.messages import SnapshotPiece, SnapshotPosition
@@ -23,5 +23,5 @@
     monkeypatch.setattr(transfer, "PIECE_ROWS", 2)
     monkeypatch.setattr(log, "RECENT_ENTRIES", 40)
     monkeypatch.setattr(log, "RECENT_PUBLIC_ENTRIES", 3)
-    kept(played(f"{name}.toml"))
+    assert_no_violations(run_scenario(f"{name}.toml"))
     assert sum(pieces) >= 6 and len(pieces) > sum(pieces)
--- a/tests/emulator/test_mesh_hard.py
+++ b/tests/emulator/test_mesh_hard.py
@@ -11,7 +11,7 @@
 
 import msgspec
 import pytest
-from test_mesh_lab import MESH, kept, played
+from test_mesh_lab import MESH, assert_no_violations, run_scenario
 
 from brackengate.control.chain import Chain
 from brackengate.control.role import ControlReplica
@@ -72,9 +72,9 @@
 
 
 @pytest.mark.parametrize("name", CASES)
-def test_a_hard_case_keeps_every_rule(name: str) -> None:
-    made = played(f"{name}.toml")
-    kept(made)
+def test_hard_case_breaks_no_rule(name: str) -> None:
+    made = run_scenario(f"{name}.toml")
+    assert_no_violations(made)
     records = made.world.records
     struck = {of[0] for _, what, of in records if what == "fault"}
     assert struck == {one.kind for one in made.world.told.fault if one.kind != "close"}
@@ -84,9 +84,9 @@
     assert last > (world.CALM + int(made.world.told.length)) - 2_000_000  # it serves again
 
 
-def test_a_claim_whose_claimant_is_lost_is_answered_and_not_run() -> None:
+def test_claim_of_a_lost_claimant_is_answered_503_and_not_run() -> None:
     made = first("lost-claimant", 1, 10)
-    kept(made)
+    assert_no_violations(made)
     records = made.world.records
     struck = next(when for when, what, _ in records if what == "fault")
     ran = {of[3] for when, what, of in records if what == "ran" and of[3] and when <= struck}
@@ -96,17 +96,17 @@
 
 
 @pytest.mark.parametrize("path", sorted(MESH.glob("*.toml")), ids=lambda path: path.stem)
-def test_what_was_found_stays_mended(path: Path) -> None:
+def test_past_findings_stay_fixed(path: Path) -> None:
     told = load(path)
     if told.found.rules:
-        made = played(path.name, seed=told.found.seed)
-        kept(made)
+        made = run_scenario(path.name, seed=told.found.seed)
+        assert_no_violations(made)
 
 
 # --- a guard that is taken out is seen
 
 
-def test_word_of_a_write_before_its_sync_is_seen(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_write_reported_before_its_sync_is_detected(monkeypatch: pytest.MonkeyPatch) -> None:
     """disks   writing ......x        lost
     word     stored -> agreed -> acked: and it is gone
     """
@@ -120,10 +120,10 @@
         self._loop.call_soon(self._written, batch, done)
 
     monkeypatch.setattr(ControlReplica, "_write", write)
-    assert {"CONFIG", "LOST"} & set(played("closing-power.toml", "length=30s").rules)
+    assert {"CONFIG", "LOST"} & set(run_scenario("closing-power.toml", "length=30s").rules)
 
 
-def test_a_wiped_voter_that_votes_is_seen(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_vote_of_a_wiped_member_is_detected(monkeypatch: pytest.MonkeyPatch) -> None:
     """The member is known by its address alone, whatever disk stands there.
 
     The scenario's second wipe alone: after the first one the chain stands still, as nobody is passed entries
@@ -141,7 +141,7 @@
     assert "TWICE" in play(replace(told, fault=told.fault[2:]), 1).rules
 
 
-def test_a_claim_of_an_earlier_life_that_is_run_is_seen(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_running_a_claim_of_an_earlier_incarnation_is_detected(monkeypatch: pytest.MonkeyPatch) -> None:
     claimed = keys.KeyedRequests._on_claim_result
 
     def forgetful(self: keys.KeyedRequests, operation: Any, result: Any) -> None:
@@ -152,7 +152,7 @@
     assert "TWICE" in first("lost-claimant", 1, 10).rules
 
 
-def test_an_upstream_that_drains_and_is_not_left_alone_is_seen(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_requests_to_a_draining_upstream_are_detected(monkeypatch: pytest.MonkeyPatch) -> None:
     heard = Admission.receive_heartbeat
 
     def deaf(self: Admission, beat: Any, now: int) -> bool:
@@ -163,10 +163,10 @@
     assert "DRAIN" in first("leaving", 2, 8, "route.read.rate=100.0").rules
 
 
-def test_a_relayed_repeat_that_runs_where_its_route_was_is_seen(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_relayed_repeat_run_at_the_former_service_is_detected(monkeypatch: pytest.MonkeyPatch) -> None:
     """gate of the old service   claims k ... core killed: given up, unrun       runs k
     route                                                moves, is acked
     gate of the new one                                          repeat of k -> relayed
     """
     monkeypatch.setattr(keys.KeyedRequests, "_route_has_moved", lambda self, step: False)
-    assert "CONFIG" in played("moved-while-claimed.toml").rules
+    assert "CONFIG" in run_scenario("moved-while-claimed.toml").rules
--- a/tests/emulator/test_mesh_lab.py
+++ b/tests/emulator/test_mesh_lab.py
@@ -29,28 +29,28 @@
 MESH = ROOT / "examples" / "lab" / "mesh"
 
 
-def played(name: str, *sets: str, seed: int = 1) -> MeshRun:
+def run_scenario(name: str, *sets: str, seed: int = 1) -> MeshRun:
     path = MESH / name
     return play(parse_scenario(path.read_text(), str(path), sets), seed)
 
 
-def kept(made: MeshRun) -> None:
+def assert_no_violations(made: MeshRun) -> None:
     assert [f"{one.rule}: {word}" for one in made.found for word in one.words] == []
 
 
-def test_a_calm_day_is_served_and_keeps_every_rule() -> None:
-    made = played("calm.toml", "length=8s")
-    kept(made)
+def test_scenario_without_faults_serves_all_and_breaks_no_rule() -> None:
+    made = run_scenario("calm.toml", "length=8s")
+    assert_no_violations(made)
     assert made.worth > 0.99 and made.summary.items > 200
     assert {"TWICE", "REFUSED", "MIXED", "ROUTE", "DRAIN", "CONFIG"} <= {one.rule for one in made.found}
 
 
-def test_a_seed_plays_again_under_any_hash_seed() -> None:
+def test_run_is_the_same_under_any_hash_seed() -> None:
     code = (
         "import sys; sys.path.insert(0, 'tests/emulator'); import test_mesh_lab as t;"
-        "print(t.digest(t.played('two-services.toml', 'length=4s', 'operators.every=1s')))"
+        "print(t.digest(t.run_scenario('two-services.toml', 'length=4s', 'operators.every=1s')))"
     )
-    here = digest(played("two-services.toml", "length=4s", "operators.every=1s"))
+    here = digest(run_scenario("two-services.toml", "length=4s", "operators.every=1s"))
     there = subprocess.run(
         [sys.executable, "-c", code], cwd=ROOT, env={"PYTHONHASHSEED": "7", "PYTHONPATH": str(ROOT)},
         capture_output=True, text=True, check=True,
@@ -68,7 +68,7 @@
     assert "brackengate.emulator" not in done.stdout
 
 
-def test_a_scenario_that_cannot_be_played_is_told_by_key() -> None:
+def test_invalid_scenario_is_reported_by_key() -> None:
     text = (MESH / "calm.toml").read_text() + '\n[[fault]]\nat = "1s"\nkind = "wipe"\non = ["p9"]\n'
     with pytest.raises(BadFile) as told:
         parse_scenario(text, "s.toml", ())
@@ -76,7 +76,7 @@
     assert "there is no p9" in str(told.value) and "lasts" in str(told.value)
 
 
-def test_the_command_plays_the_mesh() -> None:
+def test_lab_command_runs_a_mesh_scenario() -> None:
     done = CliRunner().invoke(main, ["lab", "run", str(MESH / "calm.toml"), "--set", "length=3s"])
     assert done.exit_code == 0 and "kept    TWICE" in done.output
 
@@ -129,18 +129,18 @@
 
 
 @pytest.mark.parametrize("rule", HISTORIES)
-def test_each_rule_is_seen_broken_where_it_is(rule: str) -> None:
+def test_each_rule_reports_its_violation(rule: str) -> None:
     assert rule in broken(asked(9 * S, "a"), *HISTORIES[rule])
     assert broken(asked(9 * S, "a"), ran(9 * S, "a")) == set()
 
 
-def test_a_key_runs_once_in_its_window_and_may_run_again_behind_it() -> None:
+def test_key_runs_once_in_its_window_and_may_run_again_after_it() -> None:
     both = asked(6 * S, "a", "keyed", "k"), ran(6 * S, "a", key="k"), asked(9 * S, "b", "keyed", "k")
     assert broken(*both, ran(9 * S, "b", key="k")) == {"TWICE"}
     assert broken(*both, ran(70 * S, "b", key="k")) == set()
 
 
-def test_a_stale_configuration_counts_on_machines_in_touch_alone() -> None:
+def test_stale_configuration_is_a_violation_only_on_machines_in_contact() -> None:
     read = (20 * S, "read", ((("r", 2, ("t",)),), 20 * S))
     stale = asked(9 * S, "a"), ran(9 * S, "a", plant="s"), read
     assert broken(*stale, first=MOVED) == {"CONFIG"}
@@ -151,7 +151,7 @@
     assert broken(*back, ran(3 * S + 300_000, "b"), first=MOVED) == {"CONFIG"}
 
 
-def test_what_is_missing_when_read_back_is_config_or_lost() -> None:
+def test_change_missing_when_read_back_is_reported_as_config_or_lost() -> None:
     gone = (20 * S, "read", ((("r", 1, ("s",)),), 20 * S))
     assert broken(gone, first=MOVED) == {"CONFIG"}
     assert broken((10 * S, "closing", ("power",)), gone, first=MOVED) == {"LOST"}
@@ -170,7 +170,7 @@
     return msgspec.structs.replace(parse_scenario(path.read_text(), str(path), sets), fault=faults)
 
 
-def test_a_search_finds_a_guard_that_is_gone_and_shrinks_the_schedule(
+def test_search_finds_a_removed_guard_and_shrinks_the_schedule(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     claimed = KeyedRequests._on_claim_result
@@ -191,7 +191,7 @@
     assert {one.kind for one in least.fault} & {"kill", "power", "term", "replace", "reuse"}
 
 
-def test_no_schedule_is_drawn_that_loses_more_than_may_be_lost() -> None:
+def test_mutated_schedules_lose_no_more_disks_than_tolerated() -> None:
     assert within_tolerance(small(fault(1, "wipe", "l0"), fault(1.1, "kill", "core")))
     assert within_tolerance(small(fault(1, "wipe", "l0"), fault(7, "wipe", "l1"), length=9))
     assert not within_tolerance(small(fault(1, "wipe", "l0"), fault(2, "wipe", "l1")))
--- a/tests/emulator/test_mesh_worst_days.py
+++ b/tests/emulator/test_mesh_worst_days.py
@@ -11,7 +11,18 @@
 
 import msgspec
 import pytest
-from test_mesh_lab import FIRST, MESH, S, asked, broken, kept, offers, played, ran, small
+from test_mesh_lab import (
+    FIRST,
+    MESH,
+    S,
+    asked,
+    assert_no_violations,
+    broken,
+    offers,
+    ran,
+    run_scenario,
+    small,
+)
 
 from brackengate.control import config_changes
 from brackengate.control.replica import Replica
@@ -55,9 +66,9 @@
 
 
 @pytest.mark.parametrize("name", CASES)
-def test_a_worst_day_keeps_every_rule(name: str) -> None:
-    made = played(f"{name}.toml")
-    kept(made)
+def test_worst_case_breaks_no_rule(name: str) -> None:
+    made = run_scenario(f"{name}.toml")
+    assert_no_violations(made)
     struck = {of[0] for _, what, of in made.world.records if what == "fault"}
     assert struck == {one.kind for one in made.world.told.fault}
 
@@ -70,7 +81,7 @@
     return {names[member.addr.partition(":")[0]] for member in view.members}
 
 
-def test_replaced_machines_are_gone_and_others_stand_in_the_view() -> None:
+def test_replaced_machines_leave_the_view_and_others_join() -> None:
     made = first_faults("replace-unplanned", 2, 24)
     records = made.world.records
     removed = [str(of[0]) for _, what, of in records if what == "removed"]
@@ -78,7 +89,7 @@
     assert len(members(made)) == 3 and not set(removed) & members(made)
 
 
-def test_an_order_whose_acknowledgement_is_lost_goes_to_another_machine_first() -> None:
+def test_change_whose_acknowledgement_is_lost_is_retried_at_another_machine() -> None:
     records = first_faults("lost-acks", 1, 8).world.records
     went: dict[object, list[object]] = {}
     lost: set[object] = set()
@@ -95,11 +106,11 @@
     assert seen >= 3
 
 
-def test_a_long_life_in_short_replaces_a_member_again_and_again() -> None:
+def test_repeated_replacement_of_members_breaks_no_rule() -> None:
     """As many replacements and orders as in five hours, with the quiet time between them left out."""
     quick = ("fault.0.at=5s", "fault.0.every=30s", "fault.1.at=20s", "fault.1.every=30s")
-    made = played("thirty-days.toml", "length=75s", *quick, "operators.every=125ms")
-    kept(made)
+    made = run_scenario("thirty-days.toml", "length=75s", *quick, "operators.every=125ms")
+    assert_no_violations(made)
     records = made.world.records
     assert sum(what == "removed" for _, what, _ in records) == 5
     assert sum(what == "acked" for _, what, _ in records) > 500
@@ -109,13 +120,13 @@
 # --- a mechanism that is taken out is seen
 
 
-def test_a_member_that_serves_without_a_majority_is_seen(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_member_serving_without_a_majority_is_detected(monkeypatch: pytest.MonkeyPatch) -> None:
     """head ~~~~ cut off | p0 restarts, its seeds begin with the head | serves what it had"""
     monkeypatch.setattr(Replica, "serves", lambda self, now: self.chain.ready)
     assert "CONFIG" in first_faults("cut-seeds", 1, 26, seed=2).rules
 
 
-def test_an_acknowledgement_before_its_sync_is_seen(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_acknowledgement_before_its_sync_is_detected(monkeypatch: pytest.MonkeyPatch) -> None:
     """disks  writing ...... x     |  word of it: acked, and it is gone"""
 
     def write(self: ControlReplica) -> None:
@@ -127,16 +138,16 @@
         self._loop.call_soon(self._written, batch, done)
 
     monkeypatch.setattr(ControlReplica, "_write", write)
-    assert "CONFIG" in played("after-sent.toml").rules
+    assert "CONFIG" in run_scenario("after-sent.toml").rules
 
 
-def test_a_second_order_under_one_version_that_is_taken_is_seen(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_second_change_accepted_under_one_version_is_detected(monkeypatch: pytest.MonkeyPatch) -> None:
     """Whether another content was acknowledged under its version is not asked."""
     monkeypatch.setattr(config_changes, "_refusal_by_records", lambda judged: None)
     assert "CONFIG" in first_faults("one-number", 3, 20).rules
 
 
-def test_an_order_that_is_judged_anew_when_it_comes_again_is_seen(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_acknowledged_change_reevaluated_when_resent_is_detected(monkeypatch: pytest.MonkeyPatch) -> None:
     """Whether it was acknowledged before is not asked."""
     verdict = config_changes._classify
 
@@ -155,7 +166,7 @@
     return at, "said", (call, status)
 
 
-def test_two_orders_under_one_version_are_confirmed_at_most_once() -> None:
+def test_two_changes_under_one_version_are_acknowledged_at_most_once() -> None:
     both = offers(5 * S, 7, 4, "s"), said(6 * S, 7, 200), offers(5 * S, 8, 4, "t")
     end = (20 * S, "read", ((("r", 4, ("s",)),), 20 * S))
     acked = (6 * S, "acked", (7,))
@@ -167,7 +178,7 @@
     assert broken(*both, acked, (5 * S, "may be refused", (8,)), other) == {"CONFIG"}
 
 
-def test_an_order_that_was_acknowledged_is_never_refused_again() -> None:
+def test_acknowledged_change_is_not_refused_when_resent() -> None:
     order = offers(5 * S, 7, 4, "s"), said(6 * S, 7, 200), (6 * S, "acked", (7,))
     end = (20 * S, "read", ((("r", 4, ("s",)),), 20 * S))
     assert broken(*order, said(8 * S, 7, 400), end) == {"CONFIG"}
@@ -176,7 +187,7 @@
     assert broken(*order, said(8 * S, 7, 503), said(9 * S, 7, 200), end) == set()
 
 
-def test_a_proxy_handles_by_nothing_older_than_was_acknowledged_before_it_started() -> None:
+def test_proxy_uses_nothing_older_than_was_acknowledged_before_its_start() -> None:
     moved = *FIRST, offers(S, 2, 2, "t"), (2 * S, "acked", (2,))
     end = (20 * S, "read", ((("r", 2, ("t",)),), 20 * S))
     cut = (3 * S, "cut", ("p0", "l0"))  # not in touch: the other rules excuse it
@@ -189,7 +200,7 @@
 # --- the search
 
 
-def test_the_search_draws_the_new_troubles_and_stays_within_what_may_be_lost() -> None:
+def test_search_uses_all_faults_and_stays_within_the_tolerance() -> None:
     told, rng, kinds, fields = small(length=20), random.Random(3), set(), set()
     told = msgspec.structs.replace(told, core=msgspec.structs.replace(told.core, spare=2))
     for _ in range(400):
