--- a/tests/emulator/test_mesh_hard.py
+++ b/tests/emulator/test_mesh_hard.py
@@ -1,6 +1,7 @@
-"""The mesh's hard cases: each is a scenario of examples/lab/mesh, and keeps every rule.
+"""Hard cases of the mesh: each is a scenario of examples/lab/mesh in which every rule must hold.
 
-Timelines run from left to right; `x` is a loss of power, `w` of the disk with it, `~` frozen or cut off.
+In the timelines, time runs from left to right; `x` is a loss of power, `w` a loss of power and disk, `~`
+paused or partitioned.
 """
 
 from __future__ import annotations
@@ -27,89 +28,88 @@
 replace = msgspec.structs.replace
 CASES = {
     "sync-unsaid": """
-        head    claim synced x          . its log has it; nobody else's may
-        middle               . claim synced x            . told on by whoever takes its place
-        tail                              . claim synced x   agreed on disk, and nobody was told""",
+        head    claim synced x          . in its log; perhaps in no other one
+        middle               . claim synced x            . forwarded by the replica that replaces it
+        tail                              . claim synced x   committed on disk, and nobody was notified""",
     "wiped-voter": """
-        head     promise ------- kill          w          lost with all that it promised
-        middle   promise ------- kill          x          both come back knowing of it as a voter
-        tail     promise - w     kill, back    x          a new disk: no vote until it is let in""",
+        head     promise ------- kill          w          lost with all its promises
+        middle   promise ------- kill          x          both return and still know it as a voter
+        tail     promise - w     kill, back    x          a new disk: no vote until it is admitted""",
     "view-in-view": """
-        l0   head   x ........................   ~~~~ wakes, believes that it is the head
-        l1   does the duty: bid 1 ...            ~~~~ cut off as it bids
-        l2   middle ~~~ promised, wakes behind   bid 2
+        l0   head   x ........................   ~~~~ resumes, still acts as the head
+        l1   coordinates: ballot 1 ...           ~~~~ partitioned during its ballot
+        l2   middle ~~~ promised, resumes late   ballot 2
         l3, l4      promise 1, then 2""",
     "lost-claimant": """
-        pilots  claim -----------------------------x       all of them, with what they held in memory
-        tail            agreed, synced -----------> x      word of it finds nobody
-        repeat                                       503: not run, for nobody knows whether it ran""",
+        proxies claim -----------------------------x       all of them, with their memory
+        tail            committed, synced --------> x      the notification reaches nobody
+        repeat                                       503: not run, as nobody knows whether it ran""",
     "cut-pilot": """
-        p0  ~~~~ from the core         ~~~~ it is heard and hears nothing
-        p1        ~~~~ from pilots
-        p4                                   ~~~~ it hears nobody of the core""",
+        p0  ~~~~ from the core         ~~~~ sends, but receives nothing
+        p1        ~~~~ from proxies
+        p4                                   ~~~~ receives nothing from the core""",
     "cut-core": """
-        head ~~~~        l0 ~~~~ from l2 alone     head ~~~~ from all
-        tail      ~~~~ it is not heard""",
+        head ~~~~        l0 ~~~~ from l2 only      head ~~~~ from all
+        tail      ~~~~ receives, but its messages are lost""",
     "snapshot-under-way": """
-        tail  w .. joins: everything, then what came meanwhile
-        head            w .. the next one is the head; the wiped one joins at the end
-        log   60 claims a second, 5 changes a second, all along""",
-    "disks": "head stalls, middle is full, tail stalls, l1 is full as its power goes",
-    "leaving": "upstreams replaced; addresses go to the other service; pilots stopped in order; a crash",
-    "seeds": "every machine of the core is exchanged in turn; all pilots, then all of the core, are killed",
+        tail  w .. joins: a snapshot, then the entries since
+        head            w .. the next member becomes head; the wiped one joins as the tail
+        log   60 claims per second, 5 changes per second, throughout""",
+    "disks": "head stalls, middle is full, tail stalls, l1 is full as it loses power",
+    "leaving": "upstreams replaced; addresses reused by the other service; proxies stopped in turn; a crash",
+    "seeds": "every replica is replaced in turn; all proxies, then all replicas, are killed",
     "clocks": "times of day jump by an hour and back, then processes start; keys stay claimed",
-    "closing-power": "acked | all lose power at once, unsynced writes gone | back, read back, keys repeated",
+    "closing-power": "acked | all lose power, unsynced writes are lost | back, read back, keys repeated",
     "closing-kill": "acked | all processes are killed | back, read back, keys repeated",
     "closing-wipe": "acked | l0 loses its disk, the others their power | back, read back, keys repeated",
 }
 
 
-def first(name: str, faults: int, length: float, *sets: str) -> MeshRun:
-    """A case with its first faults alone, up to so many seconds."""
+def run_first_faults(name: str, faults: int, length: float, *sets: str) -> MeshRun:
+    """Run a case with its first `faults` faults only, for `length` seconds."""
     path = MESH / f"{name}.toml"
-    told = parse_scenario(path.read_text(), str(path), sets)
-    return play(replace(told, fault=told.fault[:faults], length=Duration(int(length * 1e6))), 1)
+    scenario = parse_scenario(path.read_text(), str(path), sets)
+    return play(replace(scenario, fault=scenario.fault[:faults], length=Duration(int(length * 1e6))), 1)
 
 
 @pytest.mark.parametrize("name", CASES)
 def test_hard_case_breaks_no_rule(name: str) -> None:
-    made = run_scenario(f"{name}.toml")
-    assert_no_violations(made)
-    records = made.world.records
-    struck = {of[0] for _, what, of in records if what == "fault"}
-    assert struck == {one.kind for one in made.world.told.fault if one.kind != "close"}
+    run = run_scenario(f"{name}.toml")
+    assert_no_violations(run)
+    records = run.world.records
+    applied = {of[0] for _, what, of in records if what == "fault"}
+    assert applied == {one.kind for one in run.world.told.fault if one.kind != "close"}
     assert any(what == "closing" for _, what, _ in records) == name.startswith("closing")
-    assert made.worth > 0.7
+    assert run.worth > 0.7
     last = max(when for when, what, _ in records if what == "served")
-    assert last > (world.CALM + int(made.world.told.length)) - 2_000_000  # it serves again
+    assert last > (world.CALM + int(run.world.told.length)) - 2_000_000  # it serves again
 
 
 def test_claim_of_a_lost_claimant_is_answered_503_and_not_run() -> None:
-    made = first("lost-claimant", 1, 10)
-    assert_no_violations(made)
-    records = made.world.records
-    struck = next(when for when, what, _ in records if what == "fault")
-    ran = {of[3] for when, what, of in records if what == "ran" and of[3] and when <= struck}
-    repeats = {of[0] for when, what, of in records if what == "asked" and when > struck and of[4] in ran}
+    run = run_first_faults("lost-claimant", 1, 10)
+    assert_no_violations(run)
+    records = run.world.records
+    fault_at = next(when for when, what, _ in records if what == "fault")
+    ran = {of[3] for when, what, of in records if what == "ran" and of[3] and when <= fault_at}
+    repeats = {of[0] for when, what, of in records if what == "asked" and when > fault_at and of[4] in ran}
     answers = [of[1] for _, what, of in records if what == "ended" and of[0] in repeats]
     assert answers.count(503) > 5 and 200 not in answers
 
 
 @pytest.mark.parametrize("path", sorted(MESH.glob("*.toml")), ids=lambda path: path.stem)
 def test_past_findings_stay_fixed(path: Path) -> None:
-    told = load(path)
-    if told.found.rules:
-        made = run_scenario(path.name, seed=told.found.seed)
-        assert_no_violations(made)
+    scenario = load(path)
+    if scenario.found.rules:
+        run = run_scenario(path.name, seed=scenario.found.seed)
+        assert_no_violations(run)
 
 
-# --- a guard that is taken out is seen
+# --- removing a guard is detected
 
 
 def test_write_reported_before_its_sync_is_detected(monkeypatch: pytest.MonkeyPatch) -> None:
-    """disks   writing ......x        lost
-    word     stored -> agreed -> acked: and it is gone
-    """
+    """The replica reports a write as stored before its sync: it is committed and acknowledged, then lost with
+    the power."""
 
     def write(self: ControlReplica) -> None:
         batch, self._queue = self._queue, []
@@ -124,10 +124,10 @@
 
 
 def test_vote_of_a_wiped_member_is_detected(monkeypatch: pytest.MonkeyPatch) -> None:
-    """The member is known by its address alone, whatever disk stands there.
+    """A member is recognized by its address only, whatever disk it has.
 
-    The scenario's second wipe alone: after the first one the chain stands still, as nobody is passed entries
-    over a gap in them."""
+    Only the scenario's second wipe is used: after the first one the chain would stall, as entries are not
+    passed on over a gap."""
     monkeypatch.setattr(Agreement, "_wiped", lambda self, member: False)
     monkeypatch.setattr(Agreement, "_is_healthy", lambda self, member, now: self.is_alive(member.addr, now))
     monkeypatch.setattr(Agreement, "is_member", property(lambda self: self.view.member(self.me) is not None))
@@ -137,36 +137,38 @@
         return next((n for n, member in enumerate(self.view.members) if member.addr == self.me), -1)
 
     monkeypatch.setattr(Chain, "_chain_position", chain_position)
-    told = load(MESH / "wiped-voter.toml")
-    assert "TWICE" in play(replace(told, fault=told.fault[2:]), 1).rules
+    scenario = load(MESH / "wiped-voter.toml")
+    assert "TWICE" in play(replace(scenario, fault=scenario.fault[2:]), 1).rules
 
 
 def test_running_a_claim_of_an_earlier_incarnation_is_detected(monkeypatch: pytest.MonkeyPatch) -> None:
-    claimed = keys.KeyedRequests._on_claim_result
+    original = keys.KeyedRequests._on_claim_result
 
-    def forgetful(self: keys.KeyedRequests, operation: Any, result: Any) -> None:
+    def accept_own_machine(self: keys.KeyedRequests, operation: Any, result: Any) -> None:
         ours = isinstance(result, HeldBy) and result.owner == self._machine
-        claimed(self, operation, CommandDone() if ours else result)
+        original(self, operation, CommandDone() if ours else result)
 
-    monkeypatch.setattr(keys.KeyedRequests, "_on_claim_result", forgetful)
-    assert "TWICE" in first("lost-claimant", 1, 10).rules
+    monkeypatch.setattr(keys.KeyedRequests, "_on_claim_result", accept_own_machine)
+    assert "TWICE" in run_first_faults("lost-claimant", 1, 10).rules
 
 
 def test_requests_to_a_draining_upstream_are_detected(monkeypatch: pytest.MonkeyPatch) -> None:
-    heard = Admission.receive_heartbeat
+    original = Admission.receive_heartbeat
 
-    def deaf(self: Admission, beat: Any, now: int) -> bool:
+    def ignore_draining(self: Admission, beat: Any, now: int) -> bool:
         beat.state = "ready"
-        return heard(self, beat, now)
+        return original(self, beat, now)
 
-    monkeypatch.setattr(Admission, "receive_heartbeat", deaf)
-    assert "DRAIN" in first("leaving", 2, 8, "route.read.rate=100.0").rules
+    monkeypatch.setattr(Admission, "receive_heartbeat", ignore_draining)
+    assert "DRAIN" in run_first_faults("leaving", 2, 8, "route.read.rate=100.0").rules
 
 
 def test_relayed_repeat_run_at_the_former_service_is_detected(monkeypatch: pytest.MonkeyPatch) -> None:
-    """gate of the old service   claims k ... core killed: given up, unrun       runs k
-    route                                                moves, is acked
-    gate of the new one                                          repeat of k -> relayed
+    """A relayed repeat runs at the service that its route has left.
+
+    proxy of the old service   claims k ... core killed: gives up, not run       runs k
+    route                                                moves, is acknowledged
+    proxy of the new service                                     repeat of k -> relayed
     """
     monkeypatch.setattr(keys.KeyedRequests, "_route_has_moved", lambda self, step: False)
     assert "CONFIG" in run_scenario("moved-while-claimed.toml").rules
--- a/tests/emulator/test_mesh_lab.py
+++ b/tests/emulator/test_mesh_lab.py
@@ -1,4 +1,4 @@
-"""The mesh in simulated time: the roles as they are, one run a seed, and each checker sees its fault."""
+"""The mesh in simulated time, with the real roles: reproducible runs, each rule's check, and the search."""
 
 from __future__ import annotations
 
@@ -30,27 +30,29 @@
 
 
 def run_scenario(name: str, *sets: str, seed: int = 1) -> MeshRun:
+    """Run a scenario of examples/lab/mesh, with keys overridden by `sets`."""
     path = MESH / name
     return play(parse_scenario(path.read_text(), str(path), sets), seed)
 
 
-def assert_no_violations(made: MeshRun) -> None:
-    assert [f"{one.rule}: {word}" for one in made.found for word in one.words] == []
+def assert_no_violations(run: MeshRun) -> None:
+    """Fails with the text of every violation that is kept."""
+    assert [f"{one.rule}: {word}" for one in run.found for word in one.words] == []
 
 
 def test_scenario_without_faults_serves_all_and_breaks_no_rule() -> None:
-    made = run_scenario("calm.toml", "length=8s")
-    assert_no_violations(made)
-    assert made.worth > 0.99 and made.summary.items > 200
-    assert {"TWICE", "REFUSED", "MIXED", "ROUTE", "DRAIN", "CONFIG"} <= {one.rule for one in made.found}
+    run = run_scenario("calm.toml", "length=8s")
+    assert_no_violations(run)
+    assert run.worth > 0.99 and run.summary.items > 200
+    assert {"TWICE", "REFUSED", "MIXED", "ROUTE", "DRAIN", "CONFIG"} <= {one.rule for one in run.found}
 
 
 def test_run_is_the_same_under_any_hash_seed() -> None:
     code = (
         "import sys; sys.path.insert(0, 'tests/emulator'); import test_mesh_lab as t;"
-        "print(t.digest(t.run_scenario('two-services.toml', 'length=4s', 'operators.every=1s')))"
+        "print(t.records_digest(t.run_scenario('two-services.toml', 'length=4s', 'operators.every=1s')))"
     )
-    here = digest(run_scenario("two-services.toml", "length=4s", "operators.every=1s"))
+    here = records_digest(run_scenario("two-services.toml", "length=4s", "operators.every=1s"))
     there = subprocess.run(
         [sys.executable, "-c", code], cwd=ROOT, env={"PYTHONHASHSEED": "7", "PYTHONPATH": str(ROOT)},
         capture_output=True, text=True, check=True,
@@ -58,8 +60,9 @@
     assert there.stdout.strip() == here
 
 
-def digest(made: MeshRun) -> str:
-    return hashlib.sha256(repr(made.world.records).encode()).hexdigest()
+def records_digest(run: MeshRun) -> str:
+    """SHA-256 of all records of a run."""
+    return hashlib.sha256(repr(run.world.records).encode()).hexdigest()
 
 
 def test_the_roles_do_not_import_the_emulator() -> None:
@@ -70,10 +73,10 @@
 
 def test_invalid_scenario_is_reported_by_key() -> None:
     text = (MESH / "calm.toml").read_text() + '\n[[fault]]\nat = "1s"\nkind = "wipe"\non = ["p9"]\n'
-    with pytest.raises(BadFile) as told:
+    with pytest.raises(BadFile) as raised:
         parse_scenario(text, "s.toml", ())
-    assert "wipe does not strike p9" not in str(told.value)  # there is none: that is told first
-    assert "there is no p9" in str(told.value) and "lasts" in str(told.value)
+    assert "wipe does not strike p9" not in str(raised.value)  # it does not exist, which is reported first
+    assert "there is no p9" in str(raised.value) and "lasts" in str(raised.value)
 
 
 def test_lab_command_runs_a_mesh_scenario() -> None:
@@ -81,80 +84,101 @@
     assert done.exit_code == 0 and "kept    TWICE" in done.output
 
 
-# --- the checkers, each on a history that breaks its rule
+# --- each rule, on a history that breaks it
 
 S = 1_000_000
 NAMES = {"10.1.1.1": "p0", "10.1.0.1": "l0"}
 UP = [(0, "up", (name,)) for name in ("l0", "p0")]
 
 
-def asked(at: int, attempt: str, kind: str = "effectful", key: str = "", route: str = "r") -> checks.Record:
+def attempt_record(
+    at: int, attempt: str, kind: str = "effectful", key: str = "", route: str = "r"
+) -> checks.Record:
     return at, "asked", (attempt, 1, route, kind, key, "10.1.1.1", "s", f"POST /{route}/1/1 x")
 
 
-def ran(at: int, attempt: str, plant: str = "s", upstream: str = "i1", key: str = "", caller: str = "s",
-        route: str = "r") -> checks.Record:  # fmt: skip
+def run_record(
+    at: int, attempt: str, plant: str = "s", upstream: str = "i1", key: str = "", caller: str = "s",
+    route: str = "r",
+) -> checks.Record:  # fmt: skip
     return at, "ran", (upstream, plant, attempt, key, caller, f"POST /{route}/1/1 x")
 
 
-def ended(at: int, attempt: str, how: object, seal: str = "", body: str = "") -> checks.Record:
+def answer_record(at: int, attempt: str, how: object, seal: str = "", body: str = "") -> checks.Record:
     return at, "ended", (attempt, how, seal, body, False)
 
 
-def offers(at: int, call: int, version: int, *services: str, sound: bool = True) -> checks.Record:
-    return at, "offers", (call, "r", version, services, sound)
+def offer_version(at: int, call: int, version: int, *services: str, valid: bool = True) -> checks.Record:
+    return at, "offers", (call, "r", version, services, valid)
 
 
-FIRST = [offers(1, 1, 1, "s"), (2, "acked", (1,)), (3, "read", ((("r", 1, ("s",)),), 3))]
-MOVED = [*FIRST, offers(S, 2, 2, "t"), (2 * S, "acked", (2,))]
+FIRST = [offer_version(1, 1, 1, "s"), (2, "acked", (1,)), (3, "read", ((("r", 1, ("s",)),), 3))]
+MOVED = [*FIRST, offer_version(S, 2, 2, "t"), (2 * S, "acked", (2,))]
 HISTORIES = {
-    "MIXED": (ran(9 * S, "a"), (9 * S, "done", ("i1", "b", "q", "xx")), ended(9 * S, "a", 200, "q", "xx")),
-    "UNASKED": (ran(9 * S, "a", caller="other"),),
-    "TWICE": (ran(9 * S, "a"), ran(9 * S, "a", upstream="i2")),
-    "REFUSED": (ended(9 * S, "a", 503), ran(9 * S + 1, "a")),
-    "ROUTE": (ran(9 * S, "a", plant="u"),),
+    "MIXED": (
+        run_record(9 * S, "a"),
+        (9 * S, "done", ("i1", "b", "q", "xx")),
+        answer_record(9 * S, "a", 200, "q", "xx"),
+    ),
+    "UNASKED": (run_record(9 * S, "a", caller="other"),),
+    "TWICE": (run_record(9 * S, "a"), run_record(9 * S, "a", upstream="i2")),
+    "REFUSED": (answer_record(9 * S, "a", 503), run_record(9 * S + 1, "a")),
+    "ROUTE": (run_record(9 * S, "a", plant="u"),),
     "DRAIN": ((5 * S, "drains", ("i1", "10.1.1.1")), (9 * S, "arrived", ("i1", "s", "a"))),
     "BUDGET": tuple((9 * S, "arrived", ("i1", "s", "a")) for _ in range(40)),
     "LOST": (
         (8 * S, "term", ("p0",)),
         (9 * S, "arrived", ("i1", "s", "a")),
-        ended(9 * S, "a", "closed"),
+        answer_record(9 * S, "a", "closed"),
     ),
 }  # fmt: skip
 
 
-def broken(*records: checks.Record, first: Iterable[checks.Record] = FIRST) -> set[str]:
-    seen = checks.History(sorted([*UP, *first, *records], key=lambda one: one[0]), Limits(), NAMES, 30 * S)
-    return {one.rule for one in checks.check_history(seen) if one.count}
+def broken_rules(*records: checks.Record, first: Iterable[checks.Record] = FIRST) -> set[str]:
+    """Names of the rules that these records break, after the records of `first`."""
+    history = checks.History(sorted([*UP, *first, *records], key=lambda one: one[0]), Limits(), NAMES, 30 * S)
+    return {one.rule for one in checks.check_history(history) if one.count}
 
 
 @pytest.mark.parametrize("rule", HISTORIES)
 def test_each_rule_reports_its_violation(rule: str) -> None:
-    assert rule in broken(asked(9 * S, "a"), *HISTORIES[rule])
-    assert broken(asked(9 * S, "a"), ran(9 * S, "a")) == set()
+    assert rule in broken_rules(attempt_record(9 * S, "a"), *HISTORIES[rule])
+    assert broken_rules(attempt_record(9 * S, "a"), run_record(9 * S, "a")) == set()
 
 
 def test_key_runs_once_in_its_window_and_may_run_again_after_it() -> None:
-    both = asked(6 * S, "a", "keyed", "k"), ran(6 * S, "a", key="k"), asked(9 * S, "b", "keyed", "k")
-    assert broken(*both, ran(9 * S, "b", key="k")) == {"TWICE"}
-    assert broken(*both, ran(70 * S, "b", key="k")) == set()
+    both = (
+        attempt_record(6 * S, "a", "keyed", "k"),
+        run_record(6 * S, "a", key="k"),
+        attempt_record(9 * S, "b", "keyed", "k"),
+    )
+    assert broken_rules(*both, run_record(9 * S, "b", key="k")) == {"TWICE"}
+    assert broken_rules(*both, run_record(70 * S, "b", key="k")) == set()
 
 
 def test_stale_configuration_is_a_violation_only_on_machines_in_contact() -> None:
     read = (20 * S, "read", ((("r", 2, ("t",)),), 20 * S))
-    stale = asked(9 * S, "a"), ran(9 * S, "a", plant="s"), read
-    assert broken(*stale, first=MOVED) == {"CONFIG"}
-    assert broken(asked(3 * S, "a"), ran(3 * S, "a", plant="s"), read, first=MOVED) == set()  # in its time
-    assert broken((7 * S, "clock", ("p0",)), *stale, first=MOVED) == set()
-    assert broken((7 * S, "down", ("l0",)), *stale, first=MOVED) == set()
-    back = asked(3 * S, "a"), ran(3 * S, "a", plant="t"), asked(3 * S + 300_000, "b"), read
-    assert broken(*back, ran(3 * S + 300_000, "b"), first=MOVED) == {"CONFIG"}
+    stale = attempt_record(9 * S, "a"), run_record(9 * S, "a", plant="s"), read
+    assert broken_rules(*stale, first=MOVED) == {"CONFIG"}
+    assert (
+        broken_rules(attempt_record(3 * S, "a"), run_record(3 * S, "a", plant="s"), read, first=MOVED)
+        == set()
+    )  # within the time allowed
+    assert broken_rules((7 * S, "clock", ("p0",)), *stale, first=MOVED) == set()
+    assert broken_rules((7 * S, "down", ("l0",)), *stale, first=MOVED) == set()
+    back = (
+        attempt_record(3 * S, "a"),
+        run_record(3 * S, "a", plant="t"),
+        attempt_record(3 * S + 300_000, "b"),
+        read,
+    )
+    assert broken_rules(*back, run_record(3 * S + 300_000, "b"), first=MOVED) == {"CONFIG"}
 
 
 def test_change_missing_when_read_back_is_reported_as_config_or_lost() -> None:
     gone = (20 * S, "read", ((("r", 1, ("s",)),), 20 * S))
-    assert broken(gone, first=MOVED) == {"CONFIG"}
-    assert broken((10 * S, "closing", ("power",)), gone, first=MOVED) == {"LOST"}
+    assert broken_rules(gone, first=MOVED) == {"CONFIG"}
+    assert broken_rules((10 * S, "closing", ("power",)), gone, first=MOVED) == {"LOST"}
 
 
 # --- search
@@ -164,7 +188,8 @@
     return Fault(at=Duration(int(at * S)), kind=kind, on=on, lasts=Duration(int(lasts * S)))  # type: ignore[arg-type]
 
 
-def small(*faults: Fault, length: int = 5) -> MeshScenario:
+def small_scenario(*faults: Fault, length: int = 5) -> MeshScenario:
+    """calm.toml, `length` seconds long, with few requests that are always repeated, and these faults."""
     path = MESH / "calm.toml"
     sets = (f"length={length}s", "route.bid.rate=15.0", "route.bid.again=1.0")
     return msgspec.structs.replace(parse_scenario(path.read_text(), str(path), sets), fault=faults)
@@ -173,33 +198,33 @@
 def test_search_finds_a_removed_guard_and_shrinks_the_schedule(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    claimed = KeyedRequests._on_claim_result
+    original = KeyedRequests._on_claim_result
 
-    def forgetful(self: KeyedRequests, operation: Any, result: Any) -> None:
+    def accept_own_machine(self: KeyedRequests, operation: Any, result: Any) -> None:
         ours = isinstance(result, HeldBy) and result.owner == self._machine
-        claimed(self, operation, CommandDone() if ours else result)
+        original(self, operation, CommandDone() if ours else result)
 
-    monkeypatch.setattr(KeyedRequests, "_on_claim_result", forgetful)
-    told = small(
+    monkeypatch.setattr(KeyedRequests, "_on_claim_result", accept_own_machine)
+    scenario = small_scenario(
         fault(0.5, "stall", "tail", lasts=0.2), fault(1, "kill", "pilots"), fault(1.5, "clock", "l0")
     )
-    worst, score = hunt.search(told, 3, 3)
+    worst, score = hunt.search(scenario, 3, 3)
     assert "TWICE" in score.rules
-    least, runs = hunt.shrink(worst, 3, hunt.same_rules(["TWICE"]), most=12)
-    assert runs <= 12 and len(least.fault) < len(worst.fault)
-    assert "TWICE" in hunt.judge(least, 3)[0].rules
-    assert {one.kind for one in least.fault} & {"kill", "power", "term", "replace", "reuse"}
+    smallest, runs = hunt.shrink(worst, 3, hunt.same_rules(["TWICE"]), most=12)
+    assert runs <= 12 and len(smallest.fault) < len(worst.fault)
+    assert "TWICE" in hunt.judge(smallest, 3)[0].rules
+    assert {one.kind for one in smallest.fault} & {"kill", "power", "term", "replace", "reuse"}
 
 
 def test_mutated_schedules_lose_no_more_disks_than_tolerated() -> None:
-    assert within_tolerance(small(fault(1, "wipe", "l0"), fault(1.1, "kill", "core")))
-    assert within_tolerance(small(fault(1, "wipe", "l0"), fault(7, "wipe", "l1"), length=9))
-    assert not within_tolerance(small(fault(1, "wipe", "l0"), fault(2, "wipe", "l1")))
-    assert not within_tolerance(small(fault(1, "wipe", "l0"), fault(2, "freeze", "l1", lasts=3)))
-    assert not within_tolerance(small(fault(1, "wipe", "core")))
-    told, rng, kinds = small(length=20), random.Random(1), set()
+    assert within_tolerance(small_scenario(fault(1, "wipe", "l0"), fault(1.1, "kill", "core")))
+    assert within_tolerance(small_scenario(fault(1, "wipe", "l0"), fault(7, "wipe", "l1"), length=9))
+    assert not within_tolerance(small_scenario(fault(1, "wipe", "l0"), fault(2, "wipe", "l1")))
+    assert not within_tolerance(small_scenario(fault(1, "wipe", "l0"), fault(2, "freeze", "l1", lasts=3)))
+    assert not within_tolerance(small_scenario(fault(1, "wipe", "core")))
+    scenario, rng, kinds = small_scenario(length=20), random.Random(1), set()
     for _ in range(300):
-        told = mutated(told, rng)
-        kinds |= {one.kind for one in told.fault}
-        assert within_tolerance(told) and not validation_errors(told)
+        scenario = mutated(scenario, rng)
+        kinds |= {one.kind for one in scenario.fault}
+        assert within_tolerance(scenario) and not validation_errors(scenario)
     assert kinds >= {"wipe", "cut", "freeze", "seeds", "full", "reuse"}
