--- a/brackengate/emulator/mesh/checks.py
+++ b/brackengate/emulator/mesh/checks.py
@@ -181,9 +181,9 @@
                 case "ended", (str(a), outcome, str(seal), str(body), bool(more)):
                     self.outcomes.append((when, a, outcome, seal, body, more))
                 case "offers", (int(call), str(name), int(number), tuple(services), bool(valid)):
-                    made = Version(number, tuple(map(str, services)), when, valid)
-                    self.versions[name].append(made)
-                    self.changes[call].append(made)
+                    version = Version(number, tuple(map(str, services)), when, valid)
+                    self.versions[name].append(version)
+                    self.changes[call].append(version)
                 case "acked", (int(call),):
                     for one in self.changes.get(call, ()):  # a change without routes has no versions
                         one.acked_at = when if one.acked_at is None else one.acked_at
@@ -513,15 +513,15 @@
         if isinstance(outcome, int) and 200 <= outcome < 300
     }
 
-    def share(since: int, until: int) -> float:
-        some = [
+    def served_share(since: int, until: int) -> float:
+        sent = [
             a for a, one in history.attempts.items() if one.kind != "probe" and since <= one.sent_at < until
         ]
-        return sum(a in served for a in some) / len(some) if some else -1.0
+        return sum(a in served for a in sent) / len(sent) if sent else -1.0
 
     check_from = history.restored_at + int(history.limits.recovery)
-    if check_from < history.last and share(0, history.closing_at) >= 0.25:
-        after = share(check_from, history.last)
+    if check_from < history.last and served_share(0, history.closing_at) >= 0.25:
+        after = served_share(check_from, history.last)
         if after < 0.25:
             violations.at(
                 check_from, f"after the closing fault {max(0.0, after):.2f} of the requests are served"
--- a/brackengate/emulator/mesh/faults.py
+++ b/brackengate/emulator/mesh/faults.py
@@ -41,6 +41,7 @@
 
 
 def _start_fault(world: World, fault: Fault) -> None:
+    """Apply a fault now, or register it for the event that it waits for; repeat it where it has `every`."""
     if fault.every and world.loop.now + int(fault.every) < CALM + int(world.told.length):
         world.loop.after(int(fault.every), partial(_start_fault, world, fault))
     if fault.kind == "close":
@@ -64,6 +65,7 @@
 
 
 def _find_machines(world: World, names: Iterable[str]) -> list[Machine]:
+    """The machines that names in `on` or `to` of a fault stand for at this moment, without duplicates."""
     found: dict[Machine, None] = {}
     for name in names:
         if name in ("core", "pilots"):
@@ -112,6 +114,7 @@
 
 
 def _apply_fault(world: World, fault: Fault, machines: list[Machine] | None = None) -> None:
+    """Record the fault and apply it to `machines`, by default to the targets of the fault."""
     machines = _find_machines(world, fault.on) if machines is None else machines
     machines = [machine for machine in machines if machine.used and not machine.gone]
     world.trace("fault", fault.kind, tuple(machine.name for machine in machines))
@@ -337,7 +340,7 @@
 def _apply_closing_fault(world: World, fault: Fault) -> None:
     """Apply the closing fault right after the next acknowledgement of a configuration change."""
 
-    def strike() -> None:
+    def apply() -> None:
         world.trace("closing", fault.how)
         core = world.listed()
         lasts = int(fault.lasts) or 500 * MS
@@ -353,12 +356,12 @@
                 machine.lose_power(machine in wiped, drop_unsynced)
                 world.loop.after(lasts, machine.get_power)
 
-    def back() -> None:
+    def record_recovery() -> None:
         world.trace("back")
 
-    def strike_and_recover() -> None:
-        strike()
-        world.loop.after(int(fault.lasts) or 500 * MS, back)
+    def start() -> None:
+        apply()
+        world.loop.after(int(fault.lasts) or 500 * MS, record_recovery)
 
-    world.operators.acknowledged.append(strike_and_recover)
+    world.operators.acknowledged.append(start)
     world.operators.change()
--- a/brackengate/emulator/mesh/hunt.py
+++ b/brackengate/emulator/mesh/hunt.py
@@ -58,7 +58,7 @@
     if kind in ("kill", "freeze", "power") and rng.random() < 0.2:
         on = (rng.choice(("core", "pilots")),)
     length = max(1, int(scenario.length) - 2 * S)
-    made = Fault(
+    fault = Fault(
         at=Duration(rng.randrange(0, length, 10 * MS)),
         kind=kind,  # type: ignore[arg-type]
         on=on,
@@ -67,22 +67,22 @@
         back=rng.random() < 0.5,
     )
     if kind == "loss":
-        made = replace(made, part=round(rng.uniform(0.01, 0.3), 2))
+        fault = replace(fault, part=round(rng.uniform(0.01, 0.3), 2))
     elif kind == "cut":
         to = rng.choice([(), ("core",), ("pilots",), (rng.choice([one for one in core + proxies]),)])
-        made = replace(made, to=to, one_way=rng.random() < 0.4)
+        fault = replace(fault, to=to, one_way=rng.random() < 0.4)
         if on[0] in core:
             restart = rng.choice(("", "", "others", "both"))
-            made = replace(made, seeds_first=rng.random() < 0.3, restart=restart)
+            fault = replace(fault, seeds_first=rng.random() < 0.3, restart=restart)
     elif kind in ("ack_lost", "reset_conns"):
-        made = replace(made, part=round(rng.uniform(0.3, 0.9), 2))
+        fault = replace(fault, part=round(rng.uniform(0.3, 0.9), 2))
     elif kind == "replace_core":
-        made = replace(made, planned=rng.random() < 0.5, lasts=Duration(S))
+        fault = replace(fault, planned=rng.random() < 0.5, lasts=Duration(S))
     elif kind in CHANGE_FAULTS:
-        made = replace(made, order=rng.choice(BAD_CHANGE_KINDS), count=rng.randrange(1, 4))
+        fault = replace(fault, order=rng.choice(BAD_CHANGE_KINDS), count=rng.randrange(1, 4))
     elif kind in ("kill", "power", "wipe") and on[0] in core and rng.random() < 0.4:
-        made = replace(made, after=rng.choice(("sync", "ack", "sent", "sent")))
-    return made
+        fault = replace(fault, after=rng.choice(("sync", "ack", "sent", "sent")))
+    return fault
 
 
 def within_tolerance(scenario: MeshScenario) -> bool:
@@ -133,8 +133,8 @@
         if rng.random() < 0.5:  # the same fault at another time
             new = msgspec.structs.replace(faults[index], at=new.at)
         faults[index] = new
-    made = msgspec.structs.replace(scenario, fault=tuple(sorted(faults, key=lambda one: int(one.at))))
-    return made if within_tolerance(made) else scenario
+    candidate = msgspec.structs.replace(scenario, fault=tuple(sorted(faults, key=lambda one: int(one.at))))
+    return candidate if within_tolerance(candidate) else scenario
 
 
 def smaller(scenario: MeshScenario) -> Iterable[MeshScenario]:
