--- a/tests/emulator/test_mesh_big_orders.py
+++ b/tests/emulator/test_mesh_big_orders.py
@@ -9,16 +9,16 @@
 from functools import partial
 
 import pytest
-from test_mesh_lab import MESH, kept
+from test_mesh_lab import MESH, assert_no_violations
 
 from brackengate.control import staging
 from brackengate.control.role import ControlReplica
 from brackengate.emulator.loop import MS, S
 from brackengate.emulator.mesh import checks, faults
-from brackengate.emulator.mesh.order_troubles import OrderTroubles
+from brackengate.emulator.mesh.order_troubles import ChangeFaults
 from brackengate.emulator.mesh.people import Change
-from brackengate.emulator.mesh.play import Played, summarise
-from brackengate.emulator.mesh.scenario import changed
+from brackengate.emulator.mesh.play import MeshRun, summarise
+from brackengate.emulator.mesh.scenario import parse_scenario
 from brackengate.emulator.mesh.world import CALM, Machine, World
 from brackengate.protocol import message_parts
 from brackengate.proxy.egress import Egress
@@ -57,7 +57,7 @@
 
 @dataclass
 class Outcome:
-    made: Played
+    made: MeshRun
     behind: list[str] = field(default_factory=list)  # proxies that lack it soon after its acknowledgement
     lag: int = 0  # from the acknowledgement until it is in force at the last proxy
 
@@ -66,9 +66,9 @@
     """One large order, two seconds after the first request."""
     text = (MESH / "big-order.toml").read_text().partition("[[fault]]")[0]
     text += f'[[fault]]\nat = "2s"\nkind = "big_order"\nroutes = {routes}\n{content}\n{more}'
-    told = changed(text, "big-order.toml", ("length=9s", *sets))
+    told = parse_scenario(text, "big-order.toml", ("length=9s", *sets))
     world = World(told, 1)
-    outcome = Outcome(Played(world, [], summarise([], told)))
+    outcome = Outcome(MeshRun(world, [], summarise([], told)))
 
     def look(since: int, name: str) -> None:
         lacking = [one.name for one in world.pilots if _runs(one) and not _holds(one, name)]
@@ -79,21 +79,21 @@
         else:
             outcome.lag = world.loop.now - since
 
-    probe = OrderTroubles._probe_later
+    probe = ChangeFaults._schedule_probes
 
-    def acknowledged(troubles: OrderTroubles, change: Change) -> None:
+    def acknowledged(troubles: ChangeFaults, change: Change) -> None:
         name = change.items[-1][0]
         world.loop.after(SOON, partial(look, world.loop.now, name))
         probe(troubles, change)
 
-    OrderTroubles._probe_later = acknowledged  # type: ignore[method-assign]
+    ChangeFaults._schedule_probes = acknowledged  # type: ignore[method-assign]
     try:
-        records = world.run(faults.schedule(world), faults.over(told))
+        records = world.run(faults.schedule(world), faults.end_time(told))
     finally:
-        OrderTroubles._probe_later = probe  # type: ignore[method-assign]
+        ChangeFaults._schedule_probes = probe  # type: ignore[method-assign]
     names = {machine.ip: machine.name for machine in (*world.core, *world.pilots)}
-    seen = checks.Seen(records, told.limits, names, CALM + int(told.length))
-    outcome.made = Played(world, checks.verdict(seen), summarise(records, told))
+    seen = checks.History(records, told.limits, names, CALM + int(told.length))
+    outcome.made = MeshRun(world, checks.check_history(seen), summarise(records, told))
     return outcome
 
 
@@ -111,13 +111,13 @@
 @pytest.mark.parametrize("content", ["", RANDOM])
 def test_a_large_order_is_in_force_everywhere_when_it_is_acknowledged(content: str) -> None:
     outcome = played(content=content)
-    kept(outcome.made)
+    assert_no_violations(outcome.made)
     assert outcome.behind == [] and outcome.made.worth > 0.97
 
 
 def test_requests_and_small_orders_pass_one_that_takes_the_links_seconds() -> None:
     outcome = played(content=RANDOM, routes=4000, sets=("length=14s",))
-    kept(outcome.made)
+    assert_no_violations(outcome.made)
     assert outcome.behind == [] and outcome.made.worth > 0.9
 
 
@@ -127,7 +127,7 @@
     names = ", ".join(f'"{name}"' for name in on)
     more = f'[[fault]]\nat = "{at}"\nkind = "{kind}"\non = [{names}]\nlasts = "{lasts}"\n{after}'
     outcome = played(more, RANDOM)
-    kept(outcome.made)
+    assert_no_violations(outcome.made)
     assert any(what == "fault" and of[0] == kind for _, what, of in outcome.made.world.records)
     frozen = {"p2"} if kind == "freeze" else set()
     assert set(outcome.behind) <= frozen
@@ -135,7 +135,7 @@
 
 def test_over_a_small_link_between_the_members_of_the_core() -> None:
     outcome = played(content=RANDOM, sets=("core_link=20.0",))
-    kept(outcome.made)
+    assert_no_violations(outcome.made)
     assert outcome.behind == [] and views(outcome) == 1
 
 
