--- a/tests/control/test_membership.py
+++ b/tests/control/test_membership.py
@@ -145,7 +145,7 @@
         for addr in others:
             inc = "n" if addr == learner else "i"
             ping = Ping(
-                inc, 1, 100, 1, addr == learner, reachable=hears, copied=copied if addr == learner else -1
+                inc, 1, 100, 1, addr == learner, reachable=hears, copied_index=copied if addr == learner else -1
             )
             out += self.hear(addr, ping)
             if addr in pings and answers:
--- a/tests/emulator/test_mesh_big_orders.py
+++ b/tests/emulator/test_mesh_big_orders.py
@@ -173,6 +173,6 @@
 
     monkeypatch.setattr(Egress, "_find_route", looked_up)
     monkeypatch.setattr(ConfigFreshness, "is_current", lambda *_: True)
-    monkeypatch.setattr(staging, "STAGED_BYTES", 1 << 40)
+    monkeypatch.setattr(staging, "MIN_STAGED_BYTES", 1 << 40)
     monkeypatch.setattr(message_parts, "LONG", 1 << 40)
     assert "CONFIG" in played(content=RANDOM, routes=3000).made.rules
--- a/tests/proxy/test_ingress.py
+++ b/tests/proxy/test_ingress.py
@@ -373,7 +373,7 @@
 
     def test_streamed_answer_goes_on_past_the_deadline_and_its_end_is_forwarded(self) -> None:
         for outcome, ends in ((Outcome.OK, "finish"), (Outcome.RESET, "cut"), (Outcome.CANCELLED, "cut")):
-            world, connection, sink = self.on_streaming()
+            world, connection, sink = self.begun()
             repeat = world.arrive("k", attempt="t2")
             world.loop.run(60.0)
             self.assertThat(
--- a/tests/proxy/test_snapshot_receiver.py
+++ b/tests/proxy/test_snapshot_receiver.py
@@ -30,7 +30,7 @@
             self.set(n, "plant", f"p{n}", plant(n, 1))
 
     def set(self, index: int, kind: str, name: str, value: Any) -> None:
-        self.log.take(Entry(index, ((kind, name, value), ("key", f"k{index}", ["g", "1"]))))
+        self.log.append(Entry(index, ((kind, name, value), ("key", f"k{index}", ["g", "1"]))))
         self.log.commit(index)
 
     def piece(self, receiver: SnapshotReceiver) -> SnapshotPiece:
--- a/tests/proxy/test_staged_changes.py
+++ b/tests/proxy/test_staged_changes.py
@@ -202,7 +202,7 @@
         self.position, self.sent_all = EMPTY_POSITION, False
         self._log = ReplicaLog(0)
         for at, row in enumerate(rows, index - len(rows) + 1):
-            self._log.take(Entry(at, (row,)))
+            self._log.append(Entry(at, (row,)))
             self._log.commit(at)
 
     def requested_position(self, piece: SnapshotPiece) -> SnapshotPosition:
--- a/tests/proxy/test_streamed_bodies.py
+++ b/tests/proxy/test_streamed_bodies.py
@@ -169,7 +169,7 @@
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     """Forty answers of 20 MiB, of which nothing is read; then one of them is."""
-    monkeypatch.setattr(http_module, "SEND_BUFFER", 16 * KIB)
+    monkeypatch.setattr(http_module, "SEND_BUFFER_BYTES", 16 * KIB)
 
     async def main() -> None:
         written = 0
