--- a/benchmarks/big_orders.py
+++ b/benchmarks/big_orders.py
@@ -87,7 +87,7 @@
     from brackengate.emulator.mesh.ground import RoleProcess
     from brackengate.emulator.mesh.play import Played, summarise
     from brackengate.emulator.mesh.scenario import changed
-    from brackengate.emulator.mesh.world import CALM, World
+    from brackengate.emulator.mesh.world import FIRST_REQUEST_AT_US, World
     from brackengate.emulator.network import DATA, Network
 
     length = 12 + routes // 500
@@ -97,14 +97,14 @@
     text = SCENARIO.format(length=length, rate=rate, routes=routes, content=content, **counts)
     told = changed(text, "big-orders.toml", ())
     world = World(told, 1)
-    core = {machine.ip for machine in world.core}
+    core = {machine.ip for machine in world.control_machines}
     sent = 0
     longest = {True: 0, False: 0}  # nanoseconds; of replicas, of proxies
     acknowledged = last_proxy = -1
     enter, carry = RoleProcess.enter, Network.carry
 
     def running() -> bool:
-        return world.loop.now > CALM + 2_000_000 and min(acknowledged, last_proxy) < 0
+        return world.loop.now > FIRST_REQUEST_AT_US + 2_000_000 and min(acknowledged, last_proxy) < 0
 
     def timed(process: RoleProcess, do: Callable[[], Any]) -> None:
         begun = time.thread_time_ns()
@@ -121,7 +121,7 @@
 
     def look() -> None:
         nonlocal last_proxy
-        if all(_in_force(machine.role, routes - 1) for machine in world.pilots):
+        if all(_in_force(machine.role, routes - 1) for machine in world.proxy_machines):
             last_proxy = world.loop.now
         else:
             world.loop.after(5_000, look)
@@ -129,22 +129,22 @@
     def acked() -> None:
         nonlocal acknowledged
         if not any(len(change.items) == routes for change in world.operators.history):
-            world.operators.acknowledged.append(acked)
+            world.operators.on_next_ack.append(acked)
             return
         acknowledged = world.loop.now
 
-    world.operators.acknowledged.append(acked)
-    world.loop.after(CALM + 2_000_000, look)
+    world.operators.on_next_ack.append(acked)
+    world.loop.after(FIRST_REQUEST_AT_US + 2_000_000, look)
     gc.disable()
     RoleProcess.enter, Network.carry = timed, counted  # type: ignore[method-assign]
     try:
         records = world.run(faults.schedule(world), faults.over(told))
     finally:
         RoleProcess.enter, Network.carry = enter, carry  # type: ignore[method-assign]
-    names = {machine.ip: machine.name for machine in (*world.core, *world.pilots)}
-    seen = checks.Seen(records, told.limits, names, CALM + int(told.length))
+    names = {machine.ip: machine.name for machine in (*world.control_machines, *world.proxy_machines)}
+    seen = checks.Seen(records, told.limits, names, FIRST_REQUEST_AT_US + int(told.length))
     made = Played(world, checks.verdict(seen), summarise(records, told))
-    begun = CALM + 2_000_000
+    begun = FIRST_REQUEST_AT_US + 2_000_000
     return Case(
         routes,
         proxies,
--- a/brackengate/emulator/calls/history.py
+++ b/brackengate/emulator/calls/history.py
@@ -11,7 +11,7 @@
 from typing import Any
 
 from brackengate.emulator.loop import S
-from brackengate.emulator.mesh.talk import Heard
+from brackengate.emulator.mesh.talk import HttpMessage
 
 INBOUND, APPLICATION, OUTBOUND = 8300, 8301, 8304
 SERVICES = ("front", "p", "p", "p", "s")  # beside each proxy
@@ -98,7 +98,7 @@
     """How an attempt ended for its client; microseconds."""
 
     at: int
-    heard: Heard | None
+    heard: HttpMessage | None
     why: str
 
     @property
--- a/brackengate/emulator/calls/machine.py
+++ b/brackengate/emulator/calls/machine.py
@@ -20,7 +20,7 @@
 )
 from brackengate.emulator.calls.upstream import ScriptedUpstream
 from brackengate.emulator.loop import MS, S
-from brackengate.emulator.mesh.ground import RoleProcess, ground_of
+from brackengate.emulator.mesh.ground import RoleProcess, create_environment
 from brackengate.emulator.network import End
 from brackengate.http.body import ByteBudget
 from brackengate.net.sockets import SocketBudget
@@ -108,7 +108,7 @@
         self.process = process
         self.said: dict[End, bytes] = {}  # last, on each connection that came in
         process.accepted = self._looks_on
-        ground = ground_of(process, simulation.loop, simulation.net, rng, 0)
+        ground = create_environment(process, simulation.loop, simulation.net, rng, 0)
         clock = ground.clock
         assert clock is not None
         self.admission = Admission("z", 10**12, 2 * S)
--- a/brackengate/emulator/calls/promises.py
+++ b/brackengate/emulator/calls/promises.py
@@ -64,7 +64,7 @@
         found.append(f"{attempt} is held {held // MS} ms past its time")
     if heard is None:
         return [*found, f"{attempt}: bytes that are no answer"] if ended.why == "no answer" else found
-    if heard.more:
+    if heard.has_trailing_data:
         found.append(f"{attempt}: bytes behind its answer")
     done = seen.done.get(heard.fields.get("x-brackengate-server-seal", ""))
     if done is not None and (done.status != ended.status or done.attempt not in (attempt, first)):
--- a/brackengate/emulator/calls/simulation.py
+++ b/brackengate/emulator/calls/simulation.py
@@ -25,8 +25,8 @@
 )
 from brackengate.emulator.calls.machine import ClaimStore, Machine
 from brackengate.emulator.loop import MS, Loop, S
-from brackengate.emulator.mesh.ground import Ways
-from brackengate.emulator.mesh.talk import Call, Heard, message
+from brackengate.emulator.mesh.ground import MachineNetwork
+from brackengate.emulator.mesh.talk import HttpMessage, HttpRequest, encode_message
 from brackengate.emulator.process import Process
 
 AFTERWARDS = 6 * S  # until whatever was late has come
@@ -35,7 +35,7 @@
 class Simulation:
     def __init__(self, history: History) -> None:
         self.loop, self.seen = Loop(), Observations(history)
-        self.net = Ways(self.loop, random.Random(f"{history.seed}/net"), 700, 700, 0.3)
+        self.net = MachineNetwork(self.loop, random.Random(f"{history.seed}/net"), 700, 700, 0.3)
         self.core = ClaimStore(self, history.core)
         acts = defaultdict[int, tuple[Behaviour, ...]](tuple, dict(history.behaviours))
         self.proxies = [Machine(self, number, acts[number]) for number in range(len(SERVICES))]
@@ -67,21 +67,21 @@
         if asks.key:
             fields["X-Brackengate-Operation-Key"] = asks.key
         method = "GET" if kind == "read" and not asks.size else "POST"
-        data = message(f"{method} /{asks.route}/x HTTP/1.1", fields, b"b" * asks.size)
+        data = encode_message(f"{method} /{asks.route}/x HTTP/1.1", fields, b"b" * asks.size)
         if asks.half:
             data = data[: len(data) * 2 // 3]
         address = (ip_of(asks.proxy), OUTBOUND)
-        Call(self.clients[asks.proxy], address, data, partial(self._ended, attempt), asks.leaves * MS)
+        HttpRequest(self.clients[asks.proxy], address, data, partial(self._ended, attempt), asks.leaves * MS)
 
-    def _ended(self, attempt: str, heard: Heard | None, why: str) -> None:
+    def _ended(self, attempt: str, heard: HttpMessage | None, why: str) -> None:
         self.seen.ended[attempt] = Ended(self.loop.now, heard, why)
 
     def _begin(self, fault: Fault) -> None:
         proxy, over = self.proxies[fault.proxy], partial(self.loop.after, fault.lasts * MS)
         match fault.what:
             case "freeze":
-                proxy.process.freeze()
-                over(proxy.process.thaw)
+                proxy.process.pause()
+                over(proxy.process.resume)
             case "reset":
                 proxy.process.reset()
             case "cut":
--- a/brackengate/emulator/calls/upstream.py
+++ b/brackengate/emulator/calls/upstream.py
@@ -8,7 +8,7 @@
 
 from brackengate.emulator.calls.history import APPLICATION, RUNS, Answer, Behaviour, Run, ip_of
 from brackengate.emulator.loop import MS
-from brackengate.emulator.mesh.talk import Heard, Reader, message
+from brackengate.emulator.mesh.talk import HttpMessage, MessageReader, encode_message
 from brackengate.emulator.network import End
 from brackengate.emulator.process import Process
 
@@ -37,17 +37,17 @@
     def _taken(self, end: End) -> None:
         self._simulation.seen.connections += 1
         self.process.holds(end)
-        reader, owed = Reader(), list[bytes]()
+        reader, owed = MessageReader(), list[bytes]()
 
         def hears(data: bytes) -> None:
-            for heard in reader.take(data):
+            for heard in reader.feed(data):
                 if owed:
                     end.write(owed.pop())  # in the place of the next answer
                 self._asked(end, heard, owed)
 
         end.listen(hears, lambda broken: None)
 
-    def _asked(self, end: End, heard: Heard, owed: list[bytes]) -> None:
+    def _asked(self, end: End, heard: HttpMessage, owed: list[bytes]) -> None:
         fields = heard.fields
         attempt = fields["x-brackengate-attempt-id"]
         act = self._acts.popleft() if self._acts else Behaviour()
@@ -130,7 +130,7 @@
             fields["X-Brackengate-Attempt-Id"] = attempt
         if close:
             fields["Connection"] = "close"
-        return message(f"HTTP/1.1 {status} Said", fields, body)
+        return encode_message(f"HTTP/1.1 {status} Said", fields, body)
 
     def _bare(self, attempt: str, status: int, fields: dict[str, str]) -> bytes:
-        return message(f"HTTP/1.1 {status} Said", {"X-Brackengate-Attempt-Id": attempt, **fields})
+        return encode_message(f"HTTP/1.1 {status} Said", {"X-Brackengate-Attempt-Id": attempt, **fields})
--- a/brackengate/emulator/mesh/disk.py
+++ b/brackengate/emulator/mesh/disk.py
@@ -32,8 +32,8 @@
     def __init__(self, loop: Loop, rng: random.Random, sync: int) -> None:
         """`sync`: microseconds for a commit."""
         self.loop, self._rng, self.sync = loop, rng, sync
-        self.stalled = self.full = 0  # until then
-        self.synced: Callable[[list[Store]], None] = lambda stores: None  # who looks on
+        self.stalled_until = self.full_until = 0  # until then
+        self.on_commit: Callable[[list[Store]], None] = lambda stores: None  # who looks on
         self.writes = 0
         self.wipe()
 
@@ -46,26 +46,28 @@
 
     def begin(self, stores: list[Store], done: Callable[[Exception | None], None]) -> None:
         """`done` is called once it is on the disk, or can't be."""
-        if self.full > self.loop.now:
+        if self.full_until > self.loop.now:
             error = sqlite3.OperationalError("database or disk is full")
             self.loop.after(self.sync, partial(done, error))
             return
         self._under_way = stores
-        takes = max(0, self.stalled - self.loop.now) + int(self.sync * self._rng.uniform(0.8, 1.6))
+        takes = max(0, self.stalled_until - self.loop.now) + int(self.sync * self._rng.uniform(0.8, 1.6))
         self.loop.after(takes, partial(self._sync, self._life, stores, done))
 
     def _sync(self, life: object, stores: list[Store], done: Callable[[Exception | None], None]) -> None:
         if life is not self._life:
             return
-        if self.stalled > self.loop.now:
-            self.loop.after(self.stalled - self.loop.now + self.sync, partial(self._sync, life, stores, done))
+        if self.stalled_until > self.loop.now:
+            self.loop.after(
+                self.stalled_until - self.loop.now + self.sync, partial(self._sync, life, stores, done)
+            )
             return
         self._under_way = None
         self._apply(stores)
         self.loop.after(TOLD, partial(done, None))
-        self.synced(stores)
+        self.on_commit(stores)
 
-    def ends(self, power: bool, all_gone: bool = False) -> None:
+    def crash(self, power: bool, all_gone: bool = False) -> None:
         """The process dies, or the machine loses power: what is under way is there whole, or torn or lost.
 
         Without power it is lost in half of the cases, or in all; else the kernel still has what was written.
@@ -121,16 +123,16 @@
         return msgspec.json.decode(found, type=kind | None) if found is not None else None
 
 
-class EmulatedDrive:
+class ProcessDisk:
     """The disk as one process uses it."""
 
     def __init__(self, disk: EmulatedDisk, process: RoleProcess) -> None:
         self._disk, self._process = disk, process
 
     async def open(self, first: bool) -> StoredState:
-        while self._disk.stalled > self._disk.loop.now:
-            await asyncio.sleep((self._disk.stalled - self._disk.loop.now) / 1e6)
-        if self._disk.full > self._disk.loop.now and self._disk.writes == 0:
+        while self._disk.stalled_until > self._disk.loop.now:
+            await asyncio.sleep((self._disk.stalled_until - self._disk.loop.now) / 1e6)
+        if self._disk.full_until > self._disk.loop.now and self._disk.writes == 0:
             raise sqlite3.OperationalError("database or disk is full")
         return self._disk.read(first)
 
--- a/brackengate/emulator/mesh/faults.py
+++ b/brackengate/emulator/mesh/faults.py
@@ -9,7 +9,7 @@
 from brackengate.emulator.loop import MS, S
 from brackengate.emulator.mesh.people import LostAcks
 from brackengate.emulator.mesh.scenario import ORDERS, Fault, MeshScenario
-from brackengate.emulator.mesh.world import BACK, CALM, Machine, World
+from brackengate.emulator.mesh.world import FIRST_REQUEST_AT_US, RESTART_DELAY_US, Machine, World
 
 SOON_AFTER = (5 * MS, 400 * MS)  # a blow comes so long after an order was sent
 REPLACED = S  # from the loss of a core machine to the start of the next, or from that start to SIGTERM
@@ -19,8 +19,8 @@
 
 def schedule(world: World) -> Iterable[Callable[[], None]]:
     """Times of faults are counted from the first request."""
-    for fault in world.told.fault:
-        yield partial(world.loop.at, CALM + int(fault.at), partial(_begins, world, fault))
+    for fault in world.scenario.fault:
+        yield partial(world.loop.at, FIRST_REQUEST_AT_US + int(fault.at), partial(_begins, world, fault))
 
 
 def over(told: MeshScenario) -> int:
@@ -28,7 +28,7 @@
     ends = [0]
     for fault in told.fault:
         last = int(told.length) if fault.every or fault.after else int(fault.at)
-        ends.append(CALM + last + max(int(fault.lasts), _ends_after(fault)))
+        ends.append(FIRST_REQUEST_AT_US + last + max(int(fault.lasts), _ends_after(fault)))
     return max(ends)
 
 
@@ -39,7 +39,7 @@
 
 
 def _begins(world: World, fault: Fault) -> None:
-    if fault.every and world.loop.now + int(fault.every) < CALM + int(world.told.length):
+    if fault.every and world.loop.now + int(fault.every) < FIRST_REQUEST_AT_US + int(world.scenario.length):
         world.loop.after(int(fault.every), partial(_begins, world, fault))
     if fault.kind == "close":
         _close(world, fault)
@@ -48,15 +48,15 @@
     elif fault.kind in ORDERS:
         _orders(world, fault)
     elif fault.after == "ack":
-        world.operators.acknowledged.append(partial(_strike, world, fault))
-        world.operators.change()
+        world.operators.on_next_ack.append(partial(_strike, world, fault))
+        world.operators.send_valid_change()
     elif fault.after == "sent":
-        world.operators.change()
+        world.operators.send_valid_change()
         wait = int(fault.wait) or world.rng.randrange(*SOON_AFTER)
         world.loop.after(wait, partial(_strike, world, fault))
     elif fault.after == "sync":
         for machine in _named(world, fault.on):
-            machine.disk.synced = partial(_synced, world, fault, machine)
+            machine.disk.on_commit = partial(_synced, world, fault, machine)
     else:
         _strike(world, fault)
 
@@ -65,9 +65,9 @@
     found: dict[Machine, None] = {}
     for name in names:
         if name in ("core", "pilots"):
-            found |= dict.fromkeys(world.listed() if name == "core" else world.pilots)
+            found |= dict.fromkeys(world.current_controls() if name == "core" else world.proxy_machines)
         elif name in ("head", "middle", "tail"):
-            seats = world.seats()
+            seats = world.members_in_order()
             if seats:
                 at = {"head": 0, "middle": len(seats) // 2, "tail": -1}[name]
                 found[world.machine(seats[at])] = None
@@ -76,7 +76,7 @@
             if address is not None:
                 found[world.machine_at(address)] = None
         elif name == "lot":
-            found[world.rng.choice(world.listed())] = None
+            found[world.rng.choice(world.current_controls())] = None
         else:
             found[world.machine(name)] = None
     return list(found)
@@ -105,13 +105,13 @@
 def _synced(world: World, fault: Fault, machine: Machine, stores: list[Store]) -> None:
     """A commit with a claim is on the disk, and its process has not heard of it yet."""
     if any(row[0] == "key" for store in stores for _, row in store.rows):
-        machine.disk.synced = lambda stores: None
+        machine.disk.on_commit = lambda stores: None
         _strike(world, fault, _named(world, fault.to) or [machine])
 
 
 def _strike(world: World, fault: Fault, machines: list[Machine] | None = None) -> None:
     machines = _named(world, fault.on) if machines is None else machines
-    machines = [machine for machine in machines if machine.used and not machine.gone]
+    machines = [machine for machine in machines if machine.started and not machine.removed]
     world.trace("fault", fault.kind, tuple(machine.name for machine in machines))
     if fault.kind == "cut":
         _cut(world, fault, machines)
@@ -126,37 +126,37 @@
     match fault.kind:
         case "kill":
             machine.kill()
-            loop.after(max(BACK, lasts), machine.begin)
+            loop.after(max(RESTART_DELAY_US, lasts), machine.start)
         case "term":
-            machine.term()
+            machine.terminate()
         case "power" | "wipe":
             machine.lose_power(wipe=fault.kind == "wipe", all_gone=all_gone)
-            loop.after(lasts, machine.get_power)
+            loop.after(lasts, machine.restore_power)
         case "freeze":
             process = machine.process
             if process.alive:
                 world.trace("frozen", machine.name)
-                process.freeze()
+                process.pause()
 
                 def wakes() -> None:
                     if process.alive:
                         world.trace("thawed", machine.name)
-                        process.thaw()
+                        process.resume()
 
                 loop.after(lasts, wakes)
         case "stall" | "full":
             until = loop.now + lasts
             if fault.kind == "stall":
-                machine.disk.stalled = max(machine.disk.stalled, until)
+                machine.disk.stalled_until = max(machine.disk.stalled_until, until)
             else:
-                machine.disk.full = max(machine.disk.full, until)
+                machine.disk.full_until = max(machine.disk.full_until, until)
             world.trace("sick", machine.name)
             loop.after(lasts, partial(world.trace, "well", machine.name))
         case "reset":
             world.trace("reset", machine.name)
             machine.process.reset()
         case "clock":
-            machine.off += -int(fault.by) if fault.back else int(fault.by)
+            machine.clock_offset += -int(fault.by) if fault.back else int(fault.by)
             world.trace("clock", machine.name)
         case "reset_conns":
             _reset_some(world, fault, machine, loop.now + lasts)
@@ -167,7 +167,7 @@
         case "crash":
             if machine.upstream is not None:
                 machine.upstream.die()
-                loop.after(max(CRASHED, lasts), machine.new_upstream)
+                loop.after(max(CRASHED, lasts), machine.start_upstream)
         case "replace" | "reuse":
             _leaves(world, machine, fault.kind == "reuse")
 
@@ -175,7 +175,7 @@
 def _loss(world: World, fault: Fault) -> None:
     """On all links: what is lost comes later, as TCP sends it again."""
     world.trace("fault", fault.kind, ())
-    machines = [one.name for one in (*world.core, *world.pilots) if one.used]
+    machines = [one.name for one in (*world.control_machines, *world.proxy_machines) if one.started]
     for on in (True, False):
 
         def turn(on: bool = on) -> None:
@@ -187,7 +187,7 @@
 
 
 def _cut(world: World, fault: Fault, machines: list[Machine]) -> None:
-    others = _named(world, fault.to) or [*world.listed(), *world.pilots]
+    others = _named(world, fault.to) or [*world.current_controls(), *world.proxy_machines]
     pairs = [(one, other) for one in machines for other in others if other not in machines]
     ways = [(one, other) for one, other in pairs] + (
         [] if fault.one_way else [(other, one) for one, other in pairs]
@@ -201,7 +201,7 @@
 
         world.loop.after(0 if on else int(fault.lasts), turn)
     if fault.seeds_first:
-        world.put_seeds_first([machine.name for machine in machines if machine.core])
+        world.put_seeds_first([machine.name for machine in machines if machine.is_control])
     _restarts(world, fault, machines)
 
 
@@ -209,18 +209,18 @@
     """Some machines are restarted during a cut, so that they read the seeds anew."""
     lasts = int(fault.lasts)
     if fault.restart == "others":
-        rest = [one for one in world.pilots if one not in cut_off]
+        rest = [one for one in world.proxy_machines if one not in cut_off]
         for machine in rest[: (len(rest) + 1) // 2]:
             world.loop.after(world.rng.randrange(lasts // 4, lasts // 2), partial(_restart, world, machine))
     elif fault.restart == "both":
-        others = [one for one in world.listed() if one not in cut_off]
+        others = [one for one in world.current_controls() if one not in cut_off]
         for number, machine in enumerate([*cut_off, *others]):
             world.loop.after(lasts // 4 + number * S, partial(_restart, world, machine))
 
 
 def _restart(world: World, machine: Machine) -> None:
     machine.kill()
-    world.loop.after(BACK, machine.begin)
+    world.loop.after(RESTART_DELAY_US, machine.start)
 
 
 def _exchange(world: World, old: Machine) -> None:
@@ -260,37 +260,39 @@
 
 def _spare(world: World, old: Machine) -> Machine | None:
     """An empty machine that may take the place of this one, if it still has one: the longest unused one."""
-    if old not in world.listed():
+    if old not in world.current_controls():
         return None
-    free = [one for one in world.core if one not in world.listed() and not one.process.alive]
-    return min(free, key=lambda one: one.gone_at) if free else None
+    free = [
+        one for one in world.control_machines if one not in world.current_controls() and not one.process.alive
+    ]
+    return min(free, key=lambda one: one.removed_at) if free else None
 
 
 def _comes_new(spare: Machine) -> None:
-    spare.gone = False
+    spare.removed = False
     spare.disk.wipe()
     if not spare.powered:
-        spare.get_power()
-    spare.begin()
+        spare.restore_power()
+    spare.start()
 
 
 def _goes_for_good(world: World, old: Machine) -> None:
     old.lose_power(wipe=True)
     world.trace("removed", old.name)
-    old.gone, old.gone_at = True, world.loop.now
+    old.removed, old.removed_at = True, world.loop.now
 
 
 def _stops_for_good(world: World, old: Machine) -> None:
     """SIGTERM, then its disk goes with it."""
-    old.gone, old.gone_at = True, world.loop.now
-    old.term()
+    old.removed, old.removed_at = True, world.loop.now
+    old.terminate()
     world.trace("removed", old.name)
 
     def ends() -> None:
-        if old.gone:  # it was not started again meanwhile, as an empty machine
+        if old.removed:  # it was not started again meanwhile, as an empty machine
             old.lose_power(wipe=True)
 
-    world.loop.after(int(world.told.limits.grace) + MS, ends)
+    world.loop.after(int(world.scenario.limits.grace) + MS, ends)
 
 
 def _reset_some(world: World, fault: Fault, machine: Machine, until: int) -> None:
@@ -309,21 +311,21 @@
 
     def ended() -> None:
         if reuse:
-            at = world.services.index(machine.plant)
-            machine.next_plant = world.services[(at + 1) % len(world.services)]
-        machine.term()
-        delay = int(world.told.limits.reuse_delay)
-        world.loop.after(delay + 2 * BACK, partial(_comes, world, machine))
+            at = world.services.index(machine.service)
+            machine.next_service = world.services[(at + 1) % len(world.services)]
+        machine.terminate()
+        delay = int(world.scenario.limits.reuse_delay)
+        world.loop.after(delay + 2 * RESTART_DELAY_US, partial(_comes, world, machine))
 
-    upstream.leave(ended)
+    upstream.shut_down(ended)
 
 
 def _comes(world: World, machine: Machine) -> None:
     """Once the pilot that is to be beside it is the new one."""
-    if machine.next_plant != machine.plant and not machine.gone:
+    if machine.next_service != machine.service and not machine.removed:
         world.loop.after(200 * MS, partial(_comes, world, machine))
     elif machine.upstream is None or not machine.upstream.process.alive:
-        machine.new_upstream()
+        machine.start_upstream()
 
 
 def _close(world: World, fault: Fault) -> None:
@@ -331,19 +333,19 @@
 
     def strikes() -> None:
         world.trace("closing", fault.how)
-        core = world.listed()
+        core = world.current_controls()
         lasts = int(fault.lasts) or 500 * MS
         if fault.how == "kill":
-            for machine in (*core, *world.pilots):
+            for machine in (*core, *world.proxy_machines):
                 machine.kill()
-                world.loop.after(lasts, machine.begin)
+                world.loop.after(lasts, machine.start)
             return
         all_gone = world.rng.random() < 0.7
-        wiped = core[: world.told.core.tolerance] if fault.how == "wipe" else []
-        for machine in (*core, *world.pilots):
-            if fault.how == "power" or machine.core:
+        wiped = core[: world.scenario.core.tolerance] if fault.how == "wipe" else []
+        for machine in (*core, *world.proxy_machines):
+            if fault.how == "power" or machine.is_control:
                 machine.lose_power(machine in wiped, all_gone)
-                world.loop.after(lasts, machine.get_power)
+                world.loop.after(lasts, machine.restore_power)
 
     def back() -> None:
         world.trace("back")
@@ -352,5 +354,5 @@
         strikes()
         world.loop.after(int(fault.lasts) or 500 * MS, back)
 
-    world.operators.acknowledged.append(then)
-    world.operators.change()
+    world.operators.on_next_ack.append(then)
+    world.operators.send_valid_change()
--- a/brackengate/emulator/mesh/ground.py
+++ b/brackengate/emulator/mesh/ground.py
@@ -38,7 +38,7 @@
         return int(self._in)
 
 
-class Ways(Network):
+class MachineNetwork(Network):
     """Places are machines, by address.  One without power says nothing, and nothing reaches it."""
 
     def __init__(self, loop: Loop, rng: random.Random, same: int, cross: int, jitter: float) -> None:
@@ -61,7 +61,7 @@
     def cut(self, one: str, other: str) -> bool:
         return (bool(self._off) and (one in self._off or other in self._off)) or super().cut(one, other)
 
-    def bandwidth(self, place: str, mbps: float) -> None:
+    def set_bandwidth(self, place: str, mbps: float) -> None:
         """Of a machine's link, each way; 0: without bound."""
         if mbps:
             self._links[place] = Link(mbps)
@@ -94,7 +94,7 @@
         elif not super().cut(one, other):
             self._since.pop((one, other), None)
 
-    def power(self, place: str, on: bool) -> None:
+    def set_power(self, place: str, on: bool) -> None:
         """What a machine without power had sent and is still held up is lost; its ends break when it is
         back."""
         if not on:
@@ -166,7 +166,7 @@
 class _Datagrams:
     """A process's end for datagrams, as a transport."""
 
-    def __init__(self, net: Ways, here: Address) -> None:
+    def __init__(self, net: MachineNetwork, here: Address) -> None:
         self._net, self._here = net, here
 
     def sendto(self, data: bytes, addr: Address) -> None:
@@ -204,11 +204,11 @@
         finally:
             asyncio._set_running_loop(before)
 
-    def freeze(self) -> None:
+    def pause(self) -> None:
         if self._slept is None:
             self._slept = deque()
 
-    def thaw(self) -> None:
+    def resume(self) -> None:
         slept, self._slept = self._slept or deque(), None
         for do in slept:
             self.enter(do)
@@ -310,7 +310,7 @@
     async def create_datagram_endpoint(
         self, factory: Callable[[], Any], here: Address
     ) -> tuple[_Datagrams, Any]:
-        net = cast(Ways, self._net)
+        net = cast(MachineNetwork, self._net)
         end, protocol = _Datagrams(net, here), factory()
         if here in net.hear:
             raise OSError(98, "the address is taken")
@@ -326,7 +326,9 @@
         return sock.end, protocol
 
 
-def ground_of(process: RoleProcess, loop: Loop, net: Network, rng: random.Random, off: int) -> Environment:
+def create_environment(
+    process: RoleProcess, loop: Loop, net: Network, rng: random.Random, off: int
+) -> Environment:
     """`off`: of the machine's time of day, in microseconds."""
     clock = EmulatedClock(loop, off)
     return Environment(
--- a/brackengate/emulator/mesh/order_troubles.py
+++ b/brackengate/emulator/mesh/order_troubles.py
@@ -108,7 +108,7 @@
         self._outdated([one for one in self._contents() if one])
 
     def _unknown_service(self) -> None:
-        self._operators.send([(self._rng.choice(RACED_ROUTES), ("nobody",))], sound=False)
+        self._operators.send([(self._rng.choice(RACED_ROUTES), ("nobody",))], valid=False)
 
     def _stale_removal(self) -> None:
         """The removal of a route, by a version from before its newest one."""
--- a/brackengate/emulator/mesh/people.py
+++ b/brackengate/emulator/mesh/people.py
@@ -10,10 +10,10 @@
 from typing import Protocol
 
 from brackengate.emulator.loop import MS, Loop, S
-from brackengate.emulator.mesh.ground import Ways
+from brackengate.emulator.mesh.ground import MachineNetwork
 from brackengate.emulator.mesh.order_troubles import OrderTroubles
 from brackengate.emulator.mesh.scenario import MeshScenario, Route
-from brackengate.emulator.mesh.talk import Call, Heard, message
+from brackengate.emulator.mesh.talk import HttpMessage, HttpRequest, encode_message
 from brackengate.emulator.process import Process
 from brackengate.net.sockets import Address
 
@@ -24,31 +24,31 @@
 PROMISES = (408, 421, 429, 503)
 
 
-class Around(Protocol):
+class MeshContext(Protocol):
     loop: Loop
-    net: Ways
-    told: MeshScenario
+    net: MachineNetwork
+    scenario: MeshScenario
     services: list[str]
 
     def trace(self, what: str, *of: object) -> None: ...
 
-    def sides(self) -> Sequence[Side]:
+    def active_proxies(self) -> Sequence[ProxyMachine]:
         """The machines with pilots that there are."""
 
     def probe(self, route: str) -> None:
         """A request that shows which configuration is in force at some machine."""
 
-    def controls(self, late: int) -> list[Address]:
+    def control_addresses(self, late: int) -> list[Address]:
         """The lighthouses, as the operators' list has them, which is so late."""
 
 
-class Side(Protocol):
+class ProxyMachine(Protocol):
     """A machine with a pilot, as callers know it."""
 
     ip: str
     zone: str
-    plant: str
-    offered: bool
+    service: str
+    in_rotation: bool
 
     @property
     def outbound(self) -> Address: ...
@@ -66,7 +66,7 @@
     kind: str
     work: int
     aim: int
-    side: Side
+    side: ProxyMachine
     since: int
     latest: int
     key: str = ""
@@ -75,7 +75,7 @@
 
 
 class Callers:
-    def __init__(self, around: Around, seed: int) -> None:
+    def __init__(self, around: MeshContext, seed: int) -> None:
         self._around, self._loop = around, around.loop
         self._rng = random.Random(f"{seed}/callers")
         self._numbers = self._attempts = 0
@@ -83,44 +83,44 @@
         self._looks: dict[str, int] = {}  # failures in a row, by machine
         self.until = 0
 
-    def begin(self, until: int) -> None:
+    def start(self, until: int) -> None:
         self.until = until
-        for name, route in self._around.told.route.items():
+        for name, route in self._around.scenario.route.items():
             if route.rate > 0:
                 self._next(name, route)
         self._probe()
         self._look()
 
-    def _here(self, side: Side) -> Process:
+    def _here(self, side: ProxyMachine) -> Process:
         found = self._at.get(side.ip)
         if found is None:
             found = self._at[side.ip] = Process(self._loop, self._around.net, side.ip, "clients")
         return found
 
     def _look(self) -> None:
-        for side in self._around.sides():
-            data = message("GET /v1/readiness HTTP/1.1", {"Host": "pilot"})
-            Call(self._here(side), side.readiness, data, partial(self._looked, side), S - MS)
+        for side in self._around.active_proxies():
+            data = encode_message("GET /v1/readiness HTTP/1.1", {"Host": "pilot"})
+            HttpRequest(self._here(side), side.readiness, data, partial(self._looked, side), S - MS)
         if self._loop.now < self.until:
             self._loop.after(LOOK, self._look)
 
-    def _looked(self, side: Side, heard: Heard | None, why: str) -> None:
+    def _looked(self, side: ProxyMachine, heard: HttpMessage | None, why: str) -> None:
         if heard is not None and heard.status == 200:
-            side.offered, self._looks[side.ip] = True, 0
+            side.in_rotation, self._looks[side.ip] = True, 0
             return
         self._looks[side.ip] = self._looks.get(side.ip, 0) + 1
         if self._looks[side.ip] >= 2:
-            side.offered = False
+            side.in_rotation = False
 
-    def _offered(self) -> list[Side]:
+    def _offered(self) -> list[ProxyMachine]:
         """The machines whose clients get work: those that are ready, and all of a zone in which fewer than
         half are."""
-        zones: dict[str, list[Side]] = {}
-        for side in self._around.sides():
+        zones: dict[str, list[ProxyMachine]] = {}
+        for side in self._around.active_proxies():
             zones.setdefault(side.zone, []).append(side)
-        found: list[Side] = []
+        found: list[ProxyMachine] = []
         for sides in zones.values():
-            ready = [side for side in sides if side.offered]
+            ready = [side for side in sides if side.in_rotation]
             found += ready if 2 * len(ready) >= len(sides) else sides
         return found
 
@@ -160,7 +160,7 @@
                 self._probe()
                 self.probe(f"x{self._rng.randrange(4)}")
 
-        self._loop.after(int(self._rng.expovariate(self._around.told.operators.probes) * 1e6), comes)
+        self._loop.after(int(self._rng.expovariate(self._around.scenario.operators.probes) * 1e6), comes)
 
     def _try(self, asked: Asked) -> None:
         asked.tries += 1
@@ -179,12 +179,12 @@
             fields["X-Brackengate-Operation-Key"] = asked.key
         sent = f"{method} {target} {body.decode()}"
         self._around.trace(
-            "asked", attempt, asked.number, asked.route, asked.kind, asked.key, side.ip, side.plant, sent
+            "asked", attempt, asked.number, asked.route, asked.kind, asked.key, side.ip, side.service, sent
         )
-        data = message(f"{method} {target} HTTP/1.1", fields, body)
-        Call(self._here(side), side.outbound, data, partial(self._ended, asked, attempt), left)
+        data = encode_message(f"{method} {target} HTTP/1.1", fields, body)
+        HttpRequest(self._here(side), side.outbound, data, partial(self._ended, asked, attempt), left)
 
-    def _ended(self, asked: Asked, attempt: str, heard: Heard | None, why: str) -> None:
+    def _ended(self, asked: Asked, attempt: str, heard: HttpMessage | None, why: str) -> None:
         trace, now = self._around.trace, self._loop.now
         if heard is None:
             trace("ended", attempt, why, "", "", False)
@@ -192,7 +192,7 @@
         else:
             status, fields = heard.status, heard.fields
             seal, body = fields.get("x-brackengate-server-seal", ""), heard.body.decode("latin-1")
-            trace("ended", attempt, status, seal, body, heard.more)
+            trace("ended", attempt, status, seal, body, heard.has_trailing_data)
             after = int(float(fields.get("retry-after", "0")) * 1e6)
         if 200 <= status < 300:
             trace("served", asked.number, asked.route, now - asked.since, asked.aim)
@@ -212,8 +212,10 @@
         """The same operation again, from another zone: after a good answer, or after all tries."""
         if not asked.key or self._rng.random() >= asked.again:
             return
-        others = [one for one in self._around.sides() if one.offered and one.zone != asked.side.zone]
-        others = others or [one for one in self._around.sides() if one.offered]
+        others = [
+            one for one in self._around.active_proxies() if one.in_rotation and one.zone != asked.side.zone
+        ]
+        others = others or [one for one in self._around.active_proxies() if one.in_rotation]
         wait = int(self._rng.uniform(0.05, 12.0) * 1e6)
         if not others or self._loop.now + wait >= self.until:
             return
@@ -240,7 +242,7 @@
     number: int
     body: bytes
     items: list[tuple[str, int, tuple[str, ...]]]  # route, version, services; none: dropped
-    sound: bool = True
+    valid: bool = True
     tries: int = 0
     odd: int = 0  # other 4xx
     unheard: list[Address] = field(default_factory=list)  # machines whose acknowledgement was lost
@@ -261,29 +263,29 @@
 class Operators:
     """Two who change the configuration; one reads it back at the end."""
 
-    def __init__(self, around: Around, seed: int) -> None:
+    def __init__(self, around: MeshContext, seed: int) -> None:
         self._around, self.loop = around, around.loop
         self.trace, self.services = around.trace, around.services
-        self.probe, self.apply_time = around.probe, int(around.told.limits.apply_time)
+        self.probe, self.apply_time = around.probe, int(around.scenario.limits.apply_time)
         self._rng = random.Random(f"{seed}/operators")
-        around.net.zones["operators"] = around.told.zones[0]
+        around.net.zones["operators"] = around.scenario.zones[0]
         self._process = Process(around.loop, around.net, "operators", "operators")
         self._changes = 0
         self._versions: dict[str, int] = {}
         self._used: dict[str, set[int]] = {}  # all versions that orders were sent under, by route
-        self.acknowledged: list[Callable[[], None]] = []  # called once, at the next acknowledgement
-        self.sent: list[Callable[[], None]] = []  # called once, at the next sending of a sound change
+        self.on_next_ack: list[Callable[[], None]] = []  # called once, at the next acknowledgement
+        self.on_next_send: list[Callable[[], None]] = []  # called once, at the next sending of a valid change
         self.lost_acks = LostAcks()
-        self.history: list[Change] = []  # sound changes that were acknowledged, the oldest first
+        self.history: list[Change] = []  # valid changes that were acknowledged, the oldest first
         self.answered_by: Address | None = None  # who answered an order last
         self.troubles = OrderTroubles(self, random.Random(f"{seed}/order troubles"))
         self._lots = random.Random(f"{seed}/lost acks")
         self.until = 0
 
-    def begin(self, until: int) -> None:
+    def start(self, until: int) -> None:
         """The first configuration, and then what the scenario says."""
         self.until = until
-        told = self._around.told
+        told = self._around.scenario
         plants = [
             {"Name": name, "HealthPath": "/health", "ConnLimit": 110, "Revision": "r1"}
             for name in self._around.services
@@ -295,7 +297,7 @@
             self.loop.after(5 * S, self._next)
 
     def _next(self) -> None:
-        told = self._around.told.operators
+        told = self._around.scenario.operators
         if self.loop.now >= self.until:
             return
         self.loop.after(int(self._rng.uniform(0.5, 1.5) * int(told.every)), self._next)
@@ -303,15 +305,15 @@
         if self._rng.random() < told.race:
             self._change()
 
-    def change(self) -> None:
-        """One that is sound."""
-        name = self._rng.choice(list(self._around.told.route))
+    def send_valid_change(self) -> None:
+        """One that is valid."""
+        name = self._rng.choice(list(self._around.scenario.route))
         self.send([(name, (self._rng.choice(self._around.services),))])
 
     def _change(self) -> None:
-        rng, told = self._rng, self._around.told
+        rng, told = self._rng, self._around.scenario
         if rng.random() < float(told.operators.invalid):
-            self.send([(rng.choice(list(told.route)), ("nobody",))], sound=False)
+            self.send([(rng.choice(list(told.route)), ("nobody",))], valid=False)
             return
         what = rng.random()
         if what < 0.5:
@@ -327,7 +329,7 @@
         routes: Iterable[tuple[str, tuple[str, ...]]],
         plants: list[dict[str, object]] | None = None,
         limits: dict[str, object] | None = None,
-        sound: bool = True,
+        valid: bool = True,
         version: int = 0,
         removed_plants: Sequence[tuple[str, int]] = (),
         avoid: Address | None = None,
@@ -342,14 +344,14 @@
         items: list[tuple[str, int, tuple[str, ...]]] = []
         for name, services in routes:
             number = version or self.next_version(name)
-            if sound:
+            if valid:
                 self._versions[name] = max(number, self._versions.get(name, 0))
             items.append((name, number, services))
             self._used.setdefault(name, set()).add(number)
             if not services:
                 removed.append({"Name": name, "Revision": f"r{number}"})
                 continue
-            told = self._around.told.route.get(name)
+            told = self._around.scenario.route.get(name)
             path: dict[str, object] = {
                 "Name": name,
                 "PathPrefix": f"/{name}/",
@@ -377,12 +379,12 @@
             remove["Plants"] = [{"Name": name, "Revision": f"r{number}"} for name, number in removed_plants]
         body = json.dumps({"Apply": call, "Remove": remove}).encode()
         self._changes += 1
-        change = Change(self._changes, body, items, sound, avoid=avoid, done=done)
+        change = Change(self._changes, body, items, valid, avoid=avoid, done=done)
         for name, number, services in items:
-            self.trace("offers", change.number, name, number, services, sound)
+            self.trace("offers", change.number, name, number, services, valid)
         self._try(change)
-        if sound:
-            _call_all(self.sent)
+        if valid:
+            _call_all(self.on_next_send)
         return change
 
     def next_version(self, name: str) -> int:
@@ -405,19 +407,19 @@
 
     def _try(self, change: Change) -> None:
         change.tries += 1
-        addresses = self._around.controls(int(self._around.told.operators.late))
+        addresses = self._around.control_addresses(int(self._around.scenario.operators.late))
         avoided = [*change.unheard, change.avoid] if change.tries == 1 else change.unheard
         address = self._rng.choice([one for one in addresses if one not in avoided] or addresses)
-        data = message(
+        data = encode_message(
             "POST /v1/rpc?call=config.amend HTTP/1.1",
             {"Host": "core", "Content-Type": "application/json"},
             change.body,
         )
         self.trace("sends", change.number, address[0])
         change.address = address
-        Call(self._process, address, data, partial(self._ended, change, address), S)
+        HttpRequest(self._process, address, data, partial(self._ended, change, address), S)
 
-    def _ended(self, change: Change, address: Address, heard: Heard | None, why: str) -> None:
+    def _ended(self, change: Change, address: Address, heard: HttpMessage | None, why: str) -> None:
         status = heard.status if heard is not None else 0
         self.trace("said", change.number, status)
         if heard is not None:
@@ -442,10 +444,10 @@
 
     def _acknowledged(self, change: Change) -> None:
         self.trace("acked", change.number)
-        if change.sound and not change.acked:
+        if change.valid and not change.acked:
             self.history.append(change)
         change.acked = True
-        _call_all(self.acknowledged)
+        _call_all(self.on_next_ack)
         done, change.done = change.done, None
         if done is not None:
             done(change)
@@ -455,11 +457,11 @@
         first = self.loop.now
 
         def ask() -> None:
-            data = message("POST /v1/rpc?call=config.read HTTP/1.1", {"Host": "core"})
-            address, since = self._rng.choice(self._around.controls(0)), self.loop.now
-            Call(self._process, address, data, partial(done, since), S)
+            data = encode_message("POST /v1/rpc?call=config.read HTTP/1.1", {"Host": "core"})
+            address, since = self._rng.choice(self._around.control_addresses(0)), self.loop.now
+            HttpRequest(self._process, address, data, partial(done, since), S)
 
-        def done(since: int, heard: Heard | None, why: str) -> None:
+        def done(since: int, heard: HttpMessage | None, why: str) -> None:
             if heard is not None and heard.status == 200:
                 held: list[tuple[str, int, tuple[str, ...]]] = []
                 for host in json.loads(heard.body).get("Hosts", []):
--- a/brackengate/emulator/mesh/play.py
+++ b/brackengate/emulator/mesh/play.py
@@ -6,7 +6,7 @@
 from brackengate.emulator.checks import Broken, Record
 from brackengate.emulator.mesh import checks, faults
 from brackengate.emulator.mesh.scenario import MeshScenario
-from brackengate.emulator.mesh.world import CALM, World
+from brackengate.emulator.mesh.world import FIRST_REQUEST_AT_US, World
 
 
 class Played:
@@ -41,8 +41,8 @@
 def play(told: MeshScenario, seed: int) -> Played:
     world = World(told, seed)
     records = world.run(faults.schedule(world), faults.over(told))
-    names = {machine.ip: machine.name for machine in (*world.core, *world.pilots)}
-    seen = checks.Seen(records, told.limits, names, CALM + int(told.length))
+    names = {machine.ip: machine.name for machine in (*world.control_machines, *world.proxy_machines)}
+    seen = checks.Seen(records, told.limits, names, FIRST_REQUEST_AT_US + int(told.length))
     return Played(world, checks.verdict(seen), summarise(records, told))
 
 
--- a/brackengate/emulator/mesh/talk.py
+++ b/brackengate/emulator/mesh/talk.py
@@ -11,51 +11,55 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Heard:
+class HttpMessage:
     """One message: its first line, fields by lower-case name, body; and whether bytes came behind it."""
 
-    first: str
+    start_line: str
     fields: dict[str, str]
     body: bytes
-    more: bool = False
+    has_trailing_data: bool = False
 
     @property
     def status(self) -> int:
-        return int(self.first.split()[1])
+        return int(self.start_line.split()[1])
 
 
-class Unreadable(Exception):
+class InvalidMessage(Exception):
     """Bytes that are no message."""
 
 
-class Reader:
+class MessageReader:
     def __init__(self) -> None:
         self._held = b""
 
-    def take(self, data: bytes) -> list[Heard]:
+    def feed(self, data: bytes) -> list[HttpMessage]:
         """The messages that are whole by now."""
         self._held += data
-        found: list[Heard] = []
+        found: list[HttpMessage] = []
         while (end := self._held.find(b"\r\n\r\n")) >= 0:
             first, *lines = self._held[:end].decode("latin-1").split("\r\n")
             fields = {name.lower(): value.strip() for name, _, value in (x.partition(":") for x in lines)}
             length = fields.get("content-length", "0")
             if not length.isdigit() or "transfer-encoding" in fields or len(first.split()) < 2:
-                raise Unreadable(first)
+                raise InvalidMessage(first)
             until = end + 4 + int(length)
             if len(self._held) < until:
                 break
             body, self._held = self._held[end + 4 : until], self._held[until:]
-            found.append(Heard(first, fields, body, bool(self._held)))
+            found.append(HttpMessage(first, fields, body, bool(self._held)))
         return found
 
 
-def message(first: str, fields: dict[str, str], body: bytes = b"") -> bytes:
-    lines = [first, *(f"{name}: {value}" for name, value in fields.items()), f"Content-Length: {len(body)}"]
+def encode_message(start_line: str, fields: dict[str, str], body: bytes = b"") -> bytes:
+    lines = [
+        start_line,
+        *(f"{name}: {value}" for name, value in fields.items()),
+        f"Content-Length: {len(body)}",
+    ]
     return "\r\n".join(lines).encode("latin-1") + b"\r\n\r\n" + body
 
 
-class Call:
+class HttpRequest:
     """One request on a connection of its own.  `done` gets the answer, or None and why there is none."""
 
     def __init__(
@@ -63,13 +67,13 @@
         process: Process,
         address: Address,
         data: bytes,
-        done: Callable[[Heard | None, str], None],
+        done: Callable[[HttpMessage | None, str], None],
         within: int,
         stands_within: int = 1_000_000,
     ) -> None:
         """`within`, `stands_within`: microseconds for the whole, and for the connection."""
-        self._done: Callable[[Heard | None, str], None] | None = done
-        self._data, self._reader = data, Reader()
+        self._done: Callable[[HttpMessage | None, str], None] | None = done
+        self._data, self._reader = data, MessageReader()
         self._end: End | None = None
         process.call_later(within / 1e6, self._over, None, "time")
         process.call_later(min(within, stands_within) / 1e6, self._late)
@@ -91,14 +95,14 @@
 
     def _hears(self, data: bytes) -> None:
         try:
-            found = self._reader.take(data)
-        except Unreadable:
+            found = self._reader.feed(data)
+        except InvalidMessage:
             self._over(None, "no answer")
             return
         if found:
             self._over(found[0], "")
 
-    def _over(self, heard: Heard | None, why: str) -> None:
+    def _over(self, heard: HttpMessage | None, why: str) -> None:
         done, self._done = self._done, None
         if done is not None:
             if self._end is not None:
--- a/brackengate/emulator/mesh/upstream.py
+++ b/brackengate/emulator/mesh/upstream.py
@@ -10,9 +10,15 @@
 from functools import partial
 
 from brackengate.emulator.loop import MS, Loop, S
-from brackengate.emulator.mesh.ground import Ways
+from brackengate.emulator.mesh.ground import MachineNetwork
 from brackengate.emulator.mesh.scenario import Service
-from brackengate.emulator.mesh.talk import Call, Heard, Reader, Unreadable, message
+from brackengate.emulator.mesh.talk import (
+    HttpMessage,
+    HttpRequest,
+    InvalidMessage,
+    MessageReader,
+    encode_message,
+)
 from brackengate.emulator.network import End
 from brackengate.emulator.process import Process
 from brackengate.net.sockets import Address
@@ -26,7 +32,7 @@
 @dataclass(eq=False, slots=True)
 class Work:
     end: End
-    heard: Heard
+    heard: HttpMessage
     latest: int
     over: bool = False
 
@@ -35,7 +41,7 @@
     def __init__(
         self,
         loop: Loop,
-        net: Ways,
+        net: MachineNetwork,
         rng: random.Random,
         trace: Callable[..., None],
         id_: str,
@@ -46,7 +52,7 @@
         feedback: int,
         drain: int,
     ) -> None:
-        self._loop, self._rng, self._trace, self.id, self.plant = loop, rng, trace, id_, plant
+        self._loop, self._rng, self._trace, self.id, self.service = loop, rng, trace, id_, plant
         self._told, self._control, self._feedback, self._drain = told, control, feedback, drain
         self._address, self._zone = address, net.zones[address[0]]
         self.process = Process(loop, net, address[0], id_)
@@ -61,7 +67,7 @@
 
     # --- its life
 
-    def leave(self, ended: Callable[[], None]) -> None:
+    def shut_down(self, ended: Callable[[], None]) -> None:
         """Drain, say so, end; then `ended`."""
         if self.state == "ready" and self.process.alive:
             self.state, self._ended = "draining", ended
@@ -86,7 +92,7 @@
         draining = self.state == "draining"
         warm = max(0, self._started + COLD - self._loop.now)
         beat = {
-            "Plant": self.plant,
+            "Plant": self.service,
             "Address": f"{self._address[0]}:{self._address[1]}",
             "Zone": self._zone,
             "Revision": "v1",
@@ -96,7 +102,7 @@
             "CallCount": self._beats,
         }
 
-        def done(heard: Heard | None, why: str) -> None:
+        def done(heard: HttpMessage | None, why: str) -> None:
             if heard is None or not 200 <= heard.status < 300:
                 self.process.call_later(AGAIN / 1e6, partial(self._say_beat, then))
                 return
@@ -111,22 +117,22 @@
     def _say_leave(self) -> None:
         self._call("instances.leave", b"{}", lambda heard, why: self._end())
 
-    def _call(self, name: str, body: bytes, done: Callable[[Heard | None, str], None]) -> None:
+    def _call(self, name: str, body: bytes, done: Callable[[HttpMessage | None, str], None]) -> None:
         first = f"POST /v1/rpc?call={name}&of={self.id} HTTP/1.1"
-        data = message(first, {"Host": "pilot", "Content-Type": "application/json"}, body)
-        Call(self.process, self._control, data, done, S)
+        data = encode_message(first, {"Host": "pilot", "Content-Type": "application/json"}, body)
+        HttpRequest(self.process, self._control, data, done, S)
 
     # --- its work
 
     def _taken(self, end: End) -> None:
         self.process.holds(end)
-        reader = Reader()
+        reader = MessageReader()
         held: list[Work] = []
 
         def hears(data: bytes) -> None:
             try:
-                found = reader.take(data)
-            except Unreadable:
+                found = reader.feed(data)
+            except InvalidMessage:
                 end.close()
                 return
             for one in found:
@@ -138,7 +144,7 @@
 
         end.listen(hears, ends)
 
-    def _asked(self, end: End, heard: Heard) -> Work:
+    def _asked(self, end: End, heard: HttpMessage) -> Work:
         fields = heard.fields
         left = int(fields.get("x-brackengate-deadline-ms", "1000"))
         work = Work(end, heard, self._loop.now + left * MS)
@@ -146,7 +152,7 @@
         if fields.get("x-brackengate-target-instance", self.id) != self.id:
             self._answer(work, 421, unrun=True)
             return work
-        self._trace("arrived", self.id, self.plant, attempt)
+        self._trace("arrived", self.id, self.service, attempt)
         if self._busy < self._told.slots:
             self._run(work)
         elif len(self._line) < self._told.room:
@@ -156,12 +162,12 @@
         return work
 
     def _run(self, work: Work) -> None:
-        fields, method, target = work.heard.fields, *work.heard.first.split()[:2]
+        fields, method, target = work.heard.fields, *work.heard.start_line.split()[:2]
         attempt = fields.get("x-brackengate-attempt-id", "")
         key, caller = (fields.get(f"x-brackengate-{x}", "") for x in ("operation-key", "caller-service"))
         self._busy += 1
         body = work.heard.body.decode("latin-1")
-        self._trace("ran", self.id, self.plant, attempt, key, caller, f"{method} {target} {body}")
+        self._trace("ran", self.id, self.service, attempt, key, caller, f"{method} {target} {body}")
         named = target.split("/")[2] if target.count("/") > 2 else ""
         takes = int(named) if named.isdigit() else 20 * MS
         cold = max(0.0, 1 - (self._loop.now - self._started) / COLD)
@@ -206,6 +212,6 @@
             said["X-Brackengate-Not-Executed"] = "1"
         if self.state == "draining":
             said["Connection"] = "close"
-        work.end.write(message(f"HTTP/1.1 {status} Said", said, body))
+        work.end.write(encode_message(f"HTTP/1.1 {status} Said", said, body))
         if self.state == "draining":
             work.end.close()
--- a/tests/emulator/test_mesh_big_orders.py
+++ b/tests/emulator/test_mesh_big_orders.py
@@ -19,7 +19,7 @@
 from brackengate.emulator.mesh.people import Change
 from brackengate.emulator.mesh.play import Played, summarise
 from brackengate.emulator.mesh.scenario import changed
-from brackengate.emulator.mesh.world import CALM, Machine, World
+from brackengate.emulator.mesh.world import FIRST_REQUEST_AT_US, Machine, World
 from brackengate.protocol import message_parts
 from brackengate.proxy.egress import Egress
 from brackengate.proxy.freshness import ConfigFreshness
@@ -71,7 +71,7 @@
     outcome = Outcome(Played(world, [], summarise([], told)))
 
     def look(since: int, name: str) -> None:
-        lacking = [one.name for one in world.pilots if _runs(one) and not _holds(one, name)]
+        lacking = [one.name for one in world.proxy_machines if _runs(one) and not _holds(one, name)]
         if world.loop.now - since >= SOON and not outcome.behind:
             outcome.behind = lacking
         if lacking and world.loop.now < since + 8 * S:
@@ -91,8 +91,8 @@
         records = world.run(faults.schedule(world), faults.over(told))
     finally:
         OrderTroubles._probe_later = probe  # type: ignore[method-assign]
-    names = {machine.ip: machine.name for machine in (*world.core, *world.pilots)}
-    seen = checks.Seen(records, told.limits, names, CALM + int(told.length))
+    names = {machine.ip: machine.name for machine in (*world.control_machines, *world.proxy_machines)}
+    seen = checks.Seen(records, told.limits, names, FIRST_REQUEST_AT_US + int(told.length))
     outcome.made = Played(world, checks.verdict(seen), summarise(records, told))
     return outcome
 
@@ -141,7 +141,7 @@
 
 def views(outcome: Outcome) -> int:
     """The newest view that was agreed."""
-    roles = [machine.role for machine in outcome.made.world.core]
+    roles = [machine.role for machine in outcome.made.world.control_machines]
     return max(role.replica.agreement.view.epoch for role in roles if isinstance(role, ControlReplica))
 
 
--- a/tests/emulator/test_mesh_hard.py
+++ b/tests/emulator/test_mesh_hard.py
@@ -77,11 +77,11 @@
     kept(made)
     records = made.world.records
     struck = {of[0] for _, what, of in records if what == "fault"}
-    assert struck == {one.kind for one in made.world.told.fault if one.kind != "close"}
+    assert struck == {one.kind for one in made.world.scenario.fault if one.kind != "close"}
     assert any(what == "closing" for _, what, _ in records) == name.startswith("closing")
     assert made.worth > 0.7
     last = max(when for when, what, _ in records if what == "served")
-    assert last > (world.CALM + int(made.world.told.length)) - 2_000_000  # it serves again
+    assert last > (world.FIRST_REQUEST_AT_US + int(made.world.scenario.length)) - 2_000_000  # it serves again
 
 
 def test_a_claim_whose_claimant_is_lost_is_answered_and_not_run() -> None:
--- a/tests/emulator/test_mesh_leases.py
+++ b/tests/emulator/test_mesh_leases.py
@@ -12,7 +12,7 @@
 from brackengate.control.follower_connections import Follower, FollowerConnections
 from brackengate.emulator.mesh import checks, faults
 from brackengate.emulator.mesh.scenario import changed
-from brackengate.emulator.mesh.world import CALM, World
+from brackengate.emulator.mesh.world import FIRST_REQUEST_AT_US, World
 from brackengate.protocol.message_parts import EncodedMessage, decompress
 from brackengate.protocol.messages import ControlReplicas, Message, Redirect
 
@@ -34,7 +34,7 @@
 
     def note(self: FollowerConnections, follower: Follower, word: Message) -> None:
         member = self._replica.me.partition(":")[0]
-        told.append((world.loop.now - CALM, member, follower.connection.peer, word))
+        told.append((world.loop.now - FIRST_REQUEST_AT_US, member, follower.connection.peer, word))
 
     def said(self: FollowerConnections, follower: Follower, word: Message) -> None:
         note(self, follower, word)
@@ -50,10 +50,12 @@
     monkeypatch.setattr(FollowerConnections, "_send", said)
     monkeypatch.setattr(FollowerConnections, "_send_encoded", said_encoded)
     world.seeds = ["l0", "l1", "l2"]
-    world.loop.at(CALM + 7 * S, lambda: setattr(world, "seeds", ["l0"]))
-    records = world.run(faults.schedule(world), faults.over(world.told))
-    names = {machine.ip: machine.name for machine in (*world.core, *world.pilots)}
-    seen = checks.Seen(records, world.told.limits, names, CALM + int(world.told.length))
+    world.loop.at(FIRST_REQUEST_AT_US + 7 * S, lambda: setattr(world, "seeds", ["l0"]))
+    records = world.run(faults.schedule(world), faults.over(world.scenario))
+    names = {machine.ip: machine.name for machine in (*world.control_machines, *world.proxy_machines)}
+    seen = checks.Seen(
+        records, world.scenario.limits, names, FIRST_REQUEST_AT_US + int(world.scenario.length)
+    )
     assert [word for one in checks.verdict(seen) for word in one.words] == []
     return world, told
 
--- a/tests/emulator/test_mesh_worst_days.py
+++ b/tests/emulator/test_mesh_worst_days.py
@@ -59,14 +59,14 @@
     made = played(f"{name}.toml")
     kept(made)
     struck = {of[0] for _, what, of in made.world.records if what == "fault"}
-    assert struck == {one.kind for one in made.world.told.fault}
+    assert struck == {one.kind for one in made.world.scenario.fault}
 
 
 def members(made: Played) -> set[str]:
     """The machines of the newest view at the end."""
-    roles = [one.role for one in made.world.core if isinstance(one.role, ControlReplica)]
+    roles = [one.role for one in made.world.control_machines if isinstance(one.role, ControlReplica)]
     view = max((role.replica.agreement.view for role in roles), key=lambda view: view.epoch)
-    names = {one.ip: one.name for one in made.world.core}
+    names = {one.ip: one.name for one in made.world.control_machines}
     return {names[member.addr.partition(":")[0]] for member in view.members}
 
 
@@ -74,7 +74,7 @@
     made = first_faults("replace-unplanned", 2, 24)
     records = made.world.records
     removed = [str(of[0]) for _, what, of in records if what == "removed"]
-    assert len(removed) == 2 and not set(removed) & {one.name for one in made.world.listed()}
+    assert len(removed) == 2 and not set(removed) & {one.name for one in made.world.current_controls()}
     assert len(members(made)) == 3 and not set(removed) & members(made)
 
 
--- a/tests/proxy/test_shutdown_plan.py
+++ b/tests/proxy/test_shutdown_plan.py
@@ -9,7 +9,7 @@
 from brackengate.emulator.mesh import faults
 from brackengate.emulator.mesh.play import play
 from brackengate.emulator.mesh.scenario import changed
-from brackengate.emulator.mesh.world import CALM, World
+from brackengate.emulator.mesh.world import FIRST_REQUEST_AT_US, World
 from brackengate.proxy.shutdown_plan import ShutdownPlan
 
 MESH = Path(__file__).parent.parent.parent / "examples" / "lab" / "mesh"
@@ -80,11 +80,11 @@
     seen: list[tuple[bool, bool, bool]] = []
 
     def look() -> None:
-        role = world.pilots[0].role
+        role = world.proxy_machines[0].role
         seen.append((role._egress_server.draining, role.admission.closed, role._ingress_server.draining))
 
-    begun = CALM + 2 * S
-    world.loop.after(begun, lambda: world.pilots[0].role.stop())
+    begun = FIRST_REQUEST_AT_US + 2 * S
+    world.loop.after(begun, lambda: world.proxy_machines[0].role.stop())
     for at in range(100 * MS, 3 * S, 100 * MS):
         world.loop.after(begun + at, look)
     world.run(faults.schedule(world), faults.over(scenario))
