--- a/brackengate/emulator/mesh/__init__.py
+++ b/brackengate/emulator/mesh/__init__.py
@@ -1,1 +1,1 @@
-"""The mesh in simulated time: pilots and lighthouses as they are, on emulated machines."""
+"""Simulates a whole mesh in virtual time: unmodified proxies and control replicas on emulated machines."""
--- a/brackengate/emulator/mesh/faults.py
+++ b/brackengate/emulator/mesh/faults.py
@@ -130,7 +130,7 @@
         case "term":
             machine.terminate()
         case "power" | "wipe":
-            machine.lose_power(wipe=fault.kind == "wipe", all_gone=all_gone)
+            machine.lose_power(wipe=fault.kind == "wipe", lose_unsynced=all_gone)
             loop.after(lasts, machine.restore_power)
         case "freeze":
             process = machine.process
--- a/brackengate/emulator/mesh/talk.py
+++ b/brackengate/emulator/mesh/talk.py
@@ -1,4 +1,4 @@
-"""As much of HTTP/1.1 as the models speak: whole messages with a length."""
+"""The part of HTTP/1.1 that the models of clients and upstreams use: messages with a Content-Length."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 @dataclass(frozen=True, slots=True)
 class HttpMessage:
-    """One message: its first line, fields by lower-case name, body; and whether bytes came behind it."""
+    """A message: start line, header fields by lower-case name, body, and whether more bytes followed it."""
 
     start_line: str
     fields: dict[str, str]
@@ -21,36 +21,45 @@
 
     @property
     def status(self) -> int:
+        """Status code of a response."""
         return int(self.start_line.split()[1])
 
 
 class InvalidMessage(Exception):
-    """Bytes that are no message."""
+    """Raised for bytes that are not a valid message."""
 
 
 class MessageReader:
+    """Splits the byte stream of a connection into messages."""
+
     def __init__(self) -> None:
-        self._held = b""
+        self._buffer = b""
 
     def feed(self, data: bytes) -> list[HttpMessage]:
-        """The messages that are whole by now."""
-        self._held += data
+        """Adds received data and returns the messages that are now complete.
+
+        Raises InvalidMessage for a message without a usable length or start line.
+        """
+        self._buffer += data
         found: list[HttpMessage] = []
-        while (end := self._held.find(b"\r\n\r\n")) >= 0:
-            first, *lines = self._held[:end].decode("latin-1").split("\r\n")
-            fields = {name.lower(): value.strip() for name, _, value in (x.partition(":") for x in lines)}
+        while (end := self._buffer.find(b"\r\n\r\n")) >= 0:
+            start_line, *lines = self._buffer[:end].decode("latin-1").split("\r\n")
+            fields = {
+                name.lower(): value.strip() for name, _, value in (line.partition(":") for line in lines)
+            }
             length = fields.get("content-length", "0")
-            if not length.isdigit() or "transfer-encoding" in fields or len(first.split()) < 2:
-                raise InvalidMessage(first)
-            until = end + 4 + int(length)
-            if len(self._held) < until:
+            if not length.isdigit() or "transfer-encoding" in fields or len(start_line.split()) < 2:
+                raise InvalidMessage(start_line)
+            message_end = end + 4 + int(length)
+            if len(self._buffer) < message_end:
                 break
-            body, self._held = self._held[end + 4 : until], self._held[until:]
-            found.append(HttpMessage(first, fields, body, bool(self._held)))
+            body, self._buffer = self._buffer[end + 4 : message_end], self._buffer[message_end:]
+            found.append(HttpMessage(start_line, fields, body, bool(self._buffer)))
         return found
 
 
 def encode_message(start_line: str, fields: dict[str, str], body: bytes = b"") -> bytes:
+    """Returns the bytes of a message, with its Content-Length."""
     lines = [
         start_line,
         *(f"{name}: {value}" for name, value in fields.items()),
@@ -60,7 +69,7 @@
 
 
 class HttpRequest:
-    """One request on a connection of its own.  `done` gets the answer, or None and why there is none."""
+    """A request on a connection of its own.  `done` gets the response, or None and the reason."""
 
     def __init__(
         self,
@@ -68,43 +77,46 @@
         address: Address,
         data: bytes,
         done: Callable[[HttpMessage | None, str], None],
-        within: int,
-        stands_within: int = 1_000_000,
+        timeout_us: int,
+        connect_timeout_us: int = 1_000_000,
     ) -> None:
-        """`within`, `stands_within`: microseconds for the whole, and for the connection."""
+        """Connects and sends `data`.
+
+        `timeout_us`, `connect_timeout_us`: limits for the whole request and for its connection.
+        """
         self._done: Callable[[HttpMessage | None, str], None] | None = done
         self._data, self._reader = data, MessageReader()
         self._end: End | None = None
-        process.call_later(within / 1e6, self._over, None, "time")
-        process.call_later(min(within, stands_within) / 1e6, self._late)
+        process.call_later(timeout_us / 1e6, self._finish, None, "time")
+        process.call_later(min(timeout_us, connect_timeout_us) / 1e6, self._connect_timeout)
         process.connect(address, self._connected)
 
-    def _late(self) -> None:
+    def _connect_timeout(self) -> None:
         if self._end is None:
-            self._over(None, "no connection")
+            self._finish(None, "no connection")
 
     def _connected(self, end: End | None) -> None:
         if end is None:
-            self._over(None, "refused")
+            self._finish(None, "refused")
         elif self._done is None:
             end.close()
         else:
             self._end = end
-            end.listen(self._hears, lambda broken: self._over(None, "broken" if broken else "closed"))
+            end.listen(self._receive, lambda broken: self._finish(None, "broken" if broken else "closed"))
             end.write(self._data)
 
-    def _hears(self, data: bytes) -> None:
+    def _receive(self, data: bytes) -> None:
         try:
             found = self._reader.feed(data)
         except InvalidMessage:
-            self._over(None, "no answer")
+            self._finish(None, "no answer")
             return
         if found:
-            self._over(found[0], "")
+            self._finish(found[0], "")
 
-    def _over(self, heard: HttpMessage | None, why: str) -> None:
+    def _finish(self, response: HttpMessage | None, reason: str) -> None:
         done, self._done = self._done, None
         if done is not None:
             if self._end is not None:
                 self._end.close()
-            done(heard, why)
+            done(response, reason)
--- a/brackengate/emulator/mesh/upstream.py
+++ b/brackengate/emulator/mesh/upstream.py
@@ -1,4 +1,4 @@
-"""An application upstream beside a pilot: slots, a line, beats, and an end that is planned or not."""
+"""A model of an application upstream next to its proxy: slots, a queue, feedback reports and shutdown."""
 
 from __future__ import annotations
 
@@ -23,21 +23,25 @@
 from brackengate.emulator.process import Process
 from brackengate.net.sockets import Address
 
-COLD = 2 * S  # from its start it takes up to twice as long
-EXTRA = 150 * MS  # served beyond `Drain`
-UNHEARD = 5 * S  # without an acknowledgement it ends anyway
-AGAIN = 200 * MS  # a beat that failed is sent again
+WARMUP_US = 2 * S  # after the start, while requests take up to twice as long
+DRAIN_MARGIN_US = 150 * MS  # how much longer than `Drain` it serves requests
+SHUTDOWN_TIMEOUT_US = 5 * S  # after which it ends without an acknowledgement
+FEEDBACK_RETRY_US = 200 * MS  # pause before a failed report is sent again
 
 
 @dataclass(eq=False, slots=True)
-class Work:
+class PendingRequest:
+    """A request that was received; `finished` once it is answered or its connection has ended."""
+
     end: End
-    heard: HttpMessage
-    latest: int
-    over: bool = False
+    message: HttpMessage
+    deadline: int  # time in microseconds
+    finished: bool = False
 
 
 class Upstream:
+    """One process of a service, on the machine of a proxy, to which it reports."""
+
     def __init__(
         self,
         loop: Loop,
@@ -46,172 +50,173 @@
         trace: Callable[..., None],
         id_: str,
         plant: str,
-        told: Service,
+        config: Service,
         address: Address,
         control: Address,
         feedback: int,
         drain: int,
     ) -> None:
         self._loop, self._rng, self._trace, self.id, self.service = loop, rng, trace, id_, plant
-        self._told, self._control, self._feedback, self._drain = told, control, feedback, drain
+        self._config, self._control, self._feedback, self._drain = config, control, feedback, drain
         self._address, self._zone = address, net.zones[address[0]]
         self.process = Process(loop, net, address[0], id_)
-        self._busy, self._line = 0, deque[Work]()
-        self._started, self._beats, self._seals = loop.now, 0, 0
+        self._busy, self._queue = 0, deque[PendingRequest]()
+        self._started, self._reports, self._responses = loop.now, 0, 0
         self._speed = rng.uniform(0.8, 1.25)
         self.state = "ready"
-        self._ended: Callable[[], None] = lambda: None
-        self.process.listener(address).taken = self._taken
+        self._on_end: Callable[[], None] = lambda: None
+        self.process.listener(address).taken = self._accept
         trace("begins", id_, plant, address[0])
-        self._beat()
+        self._report_periodically()
 
-    # --- its life
+    # --- life cycle
 
-    def shut_down(self, ended: Callable[[], None]) -> None:
-        """Drain, say so, end; then `ended`."""
+    def shut_down(self, on_end: Callable[[], None]) -> None:
+        """Reports that it drains, drains, leaves and ends; then calls `on_end`."""
         if self.state == "ready" and self.process.alive:
-            self.state, self._ended = "draining", ended
-            self._say_beat(lambda: None)
-            self.process.call_later(UNHEARD / 1e6, self._end)
+            self.state, self._on_end = "draining", on_end
+            self._send_report(lambda: None)
+            self.process.call_later(SHUTDOWN_TIMEOUT_US / 1e6, self._finish)
 
-    def _end(self) -> None:
+    def _finish(self) -> None:
         if self.process.alive:
             self.die()
-            self._ended()
+            self._on_end()
 
     def die(self) -> None:
+        """Ends at once."""
         if self.process.alive:
             self._trace("ends", self.id)
             self.process.die()
 
-    def _beat(self) -> None:
-        self._say_beat(lambda: self.process.call_later(self._feedback / 1e6, self._beat))
+    def _report_periodically(self) -> None:
+        self._send_report(lambda: self.process.call_later(self._feedback / 1e6, self._report_periodically))
 
-    def _say_beat(self, then: Callable[[], object]) -> None:
-        self._beats += 1
+    def _send_report(self, then: Callable[[], object]) -> None:
+        self._reports += 1
         draining = self.state == "draining"
-        warm = max(0, self._started + COLD - self._loop.now)
-        beat = {
+        warmup_left = max(0, self._started + WARMUP_US - self._loop.now)
+        report = {
             "Plant": self.service,
             "Address": f"{self._address[0]}:{self._address[1]}",
             "Zone": self._zone,
             "Revision": "v1",
-            "Capacity": self._told.slots,
+            "Capacity": self._config.slots,
             "State": self.state,
-            "WarmupLeft": f"{warm // 1000}ms",
-            "CallCount": self._beats,
+            "WarmupLeft": f"{warmup_left // 1000}ms",
+            "CallCount": self._reports,
         }
 
-        def done(heard: HttpMessage | None, why: str) -> None:
-            if heard is None or not 200 <= heard.status < 300:
-                self.process.call_later(AGAIN / 1e6, partial(self._say_beat, then))
+        def on_response(message: HttpMessage | None, reason: str) -> None:
+            if message is None or not 200 <= message.status < 300:
+                self.process.call_later(FEEDBACK_RETRY_US / 1e6, partial(self._send_report, then))
                 return
             if draining and self._drain:
-                lasts, self._drain = self._drain + EXTRA, 0
+                drain_time, self._drain = self._drain + DRAIN_MARGIN_US, 0
                 self._trace("drains", self.id, self._address[0])
-                self.process.call_later(lasts / 1e6, self._say_leave)
+                self.process.call_later(drain_time / 1e6, self._send_leave)
             then()
 
-        self._call("instances.feedback", json.dumps(beat).encode(), done)
+        self._call("instances.feedback", json.dumps(report).encode(), on_response)
 
-    def _say_leave(self) -> None:
-        self._call("instances.leave", b"{}", lambda heard, why: self._end())
+    def _send_leave(self) -> None:
+        self._call("instances.leave", b"{}", lambda message, reason: self._finish())
 
-    def _call(self, name: str, body: bytes, done: Callable[[HttpMessage | None, str], None]) -> None:
-        first = f"POST /v1/rpc?call={name}&of={self.id} HTTP/1.1"
-        data = encode_message(first, {"Host": "pilot", "Content-Type": "application/json"}, body)
-        HttpRequest(self.process, self._control, data, done, S)
+    def _call(self, name: str, body: bytes, on_response: Callable[[HttpMessage | None, str], None]) -> None:
+        start_line = f"POST /v1/rpc?call={name}&of={self.id} HTTP/1.1"
+        data = encode_message(start_line, {"Host": "pilot", "Content-Type": "application/json"}, body)
+        HttpRequest(self.process, self._control, data, on_response, S)
 
-    # --- its work
+    # --- requests
 
-    def _taken(self, end: End) -> None:
+    def _accept(self, end: End) -> None:
         self.process.holds(end)
         reader = MessageReader()
-        held: list[Work] = []
+        pending: list[PendingRequest] = []
 
-        def hears(data: bytes) -> None:
+        def receive(data: bytes) -> None:
             try:
-                found = reader.feed(data)
+                messages = reader.feed(data)
             except InvalidMessage:
                 end.close()
                 return
-            for one in found:
-                held.append(self._asked(end, one))
+            for message in messages:
+                pending.append(self._admit(end, message))
 
-        def ends(broken: bool) -> None:
-            for work in held:
-                work.over = True  # a request goes with its connection
+        def closed(broken: bool) -> None:
+            for request in pending:
+                request.finished = True  # a request is cancelled with its connection
 
-        end.listen(hears, ends)
+        end.listen(receive, closed)
 
-    def _asked(self, end: End, heard: HttpMessage) -> Work:
-        fields = heard.fields
-        left = int(fields.get("x-brackengate-deadline-ms", "1000"))
-        work = Work(end, heard, self._loop.now + left * MS)
+    def _admit(self, end: End, message: HttpMessage) -> PendingRequest:
+        fields = message.fields
+        time_left = int(fields.get("x-brackengate-deadline-ms", "1000"))
+        request = PendingRequest(end, message, self._loop.now + time_left * MS)
         attempt = fields.get("x-brackengate-attempt-id", "")
         if fields.get("x-brackengate-target-instance", self.id) != self.id:
-            self._answer(work, 421, unrun=True)
-            return work
+            self._answer(request, 421, not_executed=True)
+            return request
         self._trace("arrived", self.id, self.service, attempt)
-        if self._busy < self._told.slots:
-            self._run(work)
-        elif len(self._line) < self._told.room:
-            self._line.append(work)
+        if self._busy < self._config.slots:
+            self._run(request)
+        elif len(self._queue) < self._config.room:
+            self._queue.append(request)
         else:
-            self._answer(work, 503, unrun=True)
-        return work
+            self._answer(request, 503, not_executed=True)
+        return request
 
-    def _run(self, work: Work) -> None:
-        fields, method, target = work.heard.fields, *work.heard.start_line.split()[:2]
+    def _run(self, request: PendingRequest) -> None:
+        fields, method, target = request.message.fields, *request.message.start_line.split()[:2]
         attempt = fields.get("x-brackengate-attempt-id", "")
         key, caller = (fields.get(f"x-brackengate-{x}", "") for x in ("operation-key", "caller-service"))
         self._busy += 1
-        body = work.heard.body.decode("latin-1")
+        body = request.message.body.decode("latin-1")
         self._trace("ran", self.id, self.service, attempt, key, caller, f"{method} {target} {body}")
-        named = target.split("/")[2] if target.count("/") > 2 else ""
-        takes = int(named) if named.isdigit() else 20 * MS
-        cold = max(0.0, 1 - (self._loop.now - self._started) / COLD)
-        takes = int(takes * self._speed * (1 + cold) * self._rng.uniform(0.8, 1.3))
+        requested = target.split("/")[2] if target.count("/") > 2 else ""
+        duration = int(requested) if requested.isdigit() else 20 * MS
+        coldness = max(0.0, 1 - (self._loop.now - self._started) / WARMUP_US)
+        duration = int(duration * self._speed * (1 + coldness) * self._rng.uniform(0.8, 1.3))
         self.process.call_later(
-            min(takes, max(0, work.latest - self._loop.now)) / 1e6, self._ran, work, attempt
+            min(duration, max(0, request.deadline - self._loop.now)) / 1e6, self._complete, request, attempt
         )
 
-    def _ran(self, work: Work, attempt: str) -> None:
+    def _complete(self, request: PendingRequest, attempt: str) -> None:
         self._busy -= 1
-        if self._loop.now >= work.latest:
-            self._answer(work, 504)
+        if self._loop.now >= request.deadline:
+            self._answer(request, 504)
         else:
-            self._seals += 1
-            seal = f"{self.id}.{self._seals}"
+            self._responses += 1
+            seal = f"{self.id}.{self._responses}"
             body = f"{attempt}|{seal}|{'x' * self._rng.randrange(200)}".encode()
             self._trace("done", self.id, attempt, seal, body.decode())
-            self._answer(work, 200, {"X-Brackengate-Server-Seal": seal}, body)
-        while self._line and self._busy < self._told.slots:
-            waits = self._line.popleft()
-            if waits.over:
+            self._answer(request, 200, {"X-Brackengate-Server-Seal": seal}, body)
+        while self._queue and self._busy < self._config.slots:
+            queued = self._queue.popleft()
+            if queued.finished:
                 continue
-            if self._loop.now >= waits.latest:
-                self._answer(waits, 503, unrun=True)
+            if self._loop.now >= queued.deadline:
+                self._answer(queued, 503, not_executed=True)
             else:
-                self._run(waits)
+                self._run(queued)
 
     def _answer(
         self,
-        work: Work,
+        request: PendingRequest,
         status: int,
         fields: dict[str, str] | None = None,
         body: bytes = b"",
-        unrun: bool = False,
+        not_executed: bool = False,
     ) -> None:
-        if work.over:
+        if request.finished:
             return
-        work.over = True
-        attempt = work.heard.fields.get("x-brackengate-attempt-id", "")
-        said = {"X-Brackengate-Attempt-Id": attempt, **(fields or {})}
-        if unrun:
-            said["X-Brackengate-Not-Executed"] = "1"
+        request.finished = True
+        attempt = request.message.fields.get("x-brackengate-attempt-id", "")
+        headers = {"X-Brackengate-Attempt-Id": attempt, **(fields or {})}
+        if not_executed:
+            headers["X-Brackengate-Not-Executed"] = "1"
         if self.state == "draining":
-            said["Connection"] = "close"
-        work.end.write(encode_message(f"HTTP/1.1 {status} Said", said, body))
+            headers["Connection"] = "close"
+        request.end.write(encode_message(f"HTTP/1.1 {status} Said", headers, body))
         if self.state == "draining":
-            work.end.close()
+            request.end.close()
--- a/tests/emulator/test_mesh_big_orders.py
+++ b/tests/emulator/test_mesh_big_orders.py
@@ -1,6 +1,6 @@
-"""Large orders over small links: in force at every proxy in touch soon after they were acknowledged.
+"""Large configuration changes over slow links are soon in force at every connected proxy once acknowledged.
 
-`D` the order is delivered, `!` it is acknowledged, `|` it is in force; `x` is a loss of power, `~` frozen.
+Timelines: `D` delivery, `!` acknowledgement, `|` in force; `x` loss of power, `~` paused.
 """
 
 from __future__ import annotations
@@ -25,13 +25,13 @@
 from brackengate.proxy.freshness import ConfigFreshness
 from brackengate.proxy.role import Proxy
 
-SOON = 400 * MS  # after an acknowledgement
+MAX_LAG_US = 400 * MS  # from an acknowledgement until it is in force
 RANDOM = 'content = "random"'
-TROUBLES = {
+TIMELINES = {
     "a proxy restarts": """
         p2  DDDD x      DDDD |
         p3  DDDDDDDD !       |""",
-    "a proxy is frozen": """
+    "a proxy is paused": """
         p2  DD ~~~~~~~~~~ 2 s ~~~~~~~~~~ DDDDDD |
         p3  DDDDDDDDDDDDDDDD ! |""",
     "all proxies restart": """
@@ -42,39 +42,41 @@
     "a member loses its disk": """
         l2  DDDDD w
         l0  DDDDDDDDDDDDD ! |""",
-    "whoever acknowledged loses power": """
+    "the replica that acknowledged loses power": """
         l?  DDDDDDDD ! x        |""",
 }
 FAULTS = {
     "a proxy restarts": ("kill", ["p2"], "2200ms", "300ms", ""),
-    "a proxy is frozen": ("freeze", ["p2"], "2200ms", "2s", ""),
+    "a proxy is paused": ("freeze", ["p2"], "2200ms", "2s", ""),
     "all proxies restart": ("kill", ["pilots"], "2200ms", "300ms", ""),
     "the head loses power": ("power", ["head"], "2200ms", "2s", ""),
     "a member loses its disk": ("wipe", ["tail"], "2200ms", "2s", ""),
-    "whoever acknowledged loses power": ("power", ["acker"], "2050ms", "2s", 'after = "ack"\n'),
+    "the replica that acknowledged loses power": ("power", ["acker"], "2050ms", "2s", 'after = "ack"\n'),
 }
 
 
 @dataclass
 class Outcome:
+    """A run, and how the proxies followed the large change."""
+
     made: Played
-    behind: list[str] = field(default_factory=list)  # proxies that lack it soon after its acknowledgement
-    lag: int = 0  # from the acknowledgement until it is in force at the last proxy
+    behind: list[str] = field(default_factory=list)  # proxies that lack it MAX_LAG_US after its ack
+    lag: int = 0  # from the acknowledgement until it is in force everywhere, in microseconds
 
 
 def played(more: str = "", content: str = "", routes: int = 1500, sets: tuple[str, ...] = ()) -> Outcome:
-    """One large order, two seconds after the first request."""
+    """Runs the scenario with one large configuration change, two seconds after the first request."""
     text = (MESH / "big-order.toml").read_text().partition("[[fault]]")[0]
     text += f'[[fault]]\nat = "2s"\nkind = "big_order"\nroutes = {routes}\n{content}\n{more}'
-    told = changed(text, "big-order.toml", ("length=9s", *sets))
-    world = World(told, 1)
-    outcome = Outcome(Played(world, [], summarise([], told)))
+    scenario = changed(text, "big-order.toml", ("length=9s", *sets))
+    world = World(scenario, 1)
+    outcome = Outcome(Played(world, [], summarise([], scenario)))
 
     def look(since: int, name: str) -> None:
-        lacking = [one.name for one in world.proxy_machines if _runs(one) and not _holds(one, name)]
-        if world.loop.now - since >= SOON and not outcome.behind:
-            outcome.behind = lacking
-        if lacking and world.loop.now < since + 8 * S:
+        behind = [one.name for one in world.proxy_machines if _is_serving(one) and not _has_route(one, name)]
+        if world.loop.now - since >= MAX_LAG_US and not outcome.behind:
+            outcome.behind = behind
+        if behind and world.loop.now < since + 8 * S:
             world.loop.after(20 * MS, partial(look, since, name))
         else:
             outcome.lag = world.loop.now - since
@@ -83,47 +85,47 @@
 
     def acknowledged(troubles: OrderTroubles, change: Change) -> None:
         name = change.items[-1][0]
-        world.loop.after(SOON, partial(look, world.loop.now, name))
+        world.loop.after(MAX_LAG_US, partial(look, world.loop.now, name))
         probe(troubles, change)
 
     OrderTroubles._probe_later = acknowledged  # type: ignore[method-assign]
     try:
-        records = world.run(faults.schedule(world), faults.over(told))
+        records = world.run(faults.schedule(world), faults.over(scenario))
     finally:
         OrderTroubles._probe_later = probe  # type: ignore[method-assign]
     names = {machine.ip: machine.name for machine in (*world.control_machines, *world.proxy_machines)}
-    seen = checks.Seen(records, told.limits, names, FIRST_REQUEST_AT_US + int(told.length))
-    outcome.made = Played(world, checks.verdict(seen), summarise(records, told))
+    history = checks.Seen(records, scenario.limits, names, FIRST_REQUEST_AT_US + int(scenario.length))
+    outcome.made = Played(world, checks.verdict(history), summarise(records, scenario))
     return outcome
 
 
-def _runs(machine: Machine) -> bool:
-    """It serves, and has had time since its start."""
+def _is_serving(machine: Machine) -> bool:
+    """Whether it is a running proxy that reports itself ready."""
     role = machine.role
     return machine.process.alive and isinstance(role, Proxy) and role.ready
 
 
-def _holds(machine: Machine, name: str) -> bool:
+def _has_route(machine: Machine, name: str) -> bool:
     assert isinstance(machine.role, Proxy)
     return machine.role.table.route(name) is not None
 
 
 @pytest.mark.parametrize("content", ["", RANDOM])
-def test_a_large_order_is_in_force_everywhere_when_it_is_acknowledged(content: str) -> None:
+def test_large_change_is_in_force_everywhere_when_acknowledged(content: str) -> None:
     outcome = played(content=content)
     kept(outcome.made)
     assert outcome.behind == [] and outcome.made.worth > 0.97
 
 
-def test_requests_and_small_orders_pass_one_that_takes_the_links_seconds() -> None:
+def test_requests_and_small_changes_pass_a_change_that_fills_the_links_for_seconds() -> None:
     outcome = played(content=RANDOM, routes=4000, sets=("length=14s",))
     kept(outcome.made)
     assert outcome.behind == [] and outcome.made.worth > 0.9
 
 
-@pytest.mark.parametrize("trouble", TROUBLES)
-def test_whatever_is_lost_in_the_middle_of_it(trouble: str) -> None:
-    kind, on, at, lasts, after = FAULTS[trouble]
+@pytest.mark.parametrize("case", TIMELINES)
+def test_large_change_survives_a_fault_during_its_delivery(case: str) -> None:
+    kind, on, at, lasts, after = FAULTS[case]
     names = ", ".join(f'"{name}"' for name in on)
     more = f'[[fault]]\nat = "{at}"\nkind = "{kind}"\non = [{names}]\nlasts = "{lasts}"\n{after}'
     outcome = played(more, RANDOM)
@@ -133,45 +135,47 @@
     assert set(outcome.behind) <= frozen
 
 
-def test_over_a_small_link_between_the_members_of_the_core() -> None:
+def test_large_change_over_slow_links_between_control_replicas() -> None:
     outcome = played(content=RANDOM, sets=("core_link=20.0",))
     kept(outcome.made)
-    assert outcome.behind == [] and views(outcome) == 1
+    assert outcome.behind == [] and newest_view_epoch(outcome) == 1
 
 
-def views(outcome: Outcome) -> int:
-    """The newest view that was agreed."""
+def newest_view_epoch(outcome: Outcome) -> int:
+    """Epoch of the newest view that was agreed."""
     roles = [machine.role for machine in outcome.made.world.control_machines]
     return max(role.replica.agreement.view.epoch for role in roles if isinstance(role, ControlReplica))
 
 
-# --- taken out, each is missed
+# --- without one of the mechanisms, the failure it prevents occurs
 
 
-def test_without_delivery_it_is_acknowledged_too_early(
+def test_without_staged_delivery_it_is_acknowledged_too_early(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     monkeypatch.setattr(staging, "MIN_STAGED_BYTES", 1 << 40)
     assert played(content=RANDOM, routes=3000).behind != []
 
 
-def test_without_parts_liveness_waits_behind_bulk(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_without_message_parts_heartbeats_wait_behind_bulk_data(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(staging, "MIN_STAGED_BYTES", 1 << 40)
     monkeypatch.setattr(message_parts, "COMPRESS_FROM_BYTES", 1 << 40)
     assert played(content=RANDOM).made.worth < 0.8
 
 
-def test_without_currency_a_proxy_that_is_behind_says_404(monkeypatch: pytest.MonkeyPatch) -> None:
-    said: list[int] = []
-    not_found = Egress._find_route
+def test_without_the_freshness_check_a_proxy_that_is_behind_answers_404(
+    monkeypatch: pytest.MonkeyPatch,
+) -> None:
+    not_found: list[int] = []
+    original = Egress._find_route
 
-    def looked_up(egress: Egress, arrival: object) -> object:
-        route = not_found(egress, arrival)  # type: ignore[arg-type]
+    def find_route(egress: Egress, arrival: object) -> object:
+        route = original(egress, arrival)  # type: ignore[arg-type]
         if route is None:
-            said.append(1)
+            not_found.append(1)
         return route
 
-    monkeypatch.setattr(Egress, "_find_route", looked_up)
+    monkeypatch.setattr(Egress, "_find_route", find_route)
     monkeypatch.setattr(ConfigFreshness, "is_current", lambda *_: True)
     monkeypatch.setattr(staging, "STAGED_BYTES", 1 << 40)
     monkeypatch.setattr(message_parts, "LONG", 1 << 40)
--- a/tests/emulator/test_mesh_copies.py
+++ b/tests/emulator/test_mesh_copies.py
@@ -1,4 +1,4 @@
-"""The mesh's hard cases with small pieces and short logs: replicas and proxies catch up by copies."""
+"""Hard cases of the mesh with small pieces and short logs: replicas and proxies catch up by snapshots."""
 
 from __future__ import annotations
 
@@ -11,15 +11,17 @@
 
 
 @pytest.mark.parametrize("name", ["snapshot-under-way", "lost-claimant"])
-def test_a_hard_case_keeps_every_rule_by_small_pieces(name: str, monkeypatch: pytest.MonkeyPatch) -> None:
+def test_hard_case_keeps_every_rule_with_small_snapshot_pieces(
+    name: str, monkeypatch: pytest.MonkeyPatch
+) -> None:
     pieces: list[bool] = []
     real = SnapshotReceiver.receive
 
-    def take(self: SnapshotReceiver, asked: SnapshotPosition, piece: SnapshotPiece) -> bool:
-        pieces.append(real(self, asked, piece))
+    def receive(self: SnapshotReceiver, position: SnapshotPosition, piece: SnapshotPiece) -> bool:
+        pieces.append(real(self, position, piece))
         return pieces[-1]
 
-    monkeypatch.setattr(SnapshotReceiver, "receive", take)
+    monkeypatch.setattr(SnapshotReceiver, "receive", receive)
     monkeypatch.setattr(transfer, "PIECE_ROWS", 2)
     monkeypatch.setattr(log, "RECENT_ENTRIES", 40)
     monkeypatch.setattr(log, "RECENT_PUBLIC_ENTRIES", 3)
--- a/tests/emulator/test_mesh_leases.py
+++ b/tests/emulator/test_mesh_leases.py
@@ -1,4 +1,4 @@
-"""The roles as they are, with a core machine cut off for twenty seconds: what its followers still get."""
+"""Real roles with a control replica partitioned for twenty seconds: what its followers are still sent."""
 
 from __future__ import annotations
 
@@ -17,64 +17,70 @@
 from brackengate.protocol.messages import ControlReplicas, Message, Redirect
 
 S = 1_000_000
-SLACK = 100_000  # a tick, and what is on its way
+SLACK_US = 100_000  # a tick, and messages in flight
 
 
-def played(*more: str, one_way: bool, back: bool, monkeypatch: pytest.MonkeyPatch) -> tuple[World, list[Any]]:
-    """l0 is cut from the core from 2 s to 22 s; p0, which knows of l0 alone, starts anew at 8 s."""
+def played(
+    *more: str, one_way: bool, incoming: bool, monkeypatch: pytest.MonkeyPatch
+) -> tuple[World, list[Any]]:
+    """l0 is partitioned from the core from 2 s to 22 s; p0 restarts at 8 s with l0 as its only seed."""
     text = (MESH / "cut-core.toml").read_text().partition("[[fault]]")[0]
-    ways = "one_way = true\n" if one_way else ""
-    on, to = ('["l1", "l2"]', '["l0"]') if back else ('["l0"]', '["core"]')
-    text += f'[[fault]]\nat = "2s"\nkind = "cut"\non = {on}\nto = {to}\nlasts = "20s"\n{ways}'
+    one_way_line = "one_way = true\n" if one_way else ""
+    on, to = ('["l1", "l2"]', '["l0"]') if incoming else ('["l0"]', '["core"]')
+    text += f'[[fault]]\nat = "2s"\nkind = "cut"\non = {on}\nto = {to}\nlasts = "20s"\n{one_way_line}'
     text += '[[fault]]\nat = "8s"\nkind = "kill"\non = ["p0"]\nlasts = "500ms"\n'
     text += "".join(more)
     world = World(changed(text, "cut.toml", ["length=30s"]), 1)
-    told: list[tuple[int, str, str, Message]] = []
-    say, say_encoded = FollowerConnections._send, FollowerConnections._send_encoded
+    sent: list[tuple[int, str, str, Message]] = []
+    send, send_encoded = FollowerConnections._send, FollowerConnections._send_encoded
 
-    def note(self: FollowerConnections, follower: Follower, word: Message) -> None:
+    def record(self: FollowerConnections, follower: Follower, message: Message) -> None:
         member = self._replica.me.partition(":")[0]
-        told.append((world.loop.now - FIRST_REQUEST_AT_US, member, follower.connection.peer, word))
+        sent.append((world.loop.now - FIRST_REQUEST_AT_US, member, follower.connection.peer, message))
 
-    def said(self: FollowerConnections, follower: Follower, word: Message) -> None:
-        note(self, follower, word)
-        say(self, follower, word)
+    def record_send(self: FollowerConnections, follower: Follower, message: Message) -> None:
+        record(self, follower, message)
+        send(self, follower, message)
 
-    def said_encoded(
+    def record_send_encoded(
         self: FollowerConnections, follower: Follower, message: EncodedMessage, ordered: bool = True
     ) -> None:
-        line = decompress(message.data, message.size) if message.size else message.data
-        note(self, follower, msgspec.json.decode(line, type=Message))
-        say_encoded(self, follower, message, ordered)
+        encoded = decompress(message.data, message.size) if message.size else message.data
+        record(self, follower, msgspec.json.decode(encoded, type=Message))
+        send_encoded(self, follower, message, ordered)
 
-    monkeypatch.setattr(FollowerConnections, "_send", said)
-    monkeypatch.setattr(FollowerConnections, "_send_encoded", said_encoded)
+    monkeypatch.setattr(FollowerConnections, "_send", record_send)
+    monkeypatch.setattr(FollowerConnections, "_send_encoded", record_send_encoded)
     world.seeds = ["l0", "l1", "l2"]
     world.loop.at(FIRST_REQUEST_AT_US + 7 * S, lambda: setattr(world, "seeds", ["l0"]))
     records = world.run(faults.schedule(world), faults.over(world.scenario))
     names = {machine.ip: machine.name for machine in (*world.control_machines, *world.proxy_machines)}
-    seen = checks.Seen(
+    history = checks.Seen(
         records, world.scenario.limits, names, FIRST_REQUEST_AT_US + int(world.scenario.length)
     )
-    assert [word for one in checks.verdict(seen) for word in one.words] == []
-    return world, told
+    assert [message for one in checks.verdict(history) for message in one.words] == []
+    return world, sent
 
 
-@pytest.mark.parametrize(("one_way", "back"), [(False, False), (True, False), (True, True)])
-def test_followers_get_nothing_from_a_replica_that_is_cut_off(
-    one_way: bool, back: bool, monkeypatch: pytest.MonkeyPatch
+@pytest.mark.parametrize(("one_way", "incoming"), [(False, False), (True, False), (True, True)])
+def test_followers_get_no_data_from_a_partitioned_replica(
+    one_way: bool, incoming: bool, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    world, told = played(one_way=one_way, back=back, monkeypatch=monkeypatch)
-    cut_off, anew = world.machine("l0").ip, world.machine("p0").ip
-    late = [
-        (when, word)
-        for when, member, _, word in told
-        if member == cut_off and 2 * S + LEASE_US + SLACK < when < 22 * S
+    world, sent = played(one_way=one_way, incoming=incoming, monkeypatch=monkeypatch)
+    partitioned, restarted = world.machine("l0").ip, world.machine("p0").ip
+    late_messages = [
+        (when, message)
+        for when, member, _, message in sent
+        if member == partitioned and 2 * S + LEASE_US + SLACK_US < when < 22 * S
     ]
-    assert late != []  # it is asked, and sends them away
-    assert [word for _, word in late if not isinstance(word, Redirect | ControlReplicas)] == []
-    assert not any(word.in_contact for _, word in late if isinstance(word, ControlReplicas))
-    found = [
-        when for when, member, peer, _ in told if peer.startswith(anew) and member != cut_off and when > 8 * S
+    assert late_messages != []  # it gets requests, and redirects the followers
+    assert [
+        message for _, message in late_messages if not isinstance(message, Redirect | ControlReplicas)
+    ] == []
+    assert not any(message.in_contact for _, message in late_messages if isinstance(message, ControlReplicas))
+    served_at = [
+        when
+        for when, member, peer, _ in sent
+        if peer.startswith(restarted) and member != partitioned and when > 8 * S
     ]
-    assert found and min(found) < 11 * S  # by the members that l0 knew
+    assert served_at and min(served_at) < 11 * S  # by the members that l0 named
