--- a/tests/emulator/test_mesh_big_orders.py
+++ b/tests/emulator/test_mesh_big_orders.py
@@ -177,6 +177,6 @@
 
     monkeypatch.setattr(Egress, "_find_route", find_route)
     monkeypatch.setattr(ConfigFreshness, "is_current", lambda *_: True)
-    monkeypatch.setattr(staging, "STAGED_BYTES", 1 << 40)
-    monkeypatch.setattr(message_parts, "LONG", 1 << 40)
+    monkeypatch.setattr(staging, "MIN_STAGED_BYTES", 1 << 40)
+    monkeypatch.setattr(message_parts, "COMPRESS_FROM_BYTES", 1 << 40)
     assert "CONFIG" in played(content=RANDOM, routes=3000).made.rules
