--- a/brackengate/emulator/calls/history.py
+++ b/brackengate/emulator/calls/history.py
@@ -12,7 +12,7 @@
 from typing import Any
 
 from brackengate.emulator.loop import S
-from brackengate.emulator.mesh.talk import Heard
+from brackengate.emulator.mesh.talk import HttpMessage
 
 INBOUND_PORT, APPLICATION_PORT, OUTBOUND_PORT = 8300, 8301, 8304
 SERVICES = ("front", "p", "p", "p", "s")  # the service beside each machine's proxy, by machine number
@@ -111,7 +111,7 @@
     """How an attempt ended for its client, and when (microseconds): an answer, or why there is none."""
 
     at: int
-    answer: Heard | None
+    answer: HttpMessage | None
     reason: str
 
     @property
--- a/brackengate/emulator/calls/machine.py
+++ b/brackengate/emulator/calls/machine.py
@@ -20,7 +20,7 @@
 )
 from brackengate.emulator.calls.upstream import ScriptedUpstream
 from brackengate.emulator.loop import MS, S
-from brackengate.emulator.mesh.ground import RoleProcess, ground_of
+from brackengate.emulator.mesh.ground import RoleProcess, create_environment
 from brackengate.emulator.network import End
 from brackengate.http.body import ByteBudget
 from brackengate.net.sockets import SocketBudget
@@ -118,7 +118,7 @@
         self.process = process
         self.last_writes: dict[End, bytes] = {}  # on each connection that the proxy accepted
         process.accepted = self._record_writes
-        environment = ground_of(process, simulation.loop, simulation.network, rng, 0)
+        environment = create_environment(process, simulation.loop, simulation.network, rng, 0)
         clock = environment.clock
         assert clock is not None
         self.admission = Admission("z", 10**12, 2 * S)
--- a/brackengate/emulator/calls/promises.py
+++ b/brackengate/emulator/calls/promises.py
@@ -82,7 +82,7 @@
         found.append(f"{attempt_id} is held {held // MS} ms past its time")
     if answer is None:
         return [*found, f"{attempt_id}: bytes that are no answer"] if result.reason == "no answer" else found
-    if answer.more:
+    if answer.has_trailing_data:
         found.append(f"{attempt_id}: bytes behind its answer")
     sealed = seen.sealed_answers.get(answer.fields.get("x-brackengate-server-seal", ""))
     if sealed is not None and (
--- a/brackengate/emulator/calls/simulation.py
+++ b/brackengate/emulator/calls/simulation.py
@@ -25,8 +25,8 @@
 )
 from brackengate.emulator.calls.machine import ClaimStore, Machine
 from brackengate.emulator.loop import MS, Loop, S
-from brackengate.emulator.mesh.ground import Ways
-from brackengate.emulator.mesh.talk import Call, Heard, message
+from brackengate.emulator.mesh.ground import MachineNetwork
+from brackengate.emulator.mesh.talk import HttpMessage, HttpRequest, encode_message
 from brackengate.emulator.process import Process
 
 SETTLE_TIME_US = 6 * S  # after the last event of a history, so that everything delayed has arrived
@@ -37,7 +37,7 @@
 
     def __init__(self, history: History) -> None:
         self.loop, self.observations = Loop(), Observations(history)
-        self.network = Ways(self.loop, random.Random(f"{history.seed}/net"), 700, 700, 0.3)
+        self.network = MachineNetwork(self.loop, random.Random(f"{history.seed}/net"), 700, 700, 0.3)
         self.claim_store = ClaimStore(self, history.core)
         behaviours = defaultdict[int, tuple[Behaviour, ...]](tuple, dict(history.behaviours))
         self.machines = [Machine(self, number, behaviours[number]) for number in range(len(SERVICES))]
@@ -72,11 +72,11 @@
         if attempt.key:
             fields["X-Brackengate-Operation-Key"] = attempt.key
         method = "GET" if kind == "read" and not attempt.size else "POST"
-        data = message(f"{method} /{attempt.route}/x HTTP/1.1", fields, b"b" * attempt.size)
+        data = encode_message(f"{method} /{attempt.route}/x HTTP/1.1", fields, b"b" * attempt.size)
         if attempt.half:
             data = data[: len(data) * 2 // 3]
         address = (machine_ip(attempt.proxy), OUTBOUND_PORT)
-        Call(
+        HttpRequest(
             self.clients[attempt.proxy],
             address,
             data,
@@ -84,7 +84,7 @@
             attempt.leaves * MS,
         )
 
-    def _record_result(self, attempt_id: str, answer: Heard | None, reason: str) -> None:
+    def _record_result(self, attempt_id: str, answer: HttpMessage | None, reason: str) -> None:
         self.observations.results[attempt_id] = AttemptResult(self.loop.now, answer, reason)
 
     def _inject(self, fault: Fault) -> None:
@@ -92,8 +92,8 @@
         machine, at_end = self.machines[fault.proxy], partial(self.loop.after, fault.lasts * MS)
         match fault.what:
             case "freeze":
-                machine.process.freeze()
-                at_end(machine.process.thaw)
+                machine.process.pause()
+                at_end(machine.process.resume)
             case "reset":
                 machine.process.reset()
             case "cut":
--- a/brackengate/emulator/calls/upstream.py
+++ b/brackengate/emulator/calls/upstream.py
@@ -15,7 +15,7 @@
     machine_ip,
 )
 from brackengate.emulator.loop import MS
-from brackengate.emulator.mesh.talk import Heard, Reader, message
+from brackengate.emulator.mesh.talk import HttpMessage, MessageReader, encode_message
 from brackengate.emulator.network import End
 from brackengate.emulator.process import Process
 
@@ -48,17 +48,17 @@
     def _on_connection(self, end: End) -> None:
         self._simulation.observations.connections += 1
         self.process.holds(end)
-        reader, repeats = Reader(), list[bytes]()
+        reader, repeats = MessageReader(), list[bytes]()
 
         def on_data(data: bytes) -> None:
-            for request in reader.take(data):
+            for request in reader.feed(data):
                 if repeats:
                     end.write(repeats.pop())  # arrives in place of the answer to this request
                 self._on_request(end, request, repeats)
 
         end.listen(on_data, lambda broken: None)
 
-    def _on_request(self, end: End, request: Heard, repeats: list[bytes]) -> None:
+    def _on_request(self, end: End, request: HttpMessage, repeats: list[bytes]) -> None:
         fields = request.fields
         attempt_id = fields["x-brackengate-attempt-id"]
         behaviour = self._behaviours.popleft() if self._behaviours else Behaviour()
@@ -146,7 +146,7 @@
             fields["X-Brackengate-Attempt-Id"] = attempt_id
         if close:
             fields["Connection"] = "close"
-        return message(f"HTTP/1.1 {status} Said", fields, body)
+        return encode_message(f"HTTP/1.1 {status} Said", fields, body)
 
     def _unsealed_answer(self, attempt_id: str, status: int, fields: dict[str, str]) -> bytes:
-        return message(f"HTTP/1.1 {status} Said", {"X-Brackengate-Attempt-Id": attempt_id, **fields})
+        return encode_message(f"HTTP/1.1 {status} Said", {"X-Brackengate-Attempt-Id": attempt_id, **fields})
--- a/brackengate/emulator/mesh/order_troubles.py
+++ b/brackengate/emulator/mesh/order_troubles.py
@@ -114,7 +114,7 @@
         self._send_outdated([one for one in self._possible_contents() if one])
 
     def _send_unknown_service(self) -> None:
-        self._operators.send([(self._rng.choice(RACED_ROUTES), ("nobody",))], sound=False)
+        self._operators.send([(self._rng.choice(RACED_ROUTES), ("nobody",))], valid=False)
 
     def _send_stale_removal(self) -> None:
         """Send the removal of a route under a version older than its newest one."""
--- a/brackengate/emulator/mesh/play.py
+++ b/brackengate/emulator/mesh/play.py
@@ -6,7 +6,7 @@
 from brackengate.emulator.checks import Broken, Record
 from brackengate.emulator.mesh import checks, faults
 from brackengate.emulator.mesh.scenario import MeshScenario
-from brackengate.emulator.mesh.world import CALM, World
+from brackengate.emulator.mesh.world import FIRST_REQUEST_AT_US, World
 
 
 class MeshRun:
@@ -45,8 +45,8 @@
     """Simulate the scenario; the same seed gives the same run."""
     world = World(scenario, seed)
     records = world.run(faults.schedule(world), faults.end_time(scenario))
-    names = {machine.ip: machine.name for machine in (*world.core, *world.pilots)}
-    history = checks.History(records, scenario.limits, names, CALM + int(scenario.length))
+    names = {machine.ip: machine.name for machine in (*world.control_machines, *world.proxy_machines)}
+    history = checks.History(records, scenario.limits, names, FIRST_REQUEST_AT_US + int(scenario.length))
     return MeshRun(world, checks.check_history(history), summarise(records, scenario))
 
 
--- a/tests/emulator/test_mesh_hard.py
+++ b/tests/emulator/test_mesh_hard.py
@@ -78,11 +78,11 @@
     assert_no_violations(run)
     records = run.world.records
     applied = {of[0] for _, what, of in records if what == "fault"}
-    assert applied == {one.kind for one in run.world.told.fault if one.kind != "close"}
+    assert applied == {one.kind for one in run.world.scenario.fault if one.kind != "close"}
     assert any(what == "closing" for _, what, _ in records) == name.startswith("closing")
     assert run.worth > 0.7
     last = max(when for when, what, _ in records if what == "served")
-    assert last > (world.CALM + int(run.world.told.length)) - 2_000_000  # it serves again
+    assert last > (world.FIRST_REQUEST_AT_US + int(run.world.scenario.length)) - 2_000_000  # it serves again
 
 
 def test_claim_of_a_lost_claimant_is_answered_503_and_not_run() -> None:
--- a/tests/emulator/test_mesh_worst_days.py
+++ b/tests/emulator/test_mesh_worst_days.py
@@ -71,14 +71,14 @@
     run = run_scenario(f"{name}.toml")
     assert_no_violations(run)
     applied = {of[0] for _, what, of in run.world.records if what == "fault"}
-    assert applied == {one.kind for one in run.world.told.fault}
+    assert applied == {one.kind for one in run.world.scenario.fault}
 
 
 def members(run: MeshRun) -> set[str]:
     """Names of the machines in the newest view at the end."""
-    roles = [one.role for one in run.world.core if isinstance(one.role, ControlReplica)]
+    roles = [one.role for one in run.world.control_machines if isinstance(one.role, ControlReplica)]
     view = max((role.replica.agreement.view for role in roles), key=lambda view: view.epoch)
-    names = {one.ip: one.name for one in run.world.core}
+    names = {one.ip: one.name for one in run.world.control_machines}
     return {names[member.addr.partition(":")[0]] for member in view.members}
 
 
@@ -86,7 +86,7 @@
     run = run_first_faults("replace-unplanned", 2, 24)
     records = run.world.records
     removed = [str(of[0]) for _, what, of in records if what == "removed"]
-    assert len(removed) == 2 and not set(removed) & {one.name for one in run.world.listed()}
+    assert len(removed) == 2 and not set(removed) & {one.name for one in run.world.current_controls()}
     assert len(members(run)) == 3 and not set(removed) & members(run)
 
 
@@ -210,7 +210,9 @@
 
 def test_search_uses_all_faults_and_stays_within_the_tolerance() -> None:
     scenario, rng, kinds, fields = small_scenario(length=20), random.Random(3), set(), set()
-    scenario = msgspec.structs.replace(scenario, core=msgspec.structs.replace(scenario.core, spare=2))
+    scenario = msgspec.structs.replace(
+        scenario, core=msgspec.structs.replace(scenario.control_machines, spare=2)
+    )
     for _ in range(400):
         scenario = mutated(scenario, rng)
         kinds |= {one.kind for one in scenario.fault}
