--- a/tests/emulator/test_mesh_worst_days.py
+++ b/tests/emulator/test_mesh_worst_days.py
@@ -210,9 +210,7 @@
 
 def test_search_uses_all_faults_and_stays_within_the_tolerance() -> None:
     scenario, rng, kinds, fields = small_scenario(length=20), random.Random(3), set(), set()
-    scenario = msgspec.structs.replace(
-        scenario, core=msgspec.structs.replace(scenario.control_machines, spare=2)
-    )
+    scenario = msgspec.structs.replace(scenario, core=msgspec.structs.replace(scenario.core, spare=2))
     for _ in range(400):
         scenario = mutated(scenario, rng)
         kinds |= {one.kind for one in scenario.fault}
