--- a/benchmarks/scale/hollow.py
+++ b/benchmarks/scale/hollow.py
@@ -36,7 +36,7 @@
     Report,
     RunClaims,
 )
-from brackengate.net.ground import monotonic_clock_us
+from brackengate.net.environment import monotonic_clock_us
 from brackengate.protocol.messages import Claim, CommandDone, ReportUpstream
 from brackengate.proxy import failure_detector, role
 from brackengate.proxy.admission import Admission, Heartbeat
